--- a/crates/pulley_core/src/version/audit_archive.rs
+++ b/crates/pulley_core/src/version/audit_archive.rs
@@ -1,4 +1,4 @@
-//! The audit trail's chunks on the replicas' disks: who has which, and what is read from them.
+//! The audit trail's chunks on disk: which are stored here, fetching missing ones, and reading.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,54 +12,54 @@
 };
 use crate::process::{HostId, Moment};
 
-/// How often a replica asks another for a chunk that it lacks; one of 80 KB in this time stays
-/// within the bytes that control may cost.
+/// How often a replica requests a missing chunk from another. One 80 KB chunk per interval stays
+/// within the bandwidth budget of control traffic.
 const FETCH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many reads may be under way; each holds a question or another replica's wish.
+/// Maximum number of reads in progress. Each serves a question or another replica's fetch.
 const READ_LIMIT: usize = 64;
 
-/// What replicas say to each other of chunks.
+/// Messages between replicas about chunks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AuditMessage {
-    /// Asks for a chunk.
+    /// Requests a chunk.
     Fetch {
-        /// Its number.
+        /// Number of the chunk.
         number: u64,
     },
-    /// Brings it.
+    /// Delivers a chunk.
     Chunk(AuditChunk),
 }
 
-/// A read of chunks from the own disk, off the control thread.
+/// A request to read chunks from the local disk, outside the control thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditRead {
-    /// Numbers the read.
+    /// Number of this read.
     pub read: u64,
-    /// The chunks, in the order in which they are to be read.
+    /// Chunk numbers, in the order in which to read them.
     pub chunks: Vec<u64>,
-    /// Which records are wanted.
+    /// Selects the records.
     pub filter: AuditFilter,
-    /// How many at most.
+    /// Maximum number of records.
     pub limit: usize,
 }
 
-/// What a read is for.
+/// Who a read is for.
 #[derive(Debug)]
 enum ReadPurpose {
     Question { token: u64, found: Vec<AuditRecord> },
     Fetch { to: HostId, number: u64 },
 }
 
-/// What a driver knows of the chunks.
+/// The driver's record of stored chunks and of reads in progress.
 #[derive(Debug, Default)]
 pub(crate) struct AuditArchive {
     held: BTreeSet<u64>,
     reads: BTreeMap<u64, ReadPurpose>,
     next_read: u64,
     next_fetch: Moment,
-    /// Which member is asked next.
-    turn: usize,
+    /// Counter that picks the next member to fetch from.
+    next_member: usize,
 }
 
 impl AuditArchive {
@@ -69,7 +69,7 @@
 }
 
 impl ReplicaDriver {
-    /// Hands chunks that have come about to the storage.
+    /// Passes newly sealed chunks to the storage.
     pub(crate) fn write_chunks(&mut self) {
         for chunk in self.machines.configuration.take_unwritten() {
             if self.archive.held.insert(chunk.number) {
@@ -87,20 +87,20 @@
             return;
         }
         let chunks: Vec<u64> = (0..trail.sealed()).rev().collect();
-        let whole = chunks.iter().all(|number| self.archive.held.contains(number));
-        // A trail with a gap must not pass for a whole one.
-        if !whole {
+        let is_complete = chunks.iter().all(|number| self.archive.held.contains(number));
+        // An answer with a gap must not look complete.
+        if !is_complete {
             self.push_answer(token, ReplicaAnswer::Refused(ReplicaRefusal::AuditIncomplete));
             return;
         }
         let limit = filter.answer_limit() - found.len();
         let purpose = ReadPurpose::Question { token, found };
-        if !self.begin_audit_read(purpose, chunks, filter.clone(), limit) {
+        if !self.start_audit_read(purpose, chunks, filter.clone(), limit) {
             self.push_answer(token, ReplicaAnswer::Refused(ReplicaRefusal::Busy));
         }
     }
 
-    /// Takes what a read has found; `None` if a chunk could not be read.
+    /// Handles the result of a read; `None` means that a chunk could not be read.
     pub(crate) fn finish_audit_read(&mut self, read: u64, records: Option<Vec<AuditRecord>>) {
         let Some(purpose) = self.archive.reads.remove(&read) else { return };
         match (purpose, records) {
@@ -117,7 +117,7 @@
                 self.send_audit(to, AuditMessage::Chunk(AuditChunk { number, records }));
             }
             (ReadPurpose::Fetch { number, .. }, None) => {
-                // It can be copied from another replica again.
+                // Allows the chunk to be fetched from another replica again.
                 self.archive.held.remove(&number);
             }
         }
@@ -132,22 +132,22 @@
                 if self.archive.held.contains(&number) {
                     let purpose = ReadPurpose::Fetch { to: from.clone(), number };
                     let filter = AuditFilter::default();
-                    self.begin_audit_read(purpose, vec![number], filter, AUDIT_CHUNK);
+                    self.start_audit_read(purpose, vec![number], filter, AUDIT_CHUNK);
                 }
             }
-            AuditMessage::Chunk(chunk) => self.take_chunk(chunk),
+            AuditMessage::Chunk(chunk) => self.store_chunk(chunk),
         }
     }
 
-    /// Asks the members by turns for the oldest chunk that is lacking here.
+    /// Requests the oldest missing chunk, from the other members in round-robin order.
     pub(crate) fn fetch_chunk(&mut self, now: Moment) {
         if now < self.archive.next_fetch {
             return;
         }
         self.archive.next_fetch = now + FETCH_INTERVAL;
         let sealed = self.machines.configuration.audit_trail().sealed();
-        let lacking = (0..sealed).find(|number| !self.archive.held.contains(number));
-        let Some(number) = lacking else { return };
+        let missing = (0..sealed).find(|number| !self.archive.held.contains(number));
+        let Some(number) = missing else { return };
         let own = &self.identity.host;
         let members = &self.node.members().members;
         let others: Vec<HostId> =
@@ -155,36 +155,36 @@
         if others.is_empty() {
             return;
         }
-        self.archive.turn += 1;
-        let to = others[self.archive.turn % others.len()].clone();
+        self.archive.next_member += 1;
+        let to = others[self.archive.next_member % others.len()].clone();
         self.send_audit(to, AuditMessage::Fetch { number });
     }
 
-    fn take_chunk(&mut self, chunk: AuditChunk) {
+    fn store_chunk(&mut self, chunk: AuditChunk) {
         let sealed = self.machines.configuration.audit_trail().sealed();
-        let fits = chunk.number < sealed && chunk.records.len() == AUDIT_CHUNK;
-        if fits && self.archive.held.insert(chunk.number) {
+        let is_valid = chunk.number < sealed && chunk.records.len() == AUDIT_CHUNK;
+        if is_valid && self.archive.held.insert(chunk.number) {
             self.node.archive(chunk.into());
         }
     }
 
-    fn begin_audit_read(
+    fn start_audit_read(
         &mut self,
         purpose: ReadPurpose,
         chunks: Vec<u64>,
         filter: AuditFilter,
         limit: usize,
     ) -> bool {
-        // Load: many questions about old records at once. Each read may go through years of
-        // chunks; beyond the limit they would only queue up behind the disk.
+        // Load: many questions about old records at once. Each read may scan years of chunks;
+        // reads beyond the limit would only queue for the disk.
         if self.archive.reads.len() >= READ_LIMIT {
             return false;
         }
         self.archive.next_read += 1;
         let read = self.archive.next_read;
         self.archive.reads.insert(read, purpose);
-        let wanted = AuditRead { read, chunks, filter, limit };
-        self.outputs.push(DriverOutput::ReadAudit(wanted));
+        let audit_read = AuditRead { read, chunks, filter, limit };
+        self.outputs.push(DriverOutput::ReadAudit(audit_read));
         true
     }
 
--- a/crates/pulley_core/src/version/audit_trail.rs
+++ b/crates/pulley_core/src/version/audit_trail.rs
@@ -1,4 +1,4 @@
-//! The audit trail: the newest records in memory, all older ones in chunks on disk.
+//! The audit trail: the newest records in memory, older ones in chunks on disk.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,44 +7,44 @@
 
 use super::{AuditFilter, AuditRecord};
 
-/// How many records stay in memory and in snapshots: a day's worth at 2,100 changes a day.
+/// Number of records kept in memory and in snapshots: about one day at 2,100 changes a day.
 pub const AUDIT_KEPT: usize = 2_048;
 
-/// How many records make a chunk, some 80 KB: a message between replicas holds one.
+/// Number of records in a chunk. A chunk is about 80 KB and is sent in one message.
 pub const AUDIT_CHUNK: usize = 256;
 
-/// How many audit records an answer holds at most, so that it fits a message.
+/// Maximum number of records in an answer, so that it fits into a message.
 pub const AUDIT_ANSWER_LIMIT: usize = 2_000;
 
-/// How far the times of neighbouring records may be out of order, in milliseconds: they come from
-/// the clocks of the hosts that received the changes.
+/// How far the timestamps of neighbouring records may be out of order, in milliseconds. They are
+/// taken from the clocks of the hosts that received the changes.
 const CLOCK_SLACK_MS: u64 = 600_000;
 
-/// Records that no longer change, numbered from 0 in the order of the log.
+/// An immutable block of records. Chunks are numbered from 0 in log order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditChunk {
-    /// Its number.
+    /// The chunk's number.
     pub number: u64,
-    /// Its records, the oldest first.
+    /// The records, oldest first.
     pub records: Vec<AuditRecord>,
 }
 
-/// The audit trail as every replica's state machine has it.
+/// The audit trail in each replica's state machine.
 ///
-/// Two years of 2,100 changes a day are 1.5 million records, several times the memory a host may
-/// use. Which records go into which chunk follows from the log alone, so every replica writes the
-/// same chunks, and one that lacks some can copy them from any other.
+/// Two years at 2,100 changes a day are 1.5 million records, several times the memory a host may
+/// use, so old records move to disk. The log alone determines which records form a chunk. All
+/// replicas therefore write the same chunks, and a missing chunk can be copied from any of them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AuditTrail {
     recent: VecDeque<AuditRecord>,
     sealed: u64,
-    /// Chunks that are to be written; not part of the state.
+    /// Chunks still to be written to disk; not part of the replicated state.
     #[serde(skip)]
     unwritten: Vec<Arc<AuditChunk>>,
 }
 
 impl AuditTrail {
-    /// Adds a record; the oldest ones make a chunk once too many are in memory.
+    /// Adds a record. Once too many are in memory, the oldest are sealed into a chunk.
     pub fn push(&mut self, record: AuditRecord) {
         self.recent.push_back(record);
         if self.recent.len() < AUDIT_KEPT + AUDIT_CHUNK {
@@ -55,18 +55,18 @@
         self.sealed += 1;
     }
 
-    /// Takes the chunks that have come about and are to be written.
+    /// Takes the sealed chunks that still have to be written.
     pub fn take_unwritten(&mut self) -> Vec<Arc<AuditChunk>> {
         std::mem::take(&mut self.unwritten)
     }
 
-    /// How many chunks there are.
+    /// Returns the number of sealed chunks.
     #[must_use]
     pub fn sealed(&self) -> u64 {
         self.sealed
     }
 
-    /// The records in memory that match, the newest first.
+    /// Returns the matching records in memory, newest first.
     #[must_use]
     pub fn recent(&self, filter: &AuditFilter) -> Vec<AuditRecord> {
         self.recent
@@ -78,7 +78,7 @@
             .collect()
     }
 
-    /// Whether chunks may hold more of what a filter wants, when `found` records were in memory.
+    /// Whether chunks may hold further matches, given that `found` were in memory.
     #[must_use]
     pub fn needs_chunks(&self, filter: &AuditFilter, found: usize) -> bool {
         let oldest = self.recent.front().map_or(0, |record| record.unix_ms);
@@ -87,7 +87,7 @@
 }
 
 impl AuditFilter {
-    /// Whether a record is wanted.
+    /// Whether a record matches the filter.
     #[must_use]
     pub fn matches(&self, record: &AuditRecord) -> bool {
         self.since_unix_ms.is_none_or(|since| record.unix_ms >= since)
@@ -97,7 +97,7 @@
             && self.outcome.as_ref().is_none_or(|outcome| record.outcome == *outcome)
     }
 
-    /// How many records an answer holds at most.
+    /// Returns the maximum number of records in an answer.
     #[must_use]
     pub fn answer_limit(&self) -> usize {
         match self.limit {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether nothing is wanted from records about as old as one of this time, or older.
+    /// Whether the filter excludes all records from about this time or earlier.
     #[must_use]
     pub fn begins_after(&self, unix_ms: u64) -> bool {
         self.since_unix_ms.is_some_and(|since| since > unix_ms.saturating_add(CLOCK_SLACK_MS))
--- a/crates/pulley_core/src/version/change.rs
+++ b/crates/pulley_core/src/version/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: what an operator asks and what becomes of it.
+//! Configuration changes: operators' requests, their answers and audit records.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,14 +9,14 @@
 use super::PolicyPlan;
 use crate::process::{ActorName, ChangeId, QuantityFault};
 
-/// Numbers the accepted configurations; 0 is the empty one before the first.
+/// Number of an accepted configuration; 0 is the empty configuration before the first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ConfigVersion(pub u64);
 
 impl ConfigVersion {
-    /// The version after this one.
+    /// Returns the version after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -39,72 +39,74 @@
     }
 }
 
-/// A change as an operator asks for it.
+/// A change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Makes a resend known as such.
+    /// Identifies the change, so that a resend is recognised.
     pub change_id: ChangeId,
-    /// Who asks.
+    /// Who requests the change.
     pub actor: ActorName,
-    /// The version it is based on; the change is refused if another is in force by then.
+    /// The version the change is based on. It is refused if another one is in force when it is
+    /// applied.
     pub expect: ConfigVersion,
-    /// The version that the operator gives it. It then is based on none: the highest wins.
+    /// The version number chosen by the operator. Such a change is based on no version: the highest
+    /// number wins.
     pub given: Option<ConfigVersion>,
-    /// When the first host received it, in milliseconds of Unix time.
+    /// When the first host received the change, in milliseconds of Unix time.
     pub received_unix_ms: u64,
-    /// The sheet as given, so that it can be shown as it came.
+    /// The sheet as submitted, so that it can be shown unchanged.
     pub sheet: String,
-    /// The checked sheet.
+    /// The plan read from the sheet.
     pub plan: PolicyPlan,
 }
 
-/// Why a change was refused; refused always means not done.
+/// Why a change was refused. A refused change has had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeRefusal {
-    /// Another version is in force than the one the change is based on.
+    /// The version in force is not the one that the change is based on.
     VersionMoved {
         /// The version in force.
         current: ConfigVersion,
     },
-    /// The change id was used before for a different change.
+    /// The change id was already used for a different change.
     ChangeIdReused,
-    /// The version given is in force with another content.
+    /// The chosen version is already in force with a different content.
     VersionTaken {
-        /// That version.
+        /// The chosen version.
         version: ConfigVersion,
     },
-    /// The sheet has faults; the text names them.
+    /// The sheet has faults.
     SheetFaulty {
-        /// Every fault, a line each.
+        /// All faults, one per line.
         faults: String,
     },
-    /// It is larger than what the system can carry everywhere.
+    /// The change exceeds a size limit of the log or of messages.
     TooLarge {
-        /// What is too large, and the limit.
+        /// What is too large, with the limit.
         fault: String,
     },
 }
 
-/// What became of a change.
+/// The answer to a change request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeAnswer {
-    /// It is on a quorum's disks and never reverts.
+    /// The change is on the disks of a quorum and is never lost.
     Accepted {
-        /// The version it became.
+        /// The version that the change created.
         version: ConfigVersion,
     },
-    /// A higher version than the one given was in force already; nothing changed.
+    /// A version higher than the chosen one was already in force; nothing changed.
     Superseded {
         /// The version in force.
         current: ConfigVersion,
     },
-    /// It was not done.
+    /// The change was not made.
     Refused(ChangeRefusal),
-    /// Nobody can say yet; the same change id may be sent again.
+    /// The outcome is not known yet; the request may be sent again with the same change id.
     Unknown {
-        /// What is known of the cause.
+        /// The cause, as far as it is known.
         why: SmolStr,
     },
 }
@@ -112,48 +114,48 @@
 /// An accepted configuration with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredPlan {
-    /// The version.
+    /// The configuration's version.
     pub version: ConfigVersion,
-    /// The sheet as the operator gave it.
+    /// The sheet as the operator submitted it.
     pub sheet: String,
-    /// The checked sheet.
+    /// The plan read from the sheet.
     pub plan: PolicyPlan,
 }
 
-/// One line of the audit trail; refusals and membership changes have theirs too.
+/// One record of the audit trail. Refusals and membership changes are recorded too.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Its place in the log.
+    /// Index of the log entry.
     pub index: u64,
-    /// When, in milliseconds of Unix time.
+    /// Time of the change, in milliseconds of Unix time.
     pub unix_ms: u64,
-    /// Who.
+    /// Who requested the change.
     pub actor: ActorName,
-    /// Which change.
+    /// Identifies the change.
     pub change_id: ChangeId,
-    /// The version it was based on.
+    /// The version that the change was based on.
     pub base: ConfigVersion,
-    /// What changed, row by row, in short.
+    /// Summary of the changed rows.
     pub diff: String,
-    /// What became of it, in words a filter can match: `accepted`, `refused`, `member`.
+    /// The outcome as a word that a filter can match, such as `accepted`, `refused` or `member`.
     pub outcome: SmolStr,
-    /// The answer given.
+    /// The answer to the request.
     pub answer: ChangeAnswer,
 }
 
-/// Which audit records are wanted; an absent field matches all.
+/// Selects audit records; an absent field matches all records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditFilter {
-    /// Not before, in milliseconds of Unix time.
+    /// Earliest time, in milliseconds of Unix time.
     pub since_unix_ms: Option<u64>,
-    /// Not after, in milliseconds of Unix time.
+    /// Latest time, in milliseconds of Unix time.
     pub until_unix_ms: Option<u64>,
-    /// By this actor only.
+    /// Selects records of this actor.
     pub actor: Option<ActorName>,
-    /// Of this change only.
+    /// Selects records of this change.
     pub change_id: Option<ChangeId>,
-    /// With this outcome only.
+    /// Selects records with this outcome.
     pub outcome: Option<SmolStr>,
-    /// At most so many, the newest first.
+    /// Maximum number of records, newest first; 0 means the system's limit.
     pub limit: u32,
 }
--- a/crates/pulley_core/src/version/configuration_machine.rs
+++ b/crates/pulley_core/src/version/configuration_machine.rs
@@ -1,4 +1,4 @@
-//! The configuration as the log makes it: versions, change ids, audit trail.
+//! The state machine of the configuration: current version, change ids and audit trail.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,18 +14,18 @@
 };
 use crate::process::{ActorName, ChangeId, FastMap};
 
-/// How many change ids are remembered with their outcome: 47 days at 2,100 changes a day, far
-/// beyond any resend. Each takes about 100 bytes in memory.
+/// Number of change ids remembered with their outcome. At 2,100 changes a day they cover 47 days,
+/// far longer than any resend takes. Each uses about 100 bytes of memory.
 pub const OUTCOMES_KEPT: usize = 100_000;
 
-/// What came of a change id, and what it stood for.
+/// The answer to a change id, and the fingerprint of its change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ChangeOutcome {
     fingerprint: u128,
     answer: ChangeAnswer,
 }
 
-/// The configuration and what led to it.
+/// The configuration in force, the outcomes of recent change ids and the audit trail.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ConfigurationMachine {
     current: Arc<StoredPlan>,
@@ -35,7 +35,7 @@
 }
 
 impl ConfigurationMachine {
-    /// Applies a change: compare-and-set on the version, once a change id.
+    /// Applies a change by compare-and-set on the version, at most once for each change id.
     pub fn apply(&mut self, index: LogIndex, change: &StoredChange) -> ChangeAnswer {
         let id = id_digest(&change.change_id);
         let fingerprint = change.fingerprint;
@@ -44,22 +44,30 @@
                 return outcome.answer.clone();
             }
             let answer = ChangeAnswer::Refused(ChangeRefusal::ChangeIdReused);
-            self.note(index, change, String::new(), &answer);
+            self.record_change(index, change, String::new(), &answer);
             return answer;
         }
         let (answer, diff) = self.decide(change);
-        self.note(index, change, diff, &answer);
-        let moved = matches!(answer, ChangeAnswer::Refused(ChangeRefusal::VersionMoved { .. }));
-        if moved && change.given.is_some() {
-            // Nothing is wrong with it: sent again, it is kept against what is in force by then.
+        self.record_change(index, change, diff, &answer);
+        let version_moved =
+            matches!(answer, ChangeAnswer::Refused(ChangeRefusal::VersionMoved { .. }));
+        if version_moved && change.given.is_some() {
+            // The operator's change itself is valid. Its outcome is not remembered, so that a
+            // resend is stored against the version then in force and applied.
             return answer;
         }
-        self.remember(id, ChangeOutcome { fingerprint, answer: answer.clone() });
+        self.remember_outcome(id, ChangeOutcome { fingerprint, answer: answer.clone() });
         answer
     }
 
-    /// Notes a change of membership in the audit trail.
-    pub fn note_members(&mut self, index: LogIndex, unix_ms: u64, actor: &ActorName, what: &str) {
+    /// Records a membership change in the audit trail.
+    pub fn note_members(
+        &mut self,
+        index: LogIndex,
+        unix_ms: u64,
+        actor: &ActorName,
+        description: &str,
+    ) {
         let Ok(change_id) = format!("member-{index}").parse::<ChangeId>() else { return };
         let version = self.current.version;
         self.audit.push(AuditRecord {
@@ -68,13 +76,13 @@
             actor: actor.clone(),
             change_id,
             base: version,
-            diff: what.to_owned(),
+            diff: description.to_owned(),
             outcome: SmolStr::new_static("member"),
             answer: ChangeAnswer::Accepted { version },
         });
     }
 
-    /// Notes what became of an order for a zone in the audit trail.
+    /// Records a zone order and its answer in the audit trail.
     pub(crate) fn note_zone(&mut self, index: LogIndex, order: &ZoneOrder, answer: &ZoneAnswer) {
         let version = self.current.version;
         let fault = match answer {
@@ -102,49 +110,49 @@
         });
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn current(&self) -> &Arc<StoredPlan> {
         &self.current
     }
 
-    /// The sheet in force, with its version.
+    /// Returns the sheet in force with its version.
     #[must_use]
     pub fn sheet(&self) -> SheetView {
         SheetView { version: self.current.version, sheet: self.current.sheet.clone() }
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.current.version
     }
 
-    /// The audit trail.
+    /// Returns the audit trail.
     #[must_use]
     pub fn audit_trail(&self) -> &AuditTrail {
         &self.audit
     }
 
-    /// The audit records in memory that match, the newest first.
+    /// Returns the matching audit records in memory, newest first.
     #[must_use]
     pub fn audit(&self, filter: &AuditFilter) -> Vec<AuditRecord> {
         self.audit.recent(filter)
     }
 
-    /// Takes the chunks of the audit trail that are to be written.
+    /// Takes the audit trail's chunks that still have to be written.
     pub fn take_unwritten(&mut self) -> Vec<Arc<AuditChunk>> {
         self.audit.take_unwritten()
     }
 
-    /// Accepts or refuses a change; returns what it changed too.
+    /// Accepts or refuses a change. Returns the answer and a summary of the changed rows.
     fn decide(&mut self, change: &StoredChange) -> (ChangeAnswer, String) {
         if let Some(given) = change.given {
-            return self.decide_given(change, given);
+            return self.decide_with_version(change, given);
         }
         let current = self.current.version;
-        let built = change.build(&self.current).filter(|_| change.expect == current);
-        let Some((sheet, plan)) = built else {
+        let sheet_and_plan = change.build(&self.current).filter(|_| change.expect == current);
+        let Some((sheet, plan)) = sheet_and_plan else {
             let refusal = ChangeRefusal::VersionMoved { current };
             return (ChangeAnswer::Refused(refusal), String::new());
         };
@@ -154,9 +162,11 @@
         (ChangeAnswer::Accepted { version }, diff)
     }
 
-    /// The highest version wins. A change that comes late is done with, not refused: its operator
-    /// may be resending what was accepted, or have been overtaken by another operator.
-    fn decide_given(
+    /// Decides on a change with a version chosen by its operator; the highest version wins.
+    ///
+    /// A lower version is answered as superseded, not refused: its operator may be resending an
+    /// accepted change, or another operator may have applied a higher version first.
+    fn decide_with_version(
         &mut self,
         change: &StoredChange,
         given: ConfigVersion,
@@ -181,7 +191,7 @@
         (ChangeAnswer::Accepted { version: given }, diff)
     }
 
-    fn note(
+    fn record_change(
         &mut self,
         index: LogIndex,
         change: &StoredChange,
@@ -205,7 +215,7 @@
         });
     }
 
-    fn remember(&mut self, id: u128, outcome: ChangeOutcome) {
+    fn remember_outcome(&mut self, id: u128, outcome: ChangeOutcome) {
         self.outcomes.insert(id, outcome);
         self.outcome_order.push_back(id);
         if self.outcome_order.len() > OUTCOMES_KEPT
@@ -217,10 +227,10 @@
 }
 
 fn id_digest(id: &ChangeId) -> u128 {
-    shortened(Sha256::digest(id.as_str().as_bytes()).into())
+    first_half(Sha256::digest(id.as_str().as_bytes()).into())
 }
 
-fn shortened(digest: [u8; 32]) -> u128 {
+fn first_half(digest: [u8; 32]) -> u128 {
     let mut half = [0_u8; 16];
     half.copy_from_slice(&digest[..16]);
     u128::from_be_bytes(half)
--- a/crates/pulley_core/src/version/departure_machine.rs
+++ b/crates/pulley_core/src/version/departure_machine.rs
@@ -1,4 +1,4 @@
-//! Which starts of upstreams have left for good, as all replicas agree.
+//! The state machine of upstream departures, on which all replicas agree.
 
 use std::collections::VecDeque;
 
@@ -7,53 +7,53 @@
 use super::LogIndex;
 use crate::process::{FastSet, UpstreamStart};
 
-/// How many departures are remembered: some hours of those of 1,200 upstreams that are replaced a
-/// few times a day, at about 40 bytes each. What is forgotten makes older directories unusable,
-/// nothing else.
+/// Number of departures remembered, at about 40 bytes each. They cover some hours when 1,200
+/// upstreams are replaced a few times a day. Evicting one only makes older directories unusable.
 pub const DEPARTURES_KEPT: usize = 4_096;
 
-/// The departures that were acknowledged.
+/// The acknowledged departures.
 ///
-/// What goes wrong without it: replicas write down the upstreams they know and offer them again
-/// after a loss of power. A replica that was cut off, or lost its last write, would offer one whose
-/// leaving another replica had acknowledged, and callers would be sent to an upstream that is gone.
-/// Being in the log, a departure is known to whoever has applied a later leader's first entry.
+/// Replicas store the upstreams that they know and announce them again after a power loss. Without
+/// this state, a replica that was partitioned or lost its last write would announce an upstream
+/// whose departure another replica had acknowledged, and callers would be routed to an upstream
+/// that no longer exists. Because departures are in the log, every replica that has applied a later
+/// leader's first entry knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DepartureMachine {
-    /// The oldest first.
+    /// Remembered departures, oldest first.
     kept: VecDeque<(LogIndex, UpstreamStart)>,
     starts: FastSet<UpstreamStart>,
-    /// The entry of the latest departure that is no longer kept.
-    forgotten: LogIndex,
+    /// Log index of the departure evicted last.
+    last_evicted: LogIndex,
 }
 
 impl DepartureMachine {
-    /// Whether a start of an upstream has left.
+    /// Whether this start of an upstream has departed.
     #[must_use]
     pub fn has_left(&self, start: &UpstreamStart) -> bool {
         self.starts.contains(start)
     }
 
-    /// Whether what was written down when an entry was the last applied can be told from what has
-    /// left since: every later departure is still kept.
+    /// Whether all departures after log index `written` are still remembered, so that a directory
+    /// stored at that index can be checked against them.
     #[must_use]
     pub fn covers(&self, written: LogIndex) -> bool {
-        self.forgotten <= written
+        self.last_evicted <= written
     }
 
-    /// How many departures are kept.
+    /// Returns the number of remembered departures.
     #[must_use]
     pub fn len(&self) -> usize {
         self.kept.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no departure is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.kept.is_empty()
     }
 
-    /// Applies a departure; one that is known already changes nothing.
+    /// Applies a departure; a known one changes nothing.
     pub(crate) fn apply(&mut self, index: LogIndex, start: &UpstreamStart) {
         if !self.starts.insert(start.clone()) {
             return;
@@ -63,29 +63,29 @@
             && let Some((index, oldest)) = self.kept.pop_front()
         {
             self.starts.remove(&oldest);
-            self.forgotten = index;
+            self.last_evicted = index;
         }
     }
 }
 
-/// The form that snapshots hold.
+/// The form stored in snapshots.
 #[derive(Serialize, Deserialize)]
 struct StoredDepartures {
-    forgotten: LogIndex,
+    last_evicted: LogIndex,
     kept: VecDeque<(LogIndex, UpstreamStart)>,
 }
 
 impl Serialize for DepartureMachine {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let stored = StoredDepartures { forgotten: self.forgotten, kept: self.kept.clone() };
+        let stored = StoredDepartures { last_evicted: self.last_evicted, kept: self.kept.clone() };
         stored.serialize(serializer)
     }
 }
 
 impl<'de> Deserialize<'de> for DepartureMachine {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let StoredDepartures { forgotten, kept } = StoredDepartures::deserialize(deserializer)?;
+        let StoredDepartures { last_evicted, kept } = StoredDepartures::deserialize(deserializer)?;
         let starts = kept.iter().map(|(_, start)| start.clone()).collect();
-        Ok(Self { kept, starts, forgotten })
+        Ok(Self { kept, starts, last_evicted })
     }
 }
--- a/crates/pulley_core/src/version/evacuation_machine.rs
+++ b/crates/pulley_core/src/version/evacuation_machine.rs
@@ -1,4 +1,4 @@
-//! Which availability zones operators have emptied, as all replicas agree.
+//! The state machine of zone evacuations, on which all replicas agree.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,41 +8,41 @@
 use super::{EvacuatedZones, LogIndex, ZoneAnswer, ZoneOrder, ZoneUse};
 use crate::process::ZoneName;
 
-/// How many zones may be evacuated at once; their names go along with every lease.
+/// Maximum number of zones evacuated at once. Their names are sent with every lease.
 pub const EVACUATED_LIMIT: usize = 12;
 
-/// How many zones are remembered with their latest order, those in use again included.
+/// Number of zones remembered with their latest order, including zones that are back in use.
 const ZONES_KEPT: usize = 64;
 
-/// How many change ids are remembered: far more orders than come within any resend's time.
+/// Number of change ids remembered: far more than the orders that arrive before any resend.
 const OUTCOMES_KEPT: usize = 1_024;
 
 /// The latest order for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct ZoneStanding {
+struct LatestOrder {
     zone_use: ZoneUse,
     index: LogIndex,
 }
 
-/// The orders for zones that the log holds.
+/// The zone orders applied from the log.
 ///
-/// Which of two orders for a zone counts is decided by their order in the log, and a resend is
-/// known by its change id. An order also names what it is based on: a question may be repeated on
-/// its way to the leader for seconds after its operator has given up, sent the order to another
-/// host and withdrawn it there. Applied then, it would empty a zone that is back in use, though
-/// nobody has asked for that.
+/// Of two orders for a zone, the later one in the log holds. A resend is recognised by its change
+/// id. An order also names the log index that it is based on: the question that carries it may be
+/// retried towards the leader for seconds after its operator has given up, sent the order to another
+/// host and withdrawn it there. Applying the late order would evacuate a zone that is back in use,
+/// although nobody asked for that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationMachine {
     evacuated: Arc<EvacuatedZones>,
-    standings: BTreeMap<ZoneName, ZoneStanding>,
-    /// The latest order for a zone that is no longer remembered.
-    forgotten: LogIndex,
-    /// The oldest first.
+    latest_orders: BTreeMap<ZoneName, LatestOrder>,
+    /// Log index of the latest order for a zone that is no longer remembered.
+    last_evicted: LogIndex,
+    /// Orders with their answers, oldest first.
     outcomes: VecDeque<(ZoneOrder, ZoneAnswer)>,
 }
 
 impl EvacuationMachine {
-    /// The zones that are evacuated.
+    /// Returns the evacuated zones.
     #[must_use]
     pub fn evacuated(&self) -> &Arc<EvacuatedZones> {
         &self.evacuated
@@ -55,16 +55,18 @@
         }
         let answer = self.decide(index, order);
         if matches!(answer, ZoneAnswer::Accepted { .. }) {
-            self.remember(order, &answer);
+            self.remember_outcome(order, &answer);
         }
         answer
     }
 
     fn known_outcome(&self, order: &ZoneOrder) -> Option<ZoneAnswer> {
-        let (known, answer) =
-            self.outcomes.iter().find(|(known, _)| known.change_id == order.change_id)?;
-        let is_same = known.zone == order.zone && known.zone_use == order.zone_use;
-        Some(if is_same { answer.clone() } else { ZoneAnswer::ChangeIdReused })
+        let (known_order, answer) = self
+            .outcomes
+            .iter()
+            .find(|(known_order, _)| known_order.change_id == order.change_id)?;
+        let is_resend = known_order.zone == order.zone && known_order.zone_use == order.zone_use;
+        Some(if is_resend { answer.clone() } else { ZoneAnswer::ChangeIdReused })
     }
 
     fn decide(&mut self, index: LogIndex, order: &ZoneOrder) -> ZoneAnswer {
@@ -73,7 +75,7 @@
             return ZoneAnswer::Accepted { revision: self.evacuated.revision };
         }
         let latest =
-            self.standings.get(&order.zone).map_or(self.forgotten, |standing| standing.index);
+            self.latest_orders.get(&order.zone).map_or(self.last_evicted, |latest| latest.index);
         if latest > order.based_on {
             return ZoneAnswer::Overtaken { current };
         }
@@ -81,37 +83,36 @@
         if evacuates && self.evacuated.zones.len() >= EVACUATED_LIMIT {
             return ZoneAnswer::TooMany;
         }
-        self.stand(index, order);
+        self.put_in_force(index, order);
         ZoneAnswer::Accepted { revision: index }
     }
 
-    /// Puts an order in force.
-    fn stand(&mut self, index: LogIndex, order: &ZoneOrder) {
-        let standing = ZoneStanding { zone_use: order.zone_use, index };
-        self.standings.insert(order.zone.clone(), standing);
-        let evacuated = self.standings.iter();
-        let evacuated = evacuated.filter(|(_, standing)| standing.zone_use == ZoneUse::Evacuated);
+    /// Makes an order the latest one for its zone.
+    fn put_in_force(&mut self, index: LogIndex, order: &ZoneOrder) {
+        let latest = LatestOrder { zone_use: order.zone_use, index };
+        self.latest_orders.insert(order.zone.clone(), latest);
+        let evacuated = self.latest_orders.iter();
+        let evacuated = evacuated.filter(|(_, latest)| latest.zone_use == ZoneUse::Evacuated);
         let zones = evacuated.map(|(zone, _)| zone.clone()).collect();
         self.evacuated = Arc::new(EvacuatedZones { revision: index, zones });
-        if self.standings.len() > ZONES_KEPT {
-            self.forget_oldest();
+        if self.latest_orders.len() > ZONES_KEPT {
+            self.evict_oldest();
         }
     }
 
-    /// Forgets the zone that has been back in use for longest.
-    fn forget_oldest(&mut self) {
-        let in_use = self.standings.iter();
-        let in_use = in_use.filter(|(_, standing)| standing.zone_use == ZoneUse::InUse);
-        let oldest = in_use.min_by_key(|(_, standing)| standing.index);
-        let Some((zone, index)) = oldest.map(|(zone, standing)| (zone.clone(), standing.index))
-        else {
+    /// Evicts the zone that has been back in use for longest.
+    fn evict_oldest(&mut self) {
+        let in_use = self.latest_orders.iter();
+        let in_use = in_use.filter(|(_, latest)| latest.zone_use == ZoneUse::InUse);
+        let oldest = in_use.min_by_key(|(_, latest)| latest.index);
+        let Some((zone, index)) = oldest.map(|(zone, latest)| (zone.clone(), latest.index)) else {
             return;
         };
-        self.standings.remove(&zone);
-        self.forgotten = self.forgotten.max(index);
+        self.latest_orders.remove(&zone);
+        self.last_evicted = self.last_evicted.max(index);
     }
 
-    fn remember(&mut self, order: &ZoneOrder, answer: &ZoneAnswer) {
+    fn remember_outcome(&mut self, order: &ZoneOrder, answer: &ZoneAnswer) {
         self.outcomes.push_back((order.clone(), answer.clone()));
         if self.outcomes.len() > OUTCOMES_KEPT {
             self.outcomes.pop_front();
--- a/crates/pulley_core/src/version/ledger_machine.rs
+++ b/crates/pulley_core/src/version/ledger_machine.rs
@@ -1,4 +1,4 @@
-//! The at-most-once ledger: who may run a non-idempotent request, and what came of it.
+//! The at-most-once ledger: claims on non-idempotent requests, and their outcomes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use super::{ClaimAnswer, ClaimantId, FencingToken, LogIndex, LogTime, RecordedAnswer};
 use crate::process::FastMap;
 
-/// How much the ledger keeps; the leader's settings travel in each claim.
+/// Limits of the ledger; each claim carries those of the leader's settings.
 ///
-/// All replicas must come to the same verdict whatever their own settings say, so the limits are
-/// part of the command.
+/// The limits are part of the command because all replicas must reach the same result, whatever
+/// their own settings are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerLimits {
-    /// How many claims it holds at most; a full ledger refuses and never evicts early, since an
-    /// evicted claim could run a second time. A claim takes about 138 bytes of memory.
+    /// Maximum number of claims. A full ledger refuses new claims and never evicts early, because
+    /// an evicted claim could run a second time. A claim takes about 138 bytes of memory.
     pub capacity: u32,
-    /// How long a claim is kept, from when it was granted.
+    /// How long a claim is kept after it was granted.
     pub retention: Duration,
-    /// The largest answer body that is kept, in bytes.
+    /// Maximum size of a kept answer body, in bytes.
     pub answer_limit: u32,
-    /// How many bytes of answer bodies are kept in all; beyond it an answer is kept without its
-    /// body, so that a resend still learns that it ran and with which status.
+    /// Maximum total size of kept answer bodies, in bytes. Beyond it, answers are kept without
+    /// their bodies, so that a resend still learns that the request ran, and its status.
     pub answer_budget: u32,
 }
 
@@ -45,11 +45,11 @@
     Claim {
         /// Digest of the key.
         key: KeyDigest,
-        /// Digest of the request, shortened.
+        /// Shortened digest of the request.
         request: RequestDigest,
-        /// Who claims.
+        /// The claimant.
         claimant: ClaimantId,
-        /// The limits that hold for this claim.
+        /// The limits for this claim.
         limits: LedgerLimits,
     },
     /// Records an outcome.
@@ -58,12 +58,12 @@
         key: KeyDigest,
         /// The claim's token.
         token: FencingToken,
-        /// The answer; none means that it may have run.
+        /// The answer; `None` means that the request may have run.
         answer: Option<RecordedAnswer>,
-        /// How many bytes of answer bodies may be kept in all.
+        /// Maximum total size of kept answer bodies, in bytes.
         budget: u32,
     },
-    /// Gives a claim back.
+    /// Releases a claim.
     Release {
         /// Digest of the key.
         key: KeyDigest,
@@ -73,7 +73,7 @@
 }
 
 impl LedgerCommand {
-    /// About how many bytes the command takes.
+    /// Returns the approximate size of the command in bytes.
     #[must_use]
     pub fn weight(&self) -> usize {
         match self {
@@ -86,8 +86,8 @@
     }
 }
 
-/// The first half of a key's SHA-256: callers choose keys, but not where they land in the map,
-/// and a claim takes the same room however long its key is.
+/// The first half of a key's SHA-256 digest. Callers choose the keys, but cannot choose the
+/// positions in the map, and all claims take the same space, whatever the length of their keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest(u128);
 
@@ -120,11 +120,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum ClaimState {
-    /// Claimed; whether it runs is not known yet.
+    /// Claimed; it is not known yet whether the request runs.
     Held,
-    /// It ran with this answer.
+    /// The request ran, with this answer.
     Ran(Box<RecordedAnswer>),
-    /// Its entry gave up waiting for the answer.
+    /// The entry gave up waiting for the answer.
     MayHaveRun,
 }
 
@@ -137,14 +137,14 @@
     state: ClaimState,
 }
 
-/// What became of a ledger command.
+/// The result of a ledger command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerOutcome {
     /// The answer to a claim.
     Claim(ClaimAnswer),
-    /// Recorded or released.
+    /// The outcome was recorded, or the claim released.
     Done,
-    /// The claim is not held under that token.
+    /// No such claim is held under this token.
     StaleToken,
 }
 
@@ -157,7 +157,7 @@
 }
 
 impl LedgerMachine {
-    /// Applies a command; the entry's index becomes the fencing token of a granted claim.
+    /// Applies a command. The index of its log entry becomes the fencing token of a granted claim.
     pub fn apply(
         &mut self,
         index: LogIndex,
@@ -168,14 +168,14 @@
         match command {
             LedgerCommand::Claim { key, request, claimant, limits } => {
                 let token = FencingToken(index.0);
-                let fresh = ClaimRecord {
+                let new_claim = ClaimRecord {
                     request: *request,
                     claimant: *claimant,
                     token,
                     expires: expiry(time, limits),
                     state: ClaimState::Held,
                 };
-                LedgerOutcome::Claim(self.claim(*key, fresh, *limits))
+                LedgerOutcome::Claim(self.claim(*key, new_claim, *limits))
             }
             LedgerCommand::Record { key, token, answer, budget } => {
                 self.record(*key, *token, answer.as_ref(), *budget)
@@ -184,13 +184,13 @@
         }
     }
 
-    /// How many claims are kept.
+    /// Returns the number of kept claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Bytes of answer bodies that are kept.
+    /// Returns the total size of kept answer bodies, in bytes.
     #[must_use]
     pub fn answer_bytes(&self) -> u64 {
         self.answer_bytes
@@ -202,28 +202,33 @@
         self.claims.is_empty()
     }
 
-    fn claim(&mut self, key: KeyDigest, fresh: ClaimRecord, limits: LedgerLimits) -> ClaimAnswer {
+    fn claim(
+        &mut self,
+        key: KeyDigest,
+        new_claim: ClaimRecord,
+        limits: LedgerLimits,
+    ) -> ClaimAnswer {
         if let Some(record) = self.claims.get(&key) {
-            if record.request != fresh.request {
+            if record.request != new_claim.request {
                 return ClaimAnswer::Conflict;
             }
             return match &record.state {
-                ClaimState::Held if record.claimant == fresh.claimant => {
+                ClaimState::Held if record.claimant == new_claim.claimant => {
                     ClaimAnswer::Granted(record.token)
                 }
                 ClaimState::Ran(answer) => ClaimAnswer::AlreadyRan((**answer).clone()),
                 ClaimState::Held | ClaimState::MayHaveRun => ClaimAnswer::MayHaveRun,
             };
         }
-        // Load: more non-idempotent requests within the retention than were planned for. Evicting
-        // the oldest claim would make room, but its request could then run twice; refusing as not
-        // run harms nobody's money. The limit is what the planned memory holds.
+        // Load: more non-idempotent requests within the retention time than planned. Evicting the
+        // oldest claim would make room, but its request could then run twice. Refusing the new
+        // request as not run costs nobody money. The limit is what fits into the planned memory.
         if self.claims.len() >= limits.capacity as usize {
             return ClaimAnswer::Unavailable;
         }
-        let token = fresh.token;
-        self.expiries.push_back((fresh.expires, key));
-        self.claims.insert(key, fresh);
+        let token = new_claim.token;
+        self.expiries.push_back((new_claim.expires, key));
+        self.claims.insert(key, new_claim);
         ClaimAnswer::Granted(token)
     }
 
@@ -238,13 +243,13 @@
             return LedgerOutcome::StaleToken;
         };
         match (&record.state, answer) {
-            // The first outcome stays: a resend of the record must not replace it.
+            // The first outcome stays; a resent record must not replace it.
             (ClaimState::Ran(_), _) => {}
             (_, Some(answer)) => {
                 let mut kept = answer.clone();
                 let size = body_size(&kept);
-                // Load: many large answers within the retention. The claims themselves must stay,
-                // so the bodies are what gives way once the planned memory is full.
+                // Load: many large answers within the retention time. The claims themselves must
+                // stay, so bodies are left out once the planned memory is full.
                 if self.answer_bytes + size > u64::from(budget) {
                     kept.body = None;
                 }
@@ -274,7 +279,7 @@
                 return;
             }
             self.expiries.pop_front();
-            // A key that was released and claimed again has a later expiry of its own.
+            // A key that was released and claimed again has a later expiry.
             let Some(record) = self.claims.get(&key).filter(|record| record.expires <= time) else {
                 continue;
             };
--- a/crates/pulley_core/src/version/mod.rs
+++ b/crates/pulley_core/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! State that belongs to one version of the configuration, and the log that orders versions.
+//! State that lasts as long as one configuration version, and the log that orders the versions.
 
 mod audit_archive;
 mod audit_trail;
--- a/crates/pulley_core/src/version/packed_value.rs
+++ b/crates/pulley_core/src/version/packed_value.rs
@@ -1,10 +1,10 @@
-//! A value in its compressed encoding, as it is kept and sent.
+//! Values in compressed encoding, as they are stored and sent.
 
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// A value in its compressed encoding.
+/// A value in compressed encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedValue(Bytes);
 
@@ -14,11 +14,11 @@
         Self(Bytes::from(lz4_flex::compress_prepend_size(&encoded)))
     }
 
-    /// Reads the value, unless it takes more than `limit` bytes or cannot be read.
+    /// Decodes the value; `None` if it takes more than `limit` bytes or cannot be decoded.
     pub(crate) fn unpack<T: DeserializeOwned>(&self, limit: usize) -> Option<T> {
-        // The size that the packed form claims is memory to be set aside: it is checked first.
-        let claimed = u32::from_le_bytes(*self.0.first_chunk()?);
-        if usize::try_from(claimed).ok()? > limit {
+        // Decompression allocates the declared size, so it is checked against the limit first.
+        let declared_size = u32::from_le_bytes(*self.0.first_chunk()?);
+        if usize::try_from(declared_size).ok()? > limit {
             return None;
         }
         let encoded = lz4_flex::decompress_size_prepended(&self.0).ok()?;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// How many bytes the packed form takes.
+    /// Returns the compressed size in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.0.len()
--- a/crates/pulley_core/src/version/plan_diff.rs
+++ b/crates/pulley_core/src/version/plan_diff.rs
@@ -1,14 +1,14 @@
-//! What changed between two sheets, in short, for the audit trail.
+//! Short summary of the changes between two plans, for the audit trail.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use super::{KindPlan, PolicyPlan};
 
-/// The longest diff kept with an audit record, in bytes; it bounds the audit trail's memory.
+/// Maximum size of the diff in an audit record, in bytes. It bounds the audit trail's memory.
 pub(crate) const DIFF_LIMIT: usize = 480;
 
-/// Names the rows that were added (`+`), removed (`-`) and changed (`~`), in order of their names.
+/// Lists the added (`+`) and changed (`~`) rows by name, then the removed ones (`-`).
 pub(crate) fn plan_diff(before: &PolicyPlan, after: &PolicyPlan) -> String {
     let old = rows_by_name(before);
     let new = rows_by_name(after);
@@ -16,7 +16,7 @@
     for (name, row) in &new {
         match old.get(name) {
             None => push_part(&mut diff, &format!("+{}/{}", name.0, name.1)),
-            Some(former) if former != row => push_part(&mut diff, &row_diff(former, row)),
+            Some(old_row) if old_row != row => push_part(&mut diff, &row_diff(old_row, row)),
             Some(_) => {}
         }
     }
--- a/crates/pulley_core/src/version/question_router.rs
+++ b/crates/pulley_core/src/version/question_router.rs
@@ -1,4 +1,4 @@
-//! Brings questions to whichever replica leads, and their answers back.
+//! Routes questions to the leading replica, and the answers back.
 
 use std::time::Duration;
 
@@ -9,35 +9,37 @@
 use super::{CHANGE_BYTES_LIMIT, PackedValue, ReplicaAnswer, ReplicaQuestion};
 use crate::process::{FastMap, HostId, Moment};
 
-/// How long one replica may take before the next is tried: several times the worst commit seen
-/// between zones, but short enough that three replicas can be tried within a question's time.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(700);
+/// How long one replica may take before the next one is tried: several times the slowest commit
+/// between zones, but short enough to try three replicas within [`QUESTION_TIMEOUT`].
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The slowest that a link is taken to be, in bytes a second: a question has longer by what it needs
-/// on its way, or a large one would be sent again, in full, while it still arrives.
-const SLOWEST_LINK: usize = 128 << 10;
+/// Slowest assumed link, in bytes per second. A question's timeouts are extended by its transfer
+/// time on such a link. Otherwise a large question would be sent again in full while the first copy
+/// is still arriving.
+const SLOWEST_LINK_RATE: usize = 128 << 10;
 
-/// The longest that a question is taken to need on its way.
-const LONGEST_WAY: Duration = Duration::from_secs(10);
+/// Maximum transfer time by which a question's timeouts are extended.
+const MAX_TRANSFER_TIME: Duration = Duration::from_secs(10);
 
-/// How many bytes a message takes before it is packed.
-const PACKED_FROM: usize = 16 << 10;
+/// Size from which a message is compressed, in bytes.
+const PACKING_THRESHOLD: usize = 16 << 10;
 
-/// How long a question may take in all, an election in between included.
-const QUESTION_LIMIT: Duration = Duration::from_secs(4);
+/// How long a question may take in total, including an election in between.
+const QUESTION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long the router waits before it asks again when no replica knows a leader.
-const LEADERLESS_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before the router asks again when no replica knows a leader.
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Questions waiting at one host. Each holds a caller or an operator; past this the host is better
-/// off refusing at once, since their answers would come after the callers' deadlines anyway.
+/// Maximum number of questions waiting at one host. Each holds up a caller or an operator. Beyond
+/// the limit the host refuses at once, because the answers would miss the callers' deadlines
+/// anyway.
 const PENDING_LIMIT: usize = 8_192;
 
-/// Numbers the questions of one process.
+/// Number of a question within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct QuestionNumber(pub u64);
 
-/// What hosts send each other about questions.
+/// Messages between the routers of different hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum RouterMessage {
     Question {
@@ -48,14 +50,14 @@
         number: QuestionNumber,
         answer: ReplicaAnswer,
     },
-    /// One of the others, compressed: a question with a configuration or an answer with one.
+    /// One of the other messages in compressed form, used when it carries a configuration.
     Packed(PackedValue),
 }
 
 impl RouterMessage {
     fn encode(&self) -> Bytes {
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        if body.len() < PACKED_FROM {
+        if body.len() < PACKING_THRESHOLD {
             return Bytes::from(body);
         }
         let packed = Self::Packed(PackedValue::pack(self));
@@ -70,35 +72,35 @@
     }
 }
 
-/// What the router wants done.
+/// An action for the router's caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouterOutput {
-    /// Ask the replica on this host.
+    /// Asks the replica on this host.
     AskLocal {
-        /// Number to answer with.
+        /// Number to return with the answer.
         number: QuestionNumber,
         /// The question.
         question: ReplicaQuestion,
     },
-    /// Send to another host.
+    /// Sends a message to another host.
     Send {
-        /// Where to.
+        /// Destination.
         to: HostId,
         /// The encoded message.
         body: Bytes,
     },
-    /// A question asked on this host has its answer.
+    /// Answers a question that was asked on this host.
     Answer {
-        /// Which question.
+        /// Number of the question.
         number: QuestionNumber,
-        /// The answer; `Unknown` when none came in time.
+        /// The answer; `Unknown` if none arrived in time.
         answer: ReplicaAnswer,
     },
 }
 
 #[derive(Clone, Debug)]
 enum QuestionOrigin {
-    Here,
+    Local,
     Peer { host: HostId, number: QuestionNumber },
 }
 
@@ -106,8 +108,8 @@
 struct PendingQuestion {
     origin: QuestionOrigin,
     question: ReplicaQuestion,
-    asked_of: Option<HostId>,
-    tried: usize,
+    asked_host: Option<HostId>,
+    attempts: usize,
     asked_at: Moment,
     retry_at: Moment,
     give_up_at: Moment,
@@ -115,42 +117,48 @@
 
 /// Routes questions from any host to the leader.
 ///
-/// Every question may be sent more than once, since an answer can be lost: a change carries its
-/// change id, a claim its claimant, the others are idempotent as they are.
+/// A question may be sent more than once, because an answer can be lost. A change is therefore
+/// identified by its change id and a claim by its claimant; all other questions are idempotent.
 #[derive(Debug)]
 pub struct QuestionRouter {
     host: HostId,
     replicas: Vec<HostId>,
     leader: Option<HostId>,
-    next: u64,
+    next_number: u64,
     pending: FastMap<QuestionNumber, PendingQuestion>,
 }
 
 impl QuestionRouter {
-    /// Makes a router that knows no replica yet.
+    /// Creates a router that knows no replica yet.
     ///
-    /// `first` must differ between starts of a host, so that a late answer to an earlier start is
-    /// not taken for an answer to this one.
+    /// `first` is the first question number. It must differ between starts of a host, so that a late
+    /// answer to an earlier start is not mistaken for an answer to a question of this one.
     #[must_use]
     pub fn new(host: HostId, first: u64) -> Self {
-        Self { host, replicas: Vec::new(), leader: None, next: first, pending: FastMap::default() }
+        Self {
+            host,
+            replicas: Vec::new(),
+            leader: None,
+            next_number: first,
+            pending: FastMap::default(),
+        }
     }
 
-    /// Says which hosts hold a replica.
+    /// Sets the hosts that hold a replica.
     pub fn apply_replicas(&mut self, replicas: Vec<HostId>) {
         self.replicas = replicas;
     }
 
-    /// Says who leads, as far as this host knows.
+    /// Sets the leader known to this host; `None` keeps the previous one.
     pub fn apply_leader(&mut self, leader: Option<HostId>) {
         if leader.is_some() {
             self.leader = leader;
         }
     }
 
-    /// Takes a question asked on this host.
+    /// Accepts a question asked on this host.
     ///
-    /// Returns `None` when too many wait already; nothing was done then.
+    /// Returns `None`, without any effect, if too many questions are waiting already.
     pub fn ask(
         &mut self,
         now: Moment,
@@ -159,44 +167,44 @@
         if self.pending.len() >= PENDING_LIMIT {
             return None;
         }
-        let number = self.insert(now, QuestionOrigin::Here, question);
+        let number = self.insert(now, QuestionOrigin::Local, question);
         Some((number, self.attempt(now, number)))
     }
 
-    /// Takes the local replica's answer.
+    /// Handles the local replica's answer.
     pub fn local_answer(
         &mut self,
         now: Moment,
         number: QuestionNumber,
         answer: ReplicaAnswer,
     ) -> Vec<RouterOutput> {
-        self.answered(now, number, answer)
+        self.handle_answer(now, number, answer)
     }
 
-    /// Takes a message of another host's router; what cannot be read is dropped.
+    /// Handles a message from another host's router; an undecodable one is dropped.
     pub fn receive(&mut self, now: Moment, from: &HostId, body: &[u8]) -> Vec<RouterOutput> {
         let Some(message) = RouterMessage::decode(body) else { return Vec::new() };
         match message {
             RouterMessage::Question { number, question } => {
-                self.forwarded(now, from, number, question)
+                self.receive_question(now, from, number, question)
             }
             RouterMessage::Answer { number, answer } => {
                 let expected =
-                    self.pending.get(&number).and_then(|pending| pending.asked_of.as_ref());
-                // A late answer of a replica asked earlier is as true as one of the replica asked
-                // last, unless it only says that it does not lead.
+                    self.pending.get(&number).and_then(|pending| pending.asked_host.as_ref());
+                // A late answer from a replica asked earlier is as valid as one from the replica
+                // asked last, unless it only says that the replica is not the leader.
                 if expected != Some(from) && matches!(answer, ReplicaAnswer::NotLeader { .. }) {
                     return Vec::new();
                 }
-                self.answered(now, number, answer)
+                self.handle_answer(now, number, answer)
             }
-            // Packed twice: nobody sends that.
+            // No router sends a message that is packed twice.
             RouterMessage::Packed(_) => Vec::new(),
         }
     }
 
-    /// Tries the next replica for questions that have waited long enough, and gives up on those out
-    /// of time.
+    /// Tries the next replica for questions whose attempt has timed out, and gives up on those that
+    /// are out of time.
     pub fn tick(&mut self, now: Moment) -> Vec<RouterOutput> {
         let mut due: Vec<QuestionNumber> = self
             .pending
@@ -205,16 +213,16 @@
             .map(|(number, _)| *number)
             .collect();
         due.sort_unstable();
-        due.into_iter().flat_map(|number| self.unanswered(now, number)).collect()
+        due.into_iter().flat_map(|number| self.retry_or_give_up(now, number)).collect()
     }
 
-    /// When [`Self::tick`] is next of use.
+    /// Returns when [`Self::tick`] has to be called next.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Moment> {
         self.pending.values().map(|pending| pending.retry_at.min(pending.give_up_at)).min()
     }
 
-    /// How many questions wait.
+    /// Returns the number of waiting questions.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.pending.len()
@@ -226,22 +234,22 @@
         origin: QuestionOrigin,
         question: ReplicaQuestion,
     ) -> QuestionNumber {
-        let number = QuestionNumber(self.next);
-        self.next = self.next.wrapping_add(1);
+        let number = QuestionNumber(self.next_number);
+        self.next_number = self.next_number.wrapping_add(1);
         let pending = PendingQuestion {
             origin,
             question,
-            asked_of: None,
-            tried: 0,
+            asked_host: None,
+            attempts: 0,
             asked_at: now,
             retry_at: now,
-            give_up_at: now + QUESTION_LIMIT,
+            give_up_at: now + QUESTION_TIMEOUT,
         };
         self.pending.insert(number, pending);
         number
     }
 
-    fn forwarded(
+    fn receive_question(
         &mut self,
         now: Moment,
         from: &HostId,
@@ -255,20 +263,20 @@
         let origin = QuestionOrigin::Peer { host: from.clone(), number };
         let number = self.insert(now, origin, question.clone());
         if let Some(pending) = self.pending.get_mut(&number) {
-            pending.asked_of = Some(self.host.clone());
+            pending.asked_host = Some(self.host.clone());
             pending.retry_at = pending.give_up_at;
         }
         vec![RouterOutput::AskLocal { number, question }]
     }
 
-    fn unanswered(&mut self, now: Moment, number: QuestionNumber) -> Vec<RouterOutput> {
+    fn retry_or_give_up(&mut self, now: Moment, number: QuestionNumber) -> Vec<RouterOutput> {
         let Some(pending) = self.pending.get_mut(&number) else { return Vec::new() };
         if pending.give_up_at <= now {
             return self.finish(number, unknown("no answer in time"));
         }
-        // A leader that was cut off looks like one that is slow. Asking the others in turn costs a
-        // message each and finds its successor as soon as there is one.
-        if pending.asked_of.is_some() && pending.asked_of == self.leader {
+        // A partitioned leader cannot be told from a slow one. Asking the other replicas in turn
+        // costs one message each and finds a new leader as soon as there is one.
+        if pending.asked_host.is_some() && pending.asked_host == self.leader {
             self.leader = None;
         }
         self.attempt(now, number)
@@ -278,27 +286,27 @@
         let Some(pending) = self.pending.get_mut(&number) else { return Vec::new() };
         let target = self.leader.clone().or_else(|| {
             let count = self.replicas.len().max(1);
-            self.replicas.get(pending.tried % count).cloned()
+            self.replicas.get(pending.attempts % count).cloned()
         });
-        pending.tried += 1;
+        pending.attempts += 1;
         let Some(target) = target else {
-            pending.retry_at = now + LEADERLESS_PAUSE;
+            pending.retry_at = now + NO_LEADER_RETRY_DELAY;
             return Vec::new();
         };
-        pending.asked_of = Some(target.clone());
+        pending.asked_host = Some(target.clone());
         let question = pending.question.clone();
         if target == self.host {
-            pending.retry_at = now + ATTEMPT_LIMIT;
+            pending.retry_at = now + ATTEMPT_TIMEOUT;
             return vec![RouterOutput::AskLocal { number, question }];
         }
         let body = RouterMessage::Question { number, question }.encode();
-        let way = time_on_link(body.len());
-        pending.retry_at = now + ATTEMPT_LIMIT + way;
-        pending.give_up_at = pending.asked_at + QUESTION_LIMIT + way;
+        let transfer = transfer_time(body.len());
+        pending.retry_at = now + ATTEMPT_TIMEOUT + transfer;
+        pending.give_up_at = pending.asked_at + QUESTION_TIMEOUT + transfer;
         vec![RouterOutput::Send { to: target, body }]
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         now: Moment,
         number: QuestionNumber,
@@ -306,17 +314,17 @@
     ) -> Vec<RouterOutput> {
         let Some(pending) = self.pending.get_mut(&number) else { return Vec::new() };
         let ReplicaAnswer::NotLeader { leader } = &answer else {
-            if matches!(pending.origin, QuestionOrigin::Here) {
-                self.leader = pending.asked_of.clone();
+            if matches!(pending.origin, QuestionOrigin::Local) {
+                self.leader = pending.asked_host.clone();
             }
             return self.finish(number, answer);
         };
         if matches!(pending.origin, QuestionOrigin::Peer { .. }) {
             return self.finish(number, answer);
         }
-        let asked = pending.asked_of.take();
+        let asked = pending.asked_host.take();
         match leader {
-            // A replica that names itself, or the one that just declined, knows no better yet.
+            // A reply that names the replica just asked means that it knows no new leader yet.
             Some(named) if Some(named) != asked.as_ref() => {
                 self.leader = Some(named.clone());
                 self.attempt(now, number)
@@ -325,7 +333,7 @@
                 if self.leader == asked {
                     self.leader = None;
                 }
-                pending.retry_at = now + LEADERLESS_PAUSE;
+                pending.retry_at = now + NO_LEADER_RETRY_DELAY;
                 Vec::new()
             }
         }
@@ -334,7 +342,7 @@
     fn finish(&mut self, number: QuestionNumber, answer: ReplicaAnswer) -> Vec<RouterOutput> {
         let Some(pending) = self.pending.remove(&number) else { return Vec::new() };
         match pending.origin {
-            QuestionOrigin::Here => vec![RouterOutput::Answer { number, answer }],
+            QuestionOrigin::Local => vec![RouterOutput::Answer { number, answer }],
             QuestionOrigin::Peer { host, number } => {
                 vec![send(&host, &RouterMessage::Answer { number, answer })]
             }
@@ -342,8 +350,8 @@
     }
 }
 
-fn time_on_link(bytes: usize) -> Duration {
-    Duration::from_millis((bytes * 1_000 / SLOWEST_LINK) as u64).min(LONGEST_WAY)
+fn transfer_time(bytes: usize) -> Duration {
+    Duration::from_millis((bytes * 1_000 / SLOWEST_LINK_RATE) as u64).min(MAX_TRANSFER_TIME)
 }
 
 fn unknown(why: &'static str) -> ReplicaAnswer {
--- a/crates/pulley_core/src/version/sequence_edit.rs
+++ b/crates/pulley_core/src/version/sequence_edit.rs
@@ -1,4 +1,4 @@
-//! The difference between two sequences, as what to copy and what to insert.
+//! The difference between two sequences, as ranges to copy and items to insert.
 
 use std::hash::Hash;
 
@@ -6,39 +6,39 @@
 
 use crate::process::FastMap;
 
-/// One step in making the new sequence out of the old.
+/// One step in building the new sequence from the old one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SequenceEdit<T> {
-    /// Takes items of the old sequence.
+    /// Copies items of the old sequence.
     Copy {
-        /// The first of them.
+        /// Index of the first item.
         from: u32,
-        /// How many.
+        /// Number of items.
         count: u32,
     },
-    /// Takes new items.
+    /// Inserts new items.
     Insert(Vec<T>),
 }
 
-/// Finds steps that make `new` out of an old sequence; equal keys must mean equal items.
+/// Finds edits that build `new` from an old sequence. Items with equal keys must be equal.
 pub(crate) fn edits_between<T: Clone, K: Hash + Eq>(
     old_keys: &[K],
     new_keys: &[K],
     new: &[T],
 ) -> Vec<SequenceEdit<T>> {
-    let mut places = FastMap::<&K, u32>::default();
-    for (place, old_key) in (0..).zip(old_keys) {
-        places.entry(old_key).or_insert(place);
+    let mut first_indices = FastMap::<&K, u32>::default();
+    for (index, old_key) in (0..).zip(old_keys) {
+        first_indices.entry(old_key).or_insert(index);
     }
     let mut edits = Vec::new();
     for (item, item_key) in new.iter().zip(new_keys) {
-        let follows = match edits.last() {
+        let next_index = match edits.last() {
             Some(SequenceEdit::Copy { from, count }) => Some(from + count),
             _ => None,
         };
-        let next = follows.filter(|place| old_keys.get(*place as usize) == Some(item_key));
-        match (next.or_else(|| places.get(item_key).copied()), edits.last_mut()) {
-            (Some(_), Some(SequenceEdit::Copy { count, .. })) if next.is_some() => *count += 1,
+        let continued = next_index.filter(|index| old_keys.get(*index as usize) == Some(item_key));
+        match (continued.or_else(|| first_indices.get(item_key).copied()), edits.last_mut()) {
+            (Some(_), Some(SequenceEdit::Copy { count, .. })) if continued.is_some() => *count += 1,
             (Some(from), _) => edits.push(SequenceEdit::Copy { from, count: 1 }),
             (None, Some(SequenceEdit::Insert(items))) => items.push(item.clone()),
             (None, _) => edits.push(SequenceEdit::Insert(vec![item.clone()])),
@@ -47,8 +47,8 @@
     edits
 }
 
-/// Makes the new sequence; `None` if the edits were not made for this old one, or more than `limit`
-/// items come of them.
+/// Builds the new sequence. Returns `None` if the edits do not fit `old`, or if the result has more
+/// than `limit` items.
 pub(crate) fn apply_edits<T: Clone>(
     old: &[T],
     edits: &[SequenceEdit<T>],
--- a/crates/pulley_core/src/version/stored_change.rs
+++ b/crates/pulley_core/src/version/stored_change.rs
@@ -1,4 +1,4 @@
-//! A change as the log keeps it: what differs from the version it is based on.
+//! Changes as the log stores them: as a difference from the version they are based on.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -10,74 +10,76 @@
 };
 use crate::process::{ActorName, ChangeId};
 
-/// About how many bytes an edit takes besides its text.
+/// Approximate size of an edit without its text, in bytes.
 const EDIT_OVERHEAD: usize = 12;
 
-/// What a change makes of the sheet.
+/// How a change turns the sheet in force into the new one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeContent {
-    /// The whole sheet as the operator gave it and its plan; its base was not known when it was
-    /// appended, or it has little in common with it.
+    /// The whole sheet as the operator submitted it, with its plan. Used if the base was not known
+    /// when the change was appended, or has little in common with the sheet.
     Whole(PackedValue),
-    /// What differs from the base.
+    /// The difference from the base.
     Edit(PackedValue),
-    /// Nothing: another version was in force already, so the change can only be refused.
+    /// No content: a newer version was already in force, so the change cannot take effect.
     Outdated,
 }
 
-/// What differs between two versions.
+/// The difference between two versions.
 #[derive(Debug, Serialize, Deserialize)]
 struct PlanEdit {
-    /// Pieces of the sheet.
+    /// Edits of the sheet's pieces; see [`split_pieces`].
     pieces: Vec<SequenceEdit<String>>,
     rows: Vec<SequenceEdit<KindPlan>>,
     pools: Vec<SequenceEdit<PoolTerms>>,
     limits: CallerLimits,
 }
 
-/// A change as the log keeps it.
+/// A change as the log stores it.
 ///
-/// Operators send whole sheets, of which a change mostly touches a few rows. At 2,100 changes a day
-/// of 100 KB each, a leader would spend its whole budget of control bytes on the unchanged rest.
-/// The base is the version that the change must be applied to anyway, so a difference is enough.
+/// Operators send whole sheets, but a change usually affects only a few rows. At 2,100 changes of
+/// 100 KB a day, a leader would spend its whole bandwidth budget for control traffic on unchanged
+/// rows. A difference is enough, because a change can only be applied to the version that it is
+/// based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredChange {
-    /// Makes a resend known as such.
+    /// Identifies the change, so that a resend is recognised.
     pub change_id: ChangeId,
-    /// Who asks.
+    /// Who requests the change.
     pub actor: ActorName,
-    /// The version it is based on.
+    /// The version that the change is based on.
     pub expect: ConfigVersion,
-    /// The version that the operator gives it, if the highest is to win.
+    /// The version number chosen by the operator, if the highest is to win.
     pub given: Option<ConfigVersion>,
-    /// When the first host received it, in milliseconds of Unix time.
+    /// When the first host received the change, in milliseconds of Unix time.
     pub received_unix_ms: u64,
-    /// Tells whether two changes ask for the same thing; when they arrived plays no part.
+    /// Identifies what the change asks for, whenever it arrived. It is equal for a resend.
     pub fingerprint: u128,
-    /// What it makes of the sheet.
+    /// The new sheet and plan.
     pub content: ChangeContent,
 }
 
 impl StoredChange {
-    /// Makes the log's form of a request, given the version that will be in force when it is
-    /// applied, unless the log holds changes that are not applied yet; see [`Self::behind_others`].
+    /// Converts a request to its stored form. `current` is the version that will be in force when
+    /// the change is applied. If the log holds changes that are not applied yet, use
+    /// [`Self::behind_others`].
     #[must_use]
     pub fn new(request: ChangeRequest, current: &StoredPlan) -> Self {
-        Self::stored(request, current, |request| match request.expect.cmp(&current.version) {
+        Self::with_content(request, current, |request| match request.expect.cmp(&current.version) {
             _ if request.given.is_some() => edit_content(request, current),
             std::cmp::Ordering::Equal => edit_content(request, current),
             _ => whole_content(request),
         })
     }
 
-    /// Makes the log's form of a request that other changes go before: what will be in force when
-    /// it is applied may be another version than now, so it is kept whole.
+    /// Converts a request to its stored form if other changes precede it in the log. The version in
+    /// force may change before this request is applied, so the sheet is stored whole.
     #[must_use]
     pub fn behind_others(request: ChangeRequest, current: &StoredPlan) -> Self {
-        Self::stored(request, current, whole_content)
+        Self::with_content(request, current, whole_content)
     }
 
-    fn stored(
+    fn with_content(
         request: ChangeRequest,
         current: &StoredPlan,
         content: impl FnOnce(&ChangeRequest) -> ChangeContent,
@@ -85,7 +87,7 @@
         let is_outdated = request.given.unwrap_or(request.expect) < current.version;
         let fingerprint = request_fingerprint(&request);
         let content = if is_outdated { ChangeContent::Outdated } else { content(&request) };
-        // One with a version of its own is based on none: it is told what it is kept against.
+        // A change with a chosen version is based on none; `expect` holds the base of its difference.
         let expect = if request.given.is_some() { current.version } else { request.expect };
         Self {
             change_id: request.change_id,
@@ -98,22 +100,22 @@
         }
     }
 
-    /// The version that it makes, if it is accepted.
+    /// Returns the version that the change creates if it is accepted.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.given.unwrap_or_else(|| self.expect.next())
     }
 
-    /// Makes the sheet and its plan, given the version in force.
+    /// Builds the new sheet and plan from the version in force.
     ///
-    /// `None` if there is nothing to make, or it is kept against another version.
+    /// Returns `None` if the change has no content, or is a difference from another version.
     #[must_use]
     pub fn build(&self, base: &StoredPlan) -> Option<(String, PolicyPlan)> {
         match &self.content {
             ChangeContent::Whole(packed) => packed.unpack(CHANGE_BYTES_LIMIT),
             ChangeContent::Edit(packed) if base.version == self.expect => {
                 let edit: PlanEdit = packed.unpack(CHANGE_BYTES_LIMIT)?;
-                let sheet = edited_sheet(&pieces_of(&base.sheet), &edit.pieces)?;
+                let sheet = edited_sheet(&split_pieces(&base.sheet), &edit.pieces)?;
                 let kinds = apply_edits(&base.plan.kinds, &edit.rows, PLAN_ROW_LIMIT)?;
                 let pools = apply_edits(&base.plan.pools, &edit.pools, PLAN_ROW_LIMIT)?;
                 Some((sheet, PolicyPlan { kinds, limits: edit.limits, pools }))
@@ -122,11 +124,11 @@
         }
     }
 
-    /// About how many bytes it takes.
+    /// Returns the approximate size of the change in bytes.
     #[must_use]
     pub fn weight(&self) -> usize {
-        let names = self.change_id.as_str().len() + self.actor.as_str().len();
-        names
+        let names_size = self.change_id.as_str().len() + self.actor.as_str().len();
+        names_size
             + match &self.content {
                 ChangeContent::Whole(packed) | ChangeContent::Edit(packed) => packed.size(),
                 ChangeContent::Outdated => 0,
@@ -140,12 +142,12 @@
 
 fn edit_content(request: &ChangeRequest, current: &StoredPlan) -> ChangeContent {
     let (old, new) = (&current.plan, &request.plan);
-    let (old_pieces, new_pieces) = (pieces_of(&current.sheet), pieces_of(&request.sheet));
+    let (old_pieces, new_pieces) = (split_pieces(&current.sheet), split_pieces(&request.sheet));
     let pieces = edits_between(&old_pieces, &new_pieces, &new_pieces);
     let (Some(rows), Some(pools), true) = (
         encoded_edits(&old.kinds, &new.kinds),
         encoded_edits(&old.pools, &new.pools),
-        pieces.iter().map(edit_weight).sum::<usize>() < request.sheet.len(),
+        pieces.iter().map(edit_size).sum::<usize>() < request.sheet.len(),
     ) else {
         return whole_content(request);
     };
@@ -160,9 +162,9 @@
     Some(edits_between(&keys(old).ok()?, &keys(new).ok()?, new))
 }
 
-/// Pieces of which a change mostly touches a few: lines, and objects where the sheet is JSON, which
-/// often stands in one line.
-fn pieces_of(sheet: &str) -> Vec<&str> {
+/// Splits a sheet into pieces, of which a change usually affects only a few. Pieces end at line
+/// breaks, and at `}` because a JSON sheet often is a single line.
+fn split_pieces(sheet: &str) -> Vec<&str> {
     sheet.split_inclusive(['\n', '}']).collect()
 }
 
@@ -175,7 +177,7 @@
     }
 }
 
-/// Makes the new sheet; `None` if the edits were not made for this old one, or it is too large.
+/// Builds the new sheet. Returns `None` if the edits do not fit `old` or the result is too large.
 fn edited_sheet(old: &[&str], edits: &[SequenceEdit<String>]) -> Option<String> {
     let mut sheet = String::new();
     for edit in edits {
@@ -194,7 +196,7 @@
     Some(sheet)
 }
 
-fn edit_weight(edit: &SequenceEdit<&str>) -> usize {
+fn edit_size(edit: &SequenceEdit<&str>) -> usize {
     match edit {
         SequenceEdit::Copy { .. } => EDIT_OVERHEAD,
         SequenceEdit::Insert(pieces) => pieces.iter().map(|piece| piece.len()).sum(),
@@ -203,7 +205,7 @@
 
 fn request_fingerprint(request: &ChangeRequest) -> u128 {
     let mut hasher = Sha256::new();
-    // What a change with a version of its own is based on plays no part in it.
+    // For a change with a chosen version, the base does not count.
     hasher.update(request.given.unwrap_or(request.expect).0.to_be_bytes());
     hasher.update(request.sheet.as_bytes());
     let digest: [u8; 32] = hasher.finalize().into();
--- a/crates/pulley_core/src/version/zone_order.rs
+++ b/crates/pulley_core/src/version/zone_order.rs
@@ -1,4 +1,4 @@
-//! Orders to empty an availability zone or to take it back, and what becomes of them.
+//! Orders to evacuate an availability zone or to restore it, and their answers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,13 +9,13 @@
 use super::LogIndex;
 use crate::process::{ActorName, ChangeId, ZoneName};
 
-/// What the upstreams of a zone are to be used for.
+/// Whether the upstreams of a zone are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ZoneUse {
-    /// They get work like all others.
+    /// They receive requests as usual.
     InUse,
-    /// They get no new work.
+    /// They receive no new requests.
     Evacuated,
 }
 
@@ -28,9 +28,9 @@
     }
 }
 
-/// A text that names no use of a zone.
+/// The error for a text that is not a [`ZoneUse`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{0:?} is no use of a zone; wanted: in-use or evacuated")]
+#[error("{0:?} is not a use of a zone; expected in-use or evacuated")]
 pub struct ZoneUseFault(String);
 
 impl FromStr for ZoneUse {
@@ -45,64 +45,64 @@
     }
 }
 
-/// An operator's order to empty a zone or to take it back.
+/// An operator's order to evacuate a zone or to restore it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOrder {
-    /// Makes a resend known as such.
+    /// Identifies the order, so that a resend is recognised.
     pub change_id: ChangeId,
-    /// Who asks.
+    /// Who gives the order.
     pub actor: ActorName,
-    /// When the first host received it, in milliseconds of Unix time.
+    /// When the first host received the order, in milliseconds of Unix time.
     pub received_unix_ms: u64,
-    /// The zone; one of which nobody has heard yet may be named.
+    /// The zone; it need not be known to any host yet.
     pub zone: ZoneName,
-    /// What its upstreams are to be used for.
+    /// The new use of the zone.
     pub zone_use: ZoneUse,
-    /// The latest order that the host which received this one knew of. If another order for the
-    /// zone has come between, this one is late and changes nothing.
+    /// Log index of the latest order known to the host that received this one. If another order for
+    /// the zone was accepted after that, this one is late and changes nothing.
     pub based_on: LogIndex,
 }
 
-/// What became of an order.
+/// The answer to a zone order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ZoneAnswer {
-    /// It is on a quorum's disks and holds until another order for the zone.
+    /// The order is on the disks of a quorum and holds until another order for the zone.
     Accepted {
-        /// The latest order, which every host is to know of.
+        /// Log index of the latest order, which every host has to learn.
         revision: LogIndex,
     },
-    /// Another order for the zone was accepted since this one was received; nothing changed.
+    /// Another order for the zone was accepted after this one was received; nothing changed.
     Overtaken {
-        /// What holds for the zone.
+        /// The current use of the zone.
         current: ZoneUse,
     },
     /// Too many zones are evacuated already; nothing changed.
     TooMany,
-    /// The change id stands for another order; nothing changed.
+    /// The change id was already used for another order; nothing changed.
     ChangeIdReused,
 }
 
-/// Asks a host to carry out an order for a zone; a [`ZoneAnswer`] comes back.
+/// A request to a host to carry out a zone order; the reply is a [`ZoneAnswer`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneUpload {
-    /// Makes a resend known as such.
+    /// Identifies the order, so that a resend is recognised.
     pub change_id: ChangeId,
-    /// Who asks.
+    /// Who gives the order.
     pub actor: ActorName,
     /// The zone.
     pub zone: ZoneName,
-    /// What its upstreams are to be used for.
+    /// The new use of the zone.
     pub zone_use: ZoneUse,
 }
 
-/// The zones that are evacuated as of one place of the log.
+/// The evacuated zones as of one log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedZones {
-    /// The entry of the latest order that changed anything; what has a later one is newer.
+    /// Log index of the latest order that changed anything; a higher one is newer.
     pub revision: LogIndex,
-    /// The zones, in the order of their names.
+    /// The zones, sorted by name.
     pub zones: Vec<ZoneName>,
 }
 
@@ -113,7 +113,7 @@
         self.zones.binary_search(zone).is_ok()
     }
 
-    /// What the upstreams of a zone are used for.
+    /// Returns the use of a zone.
     #[must_use]
     pub fn zone_use(&self, zone: &ZoneName) -> ZoneUse {
         if self.contains(zone) { ZoneUse::Evacuated } else { ZoneUse::InUse }
