--- a/crates/pulley_core/src/version/sheet/indexed_plan.rs
+++ b/crates/pulley_core/src/version/sheet/indexed_plan.rs
@@ -1,4 +1,4 @@
-//! A plan as hosts work by it, with what its readers look up.
+//! A plan with indices for the look-ups of its readers.
 
 use std::ops::Deref;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use super::{KindPlan, PolicyPlan, WarmUpTerms};
 use crate::process::{FastMap, PoolName, ProbeRate};
 
-/// A plan in force, made once a version; what each request or view asks of it does not take longer
-/// the more rows it has.
+/// A plan in force with its indices, built once per version, so that look-ups for requests and views
+/// don't take longer with more rows.
 #[derive(Clone, Debug, Default)]
 pub struct IndexedPlan {
     plan: Arc<PolicyPlan>,
     routes: RouteIndex,
-    /// The pools in order of first mention.
+    /// The pools, in order of first mention.
     pool_names: Vec<PoolName>,
     summaries: FastMap<PoolName, PoolSummary>,
 }
 
 impl IndexedPlan {
-    /// Works out what readers look up.
+    /// Builds the indices of a plan.
     #[must_use]
     pub fn new(plan: Arc<PolicyPlan>) -> Self {
         let routes = RouteIndex::new(&plan.kinds);
-        let mut pools = PoolGathering::default();
+        let mut pools = PoolCollector::default();
         for (row, kind) in plan.kinds.iter().enumerate() {
             pools.summary_of(&kind.pool).add(row, kind);
         }
@@ -38,18 +38,19 @@
         Self { plan, routes, pool_names, summaries }
     }
 
-    /// The plan without what is looked up.
+    /// Returns the plan without its indices.
     #[must_use]
     pub const fn shared(&self) -> &Arc<PolicyPlan> {
         &self.plan
     }
 
-    /// Finds the row for a request: a named host goes before any, then the longest path prefix
-    /// wins, then a named method. Among rows that match alike `draw`, a random number, chooses by
-    /// their weights. The host may have a port, and capitals.
+    /// Finds the row for a request. Rows with a host name take precedence over rows for any host,
+    /// then the longest path prefix wins, then a row with a method. Among equally good matches, the
+    /// random number `draw` chooses by weight. `host` may have a port and upper-case letters.
     ///
-    /// The choice falls once a request and holds for all its attempts: moved to another pool when
-    /// its own is full, a tenth meant to try out a new release would grow with the load.
+    /// The choice is made once per request and holds for all its attempts. If requests moved to
+    /// another pool when theirs is full, a 10 % split meant to try out a new release would grow with
+    /// the load.
     #[must_use]
     pub fn find(
         &self,
@@ -62,65 +63,65 @@
         Some((row, &self.kinds[row]))
     }
 
-    /// The pools named, each once, in order of first mention.
+    /// Returns the pools, each once, in order of first mention.
     #[must_use]
     pub fn pools(&self) -> &[PoolName] {
         &self.pool_names
     }
 
-    /// Whether a pool is named.
+    /// Whether the plan mentions a pool.
     #[must_use]
     pub fn names_pool(&self, pool: &PoolName) -> bool {
         self.summaries.contains_key(pool)
     }
 
-    /// The rows of a pool with their places, in the plan's order.
+    /// Returns the rows of a pool with their indices, in the plan's order.
     pub fn rows_of(&self, pool: &PoolName) -> impl Iterator<Item = (usize, &KindPlan)> {
         let rows = self.summaries.get(pool).map_or(&[][..], |summary| &summary.rows);
         rows.iter().map(|row| (*row, &self.kinds[*row]))
     }
 
-    /// Where a pool's upstreams answer how loaded they are, if the plan says so.
+    /// Returns the path under which a pool's upstreams report their load, if the plan sets one.
     #[must_use]
     pub fn probe_path(&self, pool: &PoolName) -> Option<&SmolStr> {
         self.summaries.get(pool)?.probe_path.as_ref()
     }
 
-    /// What the upstreams of a pool bear after a start, if that is less than later.
+    /// Returns the warm-up limits of a pool's upstreams, if they have any.
     #[must_use]
     pub fn warm_up(&self, pool: &PoolName) -> Option<WarmUpTerms> {
         self.summaries.get(pool)?.warm_up
     }
 
-    /// Most connections that one upstream of a pool takes, if a row says so.
+    /// Returns the maximum number of connections to one upstream of a pool, if a row sets it.
     #[must_use]
     pub fn connections(&self, pool: &PoolName) -> Option<u32> {
         self.summaries.get(pool)?.connections
     }
 
-    /// Probes a second that all hosts together may send to a pool.
+    /// Returns the probes per second that all hosts together may send to a pool.
     #[must_use]
     pub fn probe_budget(&self, pool: &PoolName) -> ProbeRate {
         self.summaries.get(pool).map_or(ProbeRate(0), |summary| summary.probe_budget)
     }
 }
 
-/// The pools of a plan while its rows are gone through.
+/// Collects the pools of a plan and their summaries.
 #[derive(Default)]
-struct PoolGathering<'a> {
-    places: FastMap<&'a PoolName, usize>,
+struct PoolCollector<'a> {
+    indices: FastMap<&'a PoolName, usize>,
     names: Vec<&'a PoolName>,
     summaries: Vec<PoolSummary>,
 }
 
-impl<'a> PoolGathering<'a> {
+impl<'a> PoolCollector<'a> {
     fn summary_of(&mut self, pool: &'a PoolName) -> &mut PoolSummary {
-        let place = *self.places.entry(pool).or_insert(self.names.len());
-        if place == self.names.len() {
+        let index = *self.indices.entry(pool).or_insert(self.names.len());
+        if index == self.names.len() {
             self.names.push(pool);
             self.summaries.push(PoolSummary::default());
         }
-        &mut self.summaries[place]
+        &mut self.summaries[index]
     }
 }
 
--- a/crates/pulley_core/src/version/sheet/mod.rs
+++ b/crates/pulley_core/src/version/sheet/mod.rs
@@ -1,4 +1,4 @@
-//! Sheets as operators write them, and the plan that is read from one.
+//! Sheets as operators write them, and the plans read from them.
 
 mod indexed_plan;
 mod plan;
--- a/crates/pulley_core/src/version/sheet/plan.rs
+++ b/crates/pulley_core/src/version/sheet/plan.rs
@@ -1,4 +1,4 @@
-//! The checked sheet: what each kind of request may use.
+//! The plan that is read from a sheet: routing, capacity and limits of each kind of request.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     KindName, PoolName, ProbeRate, ServiceName, ShareFraction, SlotCount, StartRate,
 };
 
-/// Priority of a kind; 0 goes first, 9 last.
+/// Priority of a kind, from 0 (highest) to 9 (lowest).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestPriority(pub u8);
 
@@ -18,57 +18,58 @@
 pub enum MethodMatch {
     /// Every method.
     Any,
-    /// One method, in capitals.
+    /// One method, in upper case.
     Only(SmolStr),
 }
 
 /// Which host names a row matches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HostMatch {
-    /// Every host name, and requests without one.
+    /// Every host name, and requests without a host name.
     #[default]
     Any,
     /// One host name, in lower case and without a port.
     Only(SmolStr),
 }
 
-/// How large a kind's answers are.
+/// Size class of a kind's answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AnswerSize {
-    /// A few kilobytes; where they come from matters little.
+    /// A few kilobytes; the zone that they come from matters little.
     #[default]
     Small,
-    /// Many times that: they are kept within a zone as long as they can come in time.
+    /// Many times larger. Requests stay within the zone as long as they can be answered in time.
     Large,
 }
 
-/// How a row's requests are told from others, split over pools and tried again.
+/// How a row's requests are matched, split over pools and retried.
 ///
-/// Several rows may match the same requests if each names another pool: the requests are then
+/// Several rows may match the same requests if each names a different pool. The requests are then
 /// split over the pools by weight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouteTerms {
-    /// Which host names match; a named one goes before any.
+    /// Which host names match; one host name takes precedence over any.
     pub host: HostMatch,
-    /// The row's part of the requests, against the weights of the rows that match the same.
+    /// The row's weight relative to rows that match the same requests.
     pub weight: u32,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub attempts: u8,
-    /// How large its answers are.
+    /// Size class of the answers.
     pub answers: AnswerSize,
-    /// The time within which an answer is worth most to its caller; none: until the deadline.
+    /// Target latency: the time within which an answer is worth most to its caller. `None` means
+    /// the deadline.
     pub target: Option<Duration>,
-    /// Most connections that one upstream of the pool takes from all hosts together, if that is
-    /// less than it announces.
+    /// Maximum number of connections to one upstream of the pool from all hosts together, if it is
+    /// lower than the number that the upstream announces.
     pub connections: Option<u32>,
 }
 
-/// The weight of a row that is not split.
+/// Default weight of a row.
 const WHOLE_WEIGHT: u32 = 100;
 
-/// Upstreams that one request may be sent to where the sheet does not say: a single failure and a
-/// second one are ridden out, and a partial failure cannot become many times the load.
+/// Default number of upstreams that one request may be sent to. A request survives two failed
+/// attempts, and a partial failure cannot multiply the load many times over.
 const ATTEMPTS_DEFAULT: u8 = 3;
 
 impl Default for RouteTerms {
@@ -84,20 +85,20 @@
     }
 }
 
-/// What callers may send, whatever their kind.
+/// Limits on what callers may send, for requests of all kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub header_bytes: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// How long a caller may take to send a request's headers.
+    /// Maximum time that a caller may take to send a request's headers.
     pub header_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Room for large cookies and for uploads; a caller that dribbles its headers for longer than a
-    /// minute holds a connection for nothing.
+    /// Returns limits that allow large cookies and uploads. A caller that takes longer than a minute
+    /// to send its headers occupies a connection without use.
     fn default() -> Self {
         Self {
             header_bytes: 32 << 10,
@@ -107,22 +108,22 @@
     }
 }
 
-/// Whether work of a kind holds a slot for long.
+/// How long a request of a kind occupies a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkLength {
-    /// Milliseconds.
+    /// Some milliseconds.
     Short,
-    /// Much longer than the pool's short work.
+    /// Much longer than the pool's short requests.
     Long,
 }
 
 /// One row of the sheet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KindPlan {
-    /// The pool whose upstreams answer.
+    /// The pool whose upstreams answer the requests.
     pub pool: PoolName,
-    /// The service that the capacity is given to.
+    /// The service that the capacity is assigned to.
     pub service: ServiceName,
     /// The kind, unique within its service.
     pub kind: KindName,
@@ -130,51 +131,51 @@
     pub method: MethodMatch,
     /// Which paths match; the longest prefix wins.
     pub path_prefix: SmolStr,
-    /// Who goes first.
+    /// The priority.
     pub priority: RequestPriority,
-    /// The part of the pool's slots that this row adds to its service's share.
+    /// The fraction of the pool's slots that this row adds to its service's share.
     pub share: ShareFraction,
-    /// Slots of the pool kept free for this kind.
+    /// Slots of the pool reserved for this kind.
     pub reserved_slots: SlotCount,
-    /// How long a caller waits when it names no deadline of its own.
+    /// The deadline for requests that set none.
     pub deadline: Duration,
-    /// Whether running it twice does no harm.
+    /// Whether running a request twice does no harm.
     pub idempotent: bool,
-    /// Whether it holds a slot for long.
+    /// How long a request occupies a slot.
     pub length: WorkLength,
-    /// What this row adds to its pool's probe budget, over all hosts together.
+    /// What this row adds to its pool's probe budget, which all hosts share.
     pub probe_budget: ProbeRate,
-    /// How its requests are told from others, split and tried again.
+    /// How requests are matched, split over pools and retried.
     pub route: RouteTerms,
 }
 
-/// A whole checked sheet; rows keep the sheet's order.
+/// The content of a whole sheet; rows keep the sheet's order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyPlan {
     /// The rows.
     pub kinds: Vec<KindPlan>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// What holds for pools as a whole; one that no row names is kept ready all the same.
+    /// Settings of whole pools. A pool that no row names is kept ready as well.
     pub pools: Vec<PoolTerms>,
 }
 
-/// What holds for a pool as a whole.
+/// Settings of a whole pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolTerms {
-    /// Which pool.
+    /// The pool.
     pub pool: PoolName,
-    /// Where its upstreams answer how loaded they are.
+    /// The path under which its upstreams report their load.
     pub probe_path: SmolStr,
-    /// What its upstreams bear after a start; none if they bear as much as later.
+    /// Warm-up limits of its upstreams; `None` if they can take full load from the start.
     pub warm_up: Option<WarmUpTerms>,
 }
 
-/// What an upstream bears after its start, or after it has become cold again.
+/// Limits for an upstream after its start, or after it has become cold again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WarmUpTerms {
-    /// For how long it is cold.
+    /// How long the upstream is cold.
     pub span: Duration,
-    /// How many requests it bears meanwhile, from all entries together.
+    /// Rate of requests that it can take meanwhile, from all entries together.
     pub rate: StartRate,
 }
--- a/crates/pulley_core/src/version/sheet/pool_summary.rs
+++ b/crates/pulley_core/src/version/sheet/pool_summary.rs
@@ -1,14 +1,14 @@
-//! What a plan says of one pool.
+//! Summary of a plan's settings for one pool.
 
 use smol_str::SmolStr;
 
 use super::{KindPlan, PoolTerms, WarmUpTerms};
 use crate::process::ProbeRate;
 
-/// What the rows and terms of one pool come to.
+/// The combined settings from the rows and terms of one pool.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PoolSummary {
-    /// Its rows, in the plan's order.
+    /// Indices of the pool's rows, in the plan's order.
     pub(super) rows: Vec<usize>,
     pub(super) connections: Option<u32>,
     pub(super) probe_budget: ProbeRate,
@@ -17,7 +17,7 @@
 }
 
 impl PoolSummary {
-    /// Takes in one of the pool's rows.
+    /// Adds one of the pool's rows.
     pub(super) fn add(&mut self, row: usize, kind: &KindPlan) {
         self.rows.push(row);
         let connections = self.connections.into_iter().chain(kind.route.connections);
@@ -25,7 +25,7 @@
         self.probe_budget.0 = self.probe_budget.0.saturating_add(kind.probe_budget.0);
     }
 
-    /// Takes in what holds for the pool as a whole; what is said first holds.
+    /// Sets the settings of the whole pool; if there are several, the first ones hold.
     pub(super) fn set_terms(&mut self, terms: &PoolTerms) {
         if self.probe_path.is_none() {
             self.probe_path = Some(terms.probe_path.clone());
--- a/crates/pulley_core/src/version/sheet/sheet_column.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_column.rs
@@ -2,13 +2,13 @@
 
 use std::fmt;
 
-/// One column of a sheet; a sheet has each of the first twelve once, in any order, and may have the
-/// others.
+/// A column of a sheet. Columns may be in any order; the first twelve are required and the others
+/// optional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SheetColumn {
-    /// The pool whose upstreams answer.
+    /// The pool whose upstreams answer the requests.
     Pool,
-    /// The service the capacity is given to.
+    /// The service that the capacity is assigned to.
     Service,
     /// The kind of request, unique within its service.
     Kind,
@@ -16,36 +16,36 @@
     Method,
     /// The path prefix that matches.
     PathPrefix,
-    /// Who goes first.
+    /// The priority.
     Priority,
-    /// The part of the pool's slots.
+    /// The fraction of the pool's slots.
     Share,
-    /// Slots kept free for the kind.
+    /// Slots reserved for the kind.
     ReservedSlots,
     /// Default deadline, in milliseconds.
     DeadlineMs,
-    /// Whether running twice does no harm.
+    /// Whether running a request twice does no harm.
     Idempotent,
-    /// Whether the work holds a slot for long.
+    /// How long a request occupies a slot.
     Length,
-    /// Probes a second that the row adds to its pool's budget.
+    /// Probes per second that the row adds to its pool's budget.
     ProbesPerS,
     /// The host name that matches.
     Host,
-    /// The row's part of the requests among rows that match alike.
+    /// The row's weight relative to rows that match the same requests.
     Weight,
-    /// Most upstreams one request is sent to.
+    /// Maximum number of upstreams that one request is sent to.
     Attempts,
-    /// How large answers are.
+    /// Size class of the answers.
     Answers,
-    /// The time within which an answer is worth most.
+    /// Target latency: the time within which an answer is worth most.
     TargetMs,
-    /// Most connections that one upstream of the pool takes.
+    /// Maximum number of connections to one upstream of the pool.
     Connections,
 }
 
 impl SheetColumn {
-    /// The columns that a sheet may leave out.
+    /// The columns that a sheet may omit.
     pub const OPTIONAL: [Self; 6] = [
         Self::Host,
         Self::Weight,
@@ -55,8 +55,8 @@
         Self::Connections,
     ];
 
-    /// The columns that every sheet has, in the order in which sheets are printed.
-    pub const NEEDED: [Self; 12] = [
+    /// The columns that every sheet must have, in the order in which they are printed.
+    pub const REQUIRED: [Self; 12] = [
         Self::Pool,
         Self::Service,
         Self::Kind,
@@ -71,12 +71,12 @@
         Self::ProbesPerS,
     ];
 
-    /// Every column, those that may be left out last.
+    /// Returns all columns, the optional ones last.
     pub fn all() -> impl Iterator<Item = Self> {
-        Self::NEEDED.into_iter().chain(Self::OPTIONAL)
+        Self::REQUIRED.into_iter().chain(Self::OPTIONAL)
     }
 
-    /// The column's name in the header row.
+    /// Returns the column's name in the header row.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What a cell of the column may hold, in words for the planner.
+    /// Describes the allowed values of the column's cells, for the planner.
     #[must_use]
     pub const fn allowed(self) -> &'static str {
         match self {
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(crate) fn named(text: &str) -> Option<Self> {
+    pub(crate) fn from_name(text: &str) -> Option<Self> {
         Self::all().find(|column| column.name().eq_ignore_ascii_case(text))
     }
 }
--- a/crates/pulley_core/src/version/sheet/sheet_fault.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a sheet, cell by cell.
+//! Faults of a sheet, by row and column.
 
 use std::fmt;
 
@@ -6,27 +6,27 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// Longest part of a faulty cell that is repeated to the planner, in characters.
+/// Maximum length of a faulty cell's value in a fault, in characters.
 const VALUE_LIMIT: usize = 80;
 
-/// Most faults kept; a sheet in a wrong format would otherwise have one for every cell.
+/// Maximum number of faults kept; otherwise a sheet in a wrong format could have one for every cell.
 const FAULT_LIMIT: usize = 200;
 
 /// One fault of a sheet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SheetFault {
-    /// The line of the file, from 1; the header is usually line 1.
+    /// The line of the file, starting at 1. The header is usually line 1.
     pub row: u64,
-    /// The column's name, or `sheet` when the fault is not in one cell.
+    /// The column's name, or `sheet` if the fault is not in a single cell.
     pub column: SmolStr,
-    /// What the cell holds, shortened to 80 characters.
+    /// The cell's value, shortened to 80 characters.
     pub value: String,
-    /// What would have been allowed.
+    /// Describes the allowed values.
     pub allowed: String,
 }
 
 impl SheetFault {
-    /// The column that stands for the whole sheet.
+    /// The column name for faults of the whole sheet.
     pub const WHOLE_SHEET: &'static str = "sheet";
 
     pub(crate) fn new(row: u64, column: &str, value: &str, allowed: impl Into<String>) -> Self {
@@ -46,17 +46,17 @@
     }
 }
 
-/// Every fault of one sheet, in the order of its rows.
+/// All faults of one sheet, in the order of its rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub struct SheetFaults {
     /// The faults, at most 200.
     pub faults: Vec<SheetFault>,
-    /// How many more there are.
+    /// Number of further faults.
     pub omitted: u64,
 }
 
 impl SheetFaults {
-    /// Whether the sheet has none.
+    /// Whether the sheet has no faults.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.faults.is_empty()
--- a/crates/pulley_core/src/version/sheet/sheet_printer.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_printer.rs
@@ -1,4 +1,4 @@
-//! Prints a checked sheet in the one form that every reader accepts.
+//! Prints a plan as a sheet in a form that every reader accepts.
 
 use csv::WriterBuilder;
 
@@ -7,18 +7,18 @@
     SheetColumn, WorkLength,
 };
 
-/// Prints plans as sheets: commas, LF, no byte order mark.
+/// Prints plans as sheets with commas, LF line ends and no byte order mark.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SheetPrinter;
 
 impl SheetPrinter {
-    /// Prints a plan; [`super::SheetReader::read`] gives an equal plan back.
+    /// Prints a plan. [`super::SheetReader::read`] reads it back as an equal plan.
     ///
     /// # Panics
-    /// Never: writing to memory has no way to fail.
+    /// Never, because writing to memory cannot fail.
     #[must_use]
     pub fn print(plan: &PolicyPlan) -> String {
-        const REASON: &str = "writing text to memory has no way to fail";
+        const REASON: &str = "writing text to memory cannot fail";
         let mut writer = WriterBuilder::new().from_writer(Vec::new());
         let columns: Vec<SheetColumn> = printed_columns(plan);
         writer.write_record(columns.iter().map(|column| column.name())).expect(REASON);
@@ -30,17 +30,17 @@
     }
 }
 
-/// The needed columns, and of the others those that some row uses.
+/// Returns the required columns and those optional columns that some row uses.
 fn printed_columns(plan: &PolicyPlan) -> Vec<SheetColumn> {
     let is_used = |column: &SheetColumn| {
-        let mut plain = plan.kinds.iter().cloned();
-        plain.any(|row| {
+        let mut rows = plan.kinds.iter().cloned();
+        rows.any(|row| {
             let route = RouteTerms::default();
             cell(&row, *column) != cell(&KindPlan { route, ..row.clone() }, *column)
         })
     };
     let used = SheetColumn::OPTIONAL.into_iter().filter(is_used);
-    SheetColumn::NEEDED.into_iter().chain(used).collect()
+    SheetColumn::REQUIRED.into_iter().chain(used).collect()
 }
 
 fn limit_lines(limits: CallerLimits) -> String {
--- a/crates/pulley_core/src/version/sheet/sheet_reader.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the planners' sheet and names everything that is wrong with it.
+//! Reads the planners' sheet and reports all its faults.
 
 use std::time::Duration;
 
@@ -12,68 +12,69 @@
 use crate::process::{FastMap, KindName, PoolName, ServiceName, ShareFraction, SlotCount};
 use crate::version::{PLAN_ROW_LIMIT, SHEET_LIMIT};
 
-/// What reading gives: a plan, or every fault.
+/// The result of reading: a value, or all faults.
 type Result<T> = std::result::Result<T, SheetFaults>;
 
-/// Largest sheet read, in bytes; 44 services with a few kinds each need under 64 KiB.
+/// Maximum size of a sheet, in bytes. 44 services with a few kinds each need less than 64 KiB.
 const SHEET_BYTES_LIMIT: usize = 400 << 10;
 
-/// Most rows read; entries work through all of them at each change of the sheet.
+/// Maximum number of rows. Entries process all of them at each change of the sheet.
 const ROW_LIMIT: usize = 4_096;
 
-// What passes here must pass through the log and between hosts.
+// A sheet accepted here must also fit the log and messages between hosts.
 const _: () = assert!(SHEET_BYTES_LIMIT <= SHEET_LIMIT && ROW_LIMIT <= PLAN_ROW_LIMIT);
 
-/// Longest deadline, in milliseconds.
+/// Maximum deadline, in milliseconds.
 const DEADLINE_MS_LIMIT: u64 = 600_000;
 
-/// Most slots that one row may reserve.
+/// Maximum number of slots that one row may reserve.
 const RESERVED_SLOTS_LIMIT: u32 = 10_000;
 
-/// Longest path prefix, in bytes.
+/// Maximum length of a path prefix, in bytes.
 const PATH_LIMIT: usize = 256;
 
-/// Largest weight of a row.
+/// Maximum weight of a row.
 const WEIGHT_LIMIT: u32 = 1_000_000;
 
-/// Most attempts that a row may allow; each is a place taken from a request that has had none.
+/// Maximum number of attempts that a row may allow. Each retry takes capacity from a request that
+/// has not had an attempt yet.
 const ATTEMPTS_LIMIT: u8 = 10;
 
-/// Most connections that an upstream may be said to take.
+/// Maximum value of a row's limit of connections to one upstream.
 const CONNECTIONS_LIMIT: u32 = 1_000_000;
 
-/// Longest host name, by the rules of the domain name system.
+/// Maximum length of a host name in the domain name system.
 const HOST_LIMIT: usize = 253;
 
-/// What a line begins with that sets one of the callers' limits, such as
+/// Prefix of lines that set a limit on what callers may send, such as
 /// `#limit header_bytes 16384`.
-const LIMIT_MARK: &str = "#limit ";
+const LIMIT_PREFIX: &str = "#limit ";
 
-/// The methods a row may name.
+/// The methods that a row may match.
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
-/// Byte order mark that spreadsheets put before UTF-8.
+/// Byte order mark that spreadsheet programs write before UTF-8 text.
 const BYTE_ORDER_MARK: &str = "\u{feff}";
 
-/// Reads sheets as planners' tools export them.
+/// Reads sheets exported by planners' tools.
 ///
-/// It takes UTF-8 with or without a byte order mark, CRLF or LF, commas or semicolons, quoted
-/// cells, blank rows, and columns in any order. A sheet with a single fault is refused whole: a
-/// half-applied sheet would give capacity to the wrong service without anybody noticing.
+/// It accepts UTF-8 with or without a byte order mark, CRLF or LF, commas or semicolons, quoted
+/// cells, blank rows and columns in any order. A single fault makes the whole sheet refused, because
+/// a partially applied sheet would give capacity to the wrong service without anyone noticing.
 #[derive(Debug)]
 pub struct SheetReader {
     faults: SheetFaults,
     kinds: Vec<KindPlan>,
-    marks: Vec<RowMarks>,
+    summaries: Vec<RowSummary>,
     limits: CallerLimits,
 }
 
-/// What the checks over several rows look at; a row with other faults has its marks, too.
+/// The cells of a row that are compared with other rows. Rows with other faults are compared too.
 #[derive(Debug)]
-struct RowMarks {
+struct RowSummary {
     row: u64,
     name: Option<(ServiceName, KindName)>,
-    matched: Option<(HostMatch, MethodMatch, SmolStr)>,
+    route_match: Option<(HostMatch, MethodMatch, SmolStr)>,
     pool: Option<PoolName>,
     share: Option<(PoolName, ShareFraction)>,
 }
@@ -82,12 +83,12 @@
     /// Reads and checks a whole sheet.
     ///
     /// # Errors
-    /// Every fault of the sheet, each with row, column, value and what is allowed.
+    /// All faults of the sheet, each with row, column, value and allowed values.
     pub fn read(bytes: &[u8]) -> Result<PolicyPlan> {
         let mut reader = Self {
             faults: SheetFaults::default(),
             kinds: Vec::new(),
-            marks: Vec::new(),
+            summaries: Vec::new(),
             limits: CallerLimits::default(),
         };
         reader.read_text(bytes);
@@ -112,8 +113,8 @@
         let text = match std::str::from_utf8(bytes) {
             Ok(text) => text.strip_prefix(BYTE_ORDER_MARK).unwrap_or(text),
             Err(error) => {
-                let good = &bytes[..error.valid_up_to()];
-                let row = 1 + good.iter().filter(|byte| **byte == b'\n').count() as u64;
+                let valid_bytes = &bytes[..error.valid_up_to()];
+                let row = 1 + valid_bytes.iter().filter(|byte| **byte == b'\n').count() as u64;
                 let byte = format!("byte {:#04x}", bytes[error.valid_up_to()]);
                 return self.sheet_fault(row, &byte, "text in UTF-8");
             }
@@ -135,23 +136,24 @@
         if self.kinds.is_empty() && self.faults.is_empty() {
             self.sheet_fault(1, "", "at least one row under the header");
         }
-        if self.marks.len() > ROW_LIMIT {
+        if self.summaries.len() > ROW_LIMIT {
             self.sheet_fault(1, "too many rows", format!("at most {ROW_LIMIT} rows"));
         }
     }
 
-    /// Reads the lines that set callers' limits, and blanks them so that rows keep their numbers.
+    /// Reads the lines that set limits on callers, and blanks them so that rows keep their line
+    /// numbers.
     fn read_limits(&mut self, text: &str) -> String {
         let mut rest = String::with_capacity(text.len());
-        for (place, line) in text.split_inclusive('\n').enumerate() {
-            let Some(limit) = line.strip_prefix(LIMIT_MARK) else {
+        for (index, line) in text.split_inclusive('\n').enumerate() {
+            let Some(limit) = line.strip_prefix(LIMIT_PREFIX) else {
                 rest.push_str(line);
                 continue;
             };
             rest.push('\n');
             if self.read_limit(limit.trim()).is_none() {
                 let allowed = "#limit and header_bytes, body_bytes or header_timeout_ms, a number";
-                self.sheet_fault(place as u64 + 1, line.trim(), allowed);
+                self.sheet_fault(index as u64 + 1, line.trim(), allowed);
             }
         }
         rest
@@ -171,12 +173,12 @@
         Some(())
     }
 
-    /// Finds which cell holds which column; `None` stands for an empty column at the end.
+    /// Maps cells to columns. A column without a name maps to `None`.
     fn read_header(&mut self, header: &StringRecord) -> Option<Vec<Option<SheetColumn>>> {
         let row = row_of(header);
         let mut columns = Vec::new();
         for name in header.iter().map(str::trim) {
-            let column = SheetColumn::named(name);
+            let column = SheetColumn::from_name(name);
             if column.is_none() && !name.is_empty() {
                 self.fault(row, name, name, format!("one of the columns {}", column_names()));
             }
@@ -185,7 +187,7 @@
             }
             columns.push(column);
         }
-        for column in SheetColumn::NEEDED {
+        for column in SheetColumn::REQUIRED {
             if !columns.contains(&Some(column)) {
                 self.fault(row, column.name(), "", "the column must be there");
             }
@@ -195,21 +197,21 @@
 
     fn read_row(&mut self, columns: &[Option<SheetColumn>], record: &StringRecord) {
         let row = row_of(record);
-        let extra = record.iter().enumerate().filter(|(place, cell)| {
-            !cell.trim().is_empty() && columns.get(*place).copied().flatten().is_none()
+        let extra = record.iter().enumerate().filter(|(index, cell)| {
+            !cell.trim().is_empty() && columns.get(*index).copied().flatten().is_none()
         });
         let extra: Vec<&str> = extra.map(|(_, cell)| cell).collect();
         for cell in extra {
             self.sheet_fault(row, cell, "no cell without a column; is a , or ; unquoted?");
         }
         let cell = |wanted: SheetColumn| {
-            let place = columns.iter().position(|column| *column == Some(wanted));
-            place.and_then(|place| record.get(place)).unwrap_or_default().trim()
+            let index = columns.iter().position(|column| *column == Some(wanted));
+            index.and_then(|index| record.get(index)).unwrap_or_default().trim()
         };
         let mut cells = RowCells { row, cell: &cell, faults: &mut self.faults };
-        let (kind, marks) = cells.read_row();
+        let (kind, summary) = cells.read_row();
         self.kinds.extend(kind);
-        self.marks.push(marks);
+        self.summaries.push(summary);
     }
 
     // -------------------------------------------------------------------------------------
@@ -218,18 +220,18 @@
     fn check_duplicates(&mut self) {
         let mut names = FastMap::default();
         let mut matches = FastMap::default();
-        let marks = std::mem::take(&mut self.marks);
-        for RowMarks { row, name, matched, pool, .. } in &marks {
+        let summaries = std::mem::take(&mut self.summaries);
+        for RowSummary { row, name, route_match, pool, .. } in &summaries {
             if let Some((service, kind)) = name
                 && let Some(first) = names.insert((service, kind), *row)
             {
                 let allowed = format!("each kind once in its service; row {first} has it too");
                 self.fault(*row, SheetColumn::Kind.name(), kind.as_str(), allowed);
             }
-            // Of two rows with the same host, prefix and method, none is the better match: which
-            // one a request is counted under would depend on the order of the rows. Rows of
+            // Two rows with the same host, prefix and method match equally well. In one pool, the
+            // kind that a request is counted under would depend on the order of the rows. Rows of
             // different pools split the requests between them.
-            if let Some((host, method, prefix)) = matched
+            if let Some((host, method, prefix)) = route_match
                 && let Some(first) = matches.insert((host, method, prefix, pool), *row)
             {
                 let allowed =
@@ -237,13 +239,13 @@
                 self.fault(*row, SheetColumn::PathPrefix.name(), prefix, allowed);
             }
         }
-        self.marks = marks;
+        self.summaries = summaries;
     }
 
     fn check_shares(&mut self) {
         let mut sums: FastMap<&PoolName, u32> = FastMap::default();
-        let marks = std::mem::take(&mut self.marks);
-        for RowMarks { row, share, .. } in &marks {
+        let summaries = std::mem::take(&mut self.summaries);
+        for RowSummary { row, share, .. } in &summaries {
             let Some((pool, share)) = share else { continue };
             let sum = sums.entry(pool).or_default();
             let before = *sum;
@@ -259,7 +261,7 @@
                 self.fault(*row, SheetColumn::Share.name(), &share.to_string(), allowed);
             }
         }
-        self.marks = marks;
+        self.summaries = summaries;
     }
 
     // -------------------------------------------------------------------------------------
@@ -274,7 +276,7 @@
     }
 }
 
-/// The cells of one row, with where their faults go.
+/// The cells of one row, and the list that collects their faults.
 struct RowCells<'a, 'c> {
     row: u64,
     cell: &'c dyn Fn(SheetColumn) -> &'a str,
@@ -282,25 +284,25 @@
 }
 
 impl<'a> RowCells<'a, '_> {
-    /// Reads every cell before it gives up, so that all faults of the row are named at once.
-    fn read_row(&mut self) -> (Option<KindPlan>, RowMarks) {
-        let pool = self.parsed(SheetColumn::Pool);
-        let service = self.parsed(SheetColumn::Service);
-        let kind = self.parsed(SheetColumn::Kind);
-        let method = self.checked(SheetColumn::Method, method_match);
-        let path_prefix = self.checked(SheetColumn::PathPrefix, path_prefix);
-        let priority = self.checked(SheetColumn::Priority, priority);
-        let share = self.parsed(SheetColumn::Share);
-        let reserved_slots = self.checked(SheetColumn::ReservedSlots, reserved_slots);
-        let deadline = self.checked(SheetColumn::DeadlineMs, deadline);
-        let idempotent = self.checked(SheetColumn::Idempotent, yes_or_no);
-        let length = self.checked(SheetColumn::Length, work_length);
-        let probe_budget = self.parsed(SheetColumn::ProbesPerS);
+    /// Reads every cell even after a fault, so that all faults of the row are reported at once.
+    fn read_row(&mut self) -> (Option<KindPlan>, RowSummary) {
+        let pool = self.parse_from_str(SheetColumn::Pool);
+        let service = self.parse_from_str(SheetColumn::Service);
+        let kind = self.parse_from_str(SheetColumn::Kind);
+        let method = self.parse_cell(SheetColumn::Method, method_match);
+        let path_prefix = self.parse_cell(SheetColumn::PathPrefix, path_prefix);
+        let priority = self.parse_cell(SheetColumn::Priority, priority);
+        let share = self.parse_from_str(SheetColumn::Share);
+        let reserved_slots = self.parse_cell(SheetColumn::ReservedSlots, reserved_slots);
+        let deadline = self.parse_cell(SheetColumn::DeadlineMs, deadline);
+        let idempotent = self.parse_cell(SheetColumn::Idempotent, yes_or_no);
+        let length = self.parse_cell(SheetColumn::Length, work_length);
+        let probe_budget = self.parse_from_str(SheetColumn::ProbesPerS);
         let route = self.read_route();
-        let marks = RowMarks {
+        let summary = RowSummary {
             row: self.row,
             name: service.clone().zip(kind.clone()),
-            matched: route
+            route_match: route
                 .clone()
                 .zip(method.clone())
                 .zip(path_prefix.clone())
@@ -325,18 +327,18 @@
                 route: route?,
             })
         };
-        (plan(), marks)
+        (plan(), summary)
     }
 
-    /// Reads the columns that a sheet may leave out; an empty cell means the default.
+    /// Reads the optional columns; an empty cell means the default.
     fn read_route(&mut self) -> Option<RouteTerms> {
         let default = RouteTerms::default();
-        let host = self.checked(SheetColumn::Host, host_match);
-        let weight = self.optional(SheetColumn::Weight, 0, WEIGHT_LIMIT);
-        let attempts = self.optional(SheetColumn::Attempts, 1, ATTEMPTS_LIMIT);
-        let answers = self.checked(SheetColumn::Answers, answer_size);
-        let target = self.optional(SheetColumn::TargetMs, 1, DEADLINE_MS_LIMIT);
-        let connections = self.optional(SheetColumn::Connections, 1, CONNECTIONS_LIMIT);
+        let host = self.parse_cell(SheetColumn::Host, host_match);
+        let weight = self.parse_optional(SheetColumn::Weight, 0, WEIGHT_LIMIT);
+        let attempts = self.parse_optional(SheetColumn::Attempts, 1, ATTEMPTS_LIMIT);
+        let answers = self.parse_cell(SheetColumn::Answers, answer_size);
+        let target = self.parse_optional(SheetColumn::TargetMs, 1, DEADLINE_MS_LIMIT);
+        let connections = self.parse_optional(SheetColumn::Connections, 1, CONNECTIONS_LIMIT);
         Some(RouteTerms {
             host: host?,
             weight: weight?.unwrap_or(default.weight),
@@ -347,11 +349,11 @@
         })
     }
 
-    fn optional<T>(&mut self, column: SheetColumn, least: T, most: T) -> Option<Option<T>>
+    fn parse_optional<T>(&mut self, column: SheetColumn, least: T, most: T) -> Option<Option<T>>
     where
         T: std::str::FromStr + PartialOrd,
     {
-        self.checked(column, |text| {
+        self.parse_cell(column, |text| {
             if text.is_empty() {
                 return Some(None);
             }
@@ -359,11 +361,11 @@
         })
     }
 
-    fn parsed<T: std::str::FromStr>(&mut self, column: SheetColumn) -> Option<T> {
-        self.checked(column, |text| text.parse().ok())
+    fn parse_from_str<T: std::str::FromStr>(&mut self, column: SheetColumn) -> Option<T> {
+        self.parse_cell(column, |text| text.parse().ok())
     }
 
-    fn checked<T>(
+    fn parse_cell<T>(
         &mut self,
         column: SheetColumn,
         parse: impl FnOnce(&str) -> Option<T>,
@@ -399,8 +401,8 @@
     if text.is_empty() || text.eq_ignore_ascii_case("any") {
         return Some(HostMatch::Any);
     }
-    let named = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_');
-    let allowed = text.len() <= HOST_LIMIT && text.bytes().all(named);
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_');
+    let allowed = text.len() <= HOST_LIMIT && text.bytes().all(is_allowed);
     allowed.then(|| HostMatch::Only(SmolStr::new(text.to_ascii_lowercase())))
 }
 
@@ -444,7 +446,7 @@
 // -----------------------------------------------------------------------------------------
 // Records
 
-/// Column names hold neither commas nor semicolons, so the header tells which one separates.
+/// Returns the delimiter found in the header. Column names contain neither commas nor semicolons.
 fn delimiter_of(text: &str) -> u8 {
     let header = text.lines().find(|line| !line.trim().is_empty()).unwrap_or_default();
     if header.contains(';') { b';' } else { b',' }
--- a/crates/pulley_core/tests/sheet.rs
+++ b/crates/pulley_core/tests/sheet.rs
@@ -62,7 +62,7 @@
     let bad = "co ver,,che/ck,FETCH,cover,10,101%,-1,0,maybe,medium,x";
     let faults = read(&sheet(&[bad, ROW])).unwrap_err();
     let expected: Vec<(u64, &str)> =
-        SheetColumn::NEEDED.into_iter().map(|column| (2, column.name())).collect();
+        SheetColumn::REQUIRED.into_iter().map(|column| (2, column.name())).collect();
     assert_eq!(columns_of(&faults), expected);
     let share = faults.faults.iter().find(|fault| fault.column == "share").unwrap();
     assert_eq!(
