--- a/crates/pulley_core/src/connection/mod.rs
+++ b/crates/pulley_core/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! State that lives as long as one connection.
+//! State that lasts as long as one connection.
 
 mod connection_book;
 
--- a/crates/pulley_core/src/lib.rs
+++ b/crates/pulley_core/src/lib.rs
@@ -1,12 +1,12 @@
 //! Decisions and state machines of jacinthpulley.
 //!
-//! Everything that decides lives here: which upstream gets a call, who waits, who is refused,
-//! what a quorum has accepted, who is a member. Nothing here opens a socket, reads a clock or
-//! draws its own randomness: time comes in as a [`Moment`] and randomness as a seed, so every
-//! decision can be replayed in a test.
+//! This crate makes all decisions: which upstream gets a request, which requests wait or are
+//! refused, what a quorum has accepted and which hosts are members. It opens no sockets, reads no
+//! clock and has no randomness of its own. Time is passed in as a [`Moment`] and randomness as a
+//! seed, so that every decision can be replayed in a test.
 //!
-//! Folders follow life span: [`request`], [`connection`], [`version`] (one configuration) and
-//! [`process`].
+//! Modules are grouped by the lifetime of their state: [`request`], [`connection`], [`version`]
+//! (one configuration) and [`process`].
 
 pub mod connection;
 pub mod process;
--- a/crates/pulley_core/src/version/evacuation_machine.rs
+++ b/crates/pulley_core/src/version/evacuation_machine.rs
@@ -28,9 +28,9 @@
 ///
 /// Of two orders for a zone, the later one in the log holds. A resend is recognised by its change
 /// id. An order also names the log index that it is based on: the question that carries it may be
-/// retried towards the leader for seconds after its operator has given up, sent the order to another
-/// host and withdrawn it there. Applying the late order would evacuate a zone that is back in use,
-/// although nobody asked for that.
+/// retried towards the leader for seconds after its operator has given up, sent the order to
+/// another host and withdrawn it there. Applying the late order would evacuate a zone that is back
+/// in use, although nobody asked for that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationMachine {
     evacuated: Arc<EvacuatedZones>,
--- a/crates/pulley_core/src/version/question_router.rs
+++ b/crates/pulley_core/src/version/question_router.rs
@@ -131,8 +131,8 @@
 impl QuestionRouter {
     /// Creates a router that knows no replica yet.
     ///
-    /// `first` is the first question number. It must differ between starts of a host, so that a late
-    /// answer to an earlier start is not mistaken for an answer to a question of this one.
+    /// `first` is the first question number. It must differ between starts of a host, so that a
+    /// late answer to an earlier start is not mistaken for an answer to a question of this one.
     #[must_use]
     pub fn new(host: HostId, first: u64) -> Self {
         Self {
--- a/crates/pulley_core/src/version/sheet/indexed_plan.rs
+++ b/crates/pulley_core/src/version/sheet/indexed_plan.rs
@@ -10,8 +10,8 @@
 use super::{KindPlan, PolicyPlan, WarmUpTerms};
 use crate::process::{FastMap, PoolName, ProbeRate};
 
-/// A plan in force with its indices, built once per version, so that look-ups for requests and views
-/// don't take longer with more rows.
+/// A plan in force with its indices, built once per version, so that look-ups for requests and
+/// views don't take longer with more rows.
 #[derive(Clone, Debug, Default)]
 pub struct IndexedPlan {
     plan: Arc<PolicyPlan>,
@@ -49,8 +49,8 @@
     /// random number `draw` chooses by weight. `host` may have a port and upper-case letters.
     ///
     /// The choice is made once per request and holds for all its attempts. If requests moved to
-    /// another pool when theirs is full, a 10 % split meant to try out a new release would grow with
-    /// the load.
+    /// another pool when theirs is full, a 10 % split meant to try out a new release would grow
+    /// with the load.
     #[must_use]
     pub fn find(
         &self,
--- a/crates/pulley_core/src/version/sheet/plan.rs
+++ b/crates/pulley_core/src/version/sheet/plan.rs
@@ -97,8 +97,8 @@
 }
 
 impl Default for CallerLimits {
-    /// Returns limits that allow large cookies and uploads. A caller that takes longer than a minute
-    /// to send its headers occupies a connection without use.
+    /// Returns limits that allow large cookies and uploads. A caller that takes longer than a
+    /// minute to send its headers occupies a connection without use.
     fn default() -> Self {
         Self {
             header_bytes: 32 << 10,
--- a/crates/pulley_core/src/version/sheet/sheet_column.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_column.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// A column of a sheet. Columns may be in any order; the first twelve are required and the others
-/// optional.
+/// A column of a sheet. A sheet has each column at most once, in any order. The first twelve are
+/// required, the others optional.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SheetColumn {
     /// The pool whose upstreams answer the requests.
--- a/crates/pulley_core/src/version/sheet/sheet_fault.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_fault.rs
@@ -9,7 +9,8 @@
 /// Maximum length of a faulty cell's value in a fault, in characters.
 const VALUE_LIMIT: usize = 80;
 
-/// Maximum number of faults kept; otherwise a sheet in a wrong format could have one for every cell.
+/// Maximum number of faults kept; otherwise a sheet in a wrong format could have one for every
+/// cell.
 const FAULT_LIMIT: usize = 200;
 
 /// One fault of a sheet.
--- a/crates/pulley_core/src/version/stored_change.rs
+++ b/crates/pulley_core/src/version/stored_change.rs
@@ -87,7 +87,8 @@
         let is_outdated = request.given.unwrap_or(request.expect) < current.version;
         let fingerprint = request_fingerprint(&request);
         let content = if is_outdated { ChangeContent::Outdated } else { content(&request) };
-        // A change with a chosen version is based on none; `expect` holds the base of its difference.
+        // A change with a chosen version is based on none; `expect` holds the base of its
+        // difference.
         let expect = if request.given.is_some() { current.version } else { request.expect };
         Self {
             change_id: request.change_id,
--- a/crates/pulley_core/tests/connection_book.rs
+++ b/crates/pulley_core/tests/connection_book.rs
@@ -1,4 +1,4 @@
-//! Which connection a request goes over, by the book of one upstream.
+//! Tests of the connection book of one upstream.
 
 use std::time::Duration;
 
@@ -25,8 +25,8 @@
     }
 }
 
-// Twenty-nine entries share the 300 connections of an upstream. Were each to take what it likes,
-// the upstream would refuse whoever comes last; so each keeps to its share, also when entries join.
+// Twenty-nine entries share the 300 connections of an upstream. Without shares, the upstream would
+// refuse the last entries to connect. Each entry must keep to its share, also when entries join.
 #[test]
 fn an_entry_keeps_to_its_share() {
     let mut book = book(300, 29);
@@ -38,10 +38,10 @@
     assert_eq!(book.open_links(), 5);
 }
 
-// A connection has gone silent, and its request is past its limit. Idle ones that have not
-// answered since that request went out may be silent too; the one that has is kept.
+// A connection has gone silent, and its request exceeds its time limit. Idle connections that have
+// not answered since that request was sent may be silent too. One that has answered is kept.
 #[test]
-fn suspicion_retires_what_has_not_answered_since() {
+fn connections_without_an_answer_since_the_request_are_retired() {
     let mut book = book(300, 1);
     let links: Vec<_> = (0..3).map(|_| open(&mut book, at(0))).collect();
     book.prove(at(50), links[1]);
@@ -53,10 +53,11 @@
     assert_eq!(reused, CheckoutChoice::Reuse(links[1]));
 }
 
-// A binding is to be sent after a quiet minute. Sent into a connection that something has
-// forgotten meanwhile, its outcome would stay unknown; it gets a new one, within the share.
+// A request that may be sent only once follows a period without traffic. A network device may have
+// lost track of the idle connection meanwhile, and the outcome would stay unknown. The request must
+// get a new connection, within the share.
 #[test]
-fn work_that_may_be_sent_once_gets_a_proven_connection() {
+fn a_request_that_may_be_sent_once_gets_a_proven_connection() {
     let mut book = book(1, 1);
     let old = open(&mut book, at(0));
     book.put_back(at(1), old);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn idle_and_aged_connections_end() {
+fn idle_and_aged_connections_are_closed() {
     let mut book = book(300, 1);
     let (idle, aged) = (open(&mut book, at(0)), open(&mut book, at(0)));
     book.put_back(at(0), idle);
@@ -78,10 +79,10 @@
     assert_eq!(book.open_links(), 0);
 }
 
-// Whatever comes in whatever order, no connection is in two hands, none beyond the share is opened
-// and none is lost from the book.
+// Random sequences of actions must never check out a connection twice, exceed the share or lose a
+// connection from the book.
 #[test]
-fn no_connection_is_in_two_hands() {
+fn no_connection_is_checked_out_twice() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
         let mut book = book(5, 1);
         let (mut held, mut now) = (Vec::new(), at(0));
--- a/crates/pulley_core/tests/indexed_plan.rs
+++ b/crates/pulley_core/tests/indexed_plan.rs
@@ -1,4 +1,4 @@
-//! What an indexed plan answers, against a search through all rows.
+//! Compares the look-ups of an indexed plan with a search through all rows.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 };
 use quickcheck::{Arbitrary, Gen};
 
-/// Plans that a property is tried on, and requests to each.
+/// Number of random plans per property, and of requests per plan.
 const PLANS: u64 = 2_000;
 const REQUESTS: usize = 40;
 
-/// Pools that a plan may name.
+/// Number of pools that a plan may name.
 const POOLS: usize = 6;
 
 const HOSTS: [&str; 7] = ["a.example", "A.example", "b.example", "[::1]", "b:80", "é.example", ""];
 const PORTS: [&str; 3] = ["", ":8080", ":"];
 const METHODS: [&str; 3] = ["GET", "POST", "get"];
-/// Few pieces, so that prefixes begin with each other.
+/// Only a few path pieces, so that prefixes often begin with other prefixes.
 const PIECES: [&str; 6] = ["a", "b", "/", "a/", "é", "0"];
 
 fn chosen<'a>(random: &mut Gen, among: &[&'a str]) -> &'a str {
@@ -40,8 +40,8 @@
     u32::try_from(number(random, below)).expect("small")
 }
 
-fn pool(place: usize) -> PoolName {
-    format!("pool-{place}").parse().expect("a valid name")
+fn pool(index: usize) -> PoolName {
+    format!("pool-{index}").parse().expect("a valid name")
 }
 
 fn terms(random: &mut Gen) -> PoolTerms {
@@ -54,7 +54,7 @@
     }
 }
 
-fn row(random: &mut Gen, place: usize) -> KindPlan {
+fn row(random: &mut Gen, index: usize) -> KindPlan {
     let host = match bool::arbitrary(random) {
         true => HostMatch::Any,
         false => HostMatch::Only(chosen(random, &HOSTS).into()),
@@ -69,7 +69,7 @@
     KindPlan {
         pool: pool(number(random, POOLS)),
         service: "service".parse().expect("a valid name"),
-        kind: format!("kind-{place}").parse().expect("a valid name"),
+        kind: format!("kind-{index}").parse().expect("a valid name"),
         method,
         path_prefix: path_prefix.into(),
         priority: RequestPriority(1),
@@ -85,7 +85,7 @@
 
 fn plan(random: &mut Gen) -> PolicyPlan {
     let rows = number(random, 60);
-    let kinds = (0..rows).map(|place| row(random, place)).collect();
+    let kinds = (0..rows).map(|index| row(random, index)).collect();
     let pools = (0..number(random, 4)).map(|_| terms(random)).collect();
     PolicyPlan { kinds, pools, ..PolicyPlan::default() }
 }
@@ -109,27 +109,35 @@
     host_fits && method_fits && path.starts_with(row.path_prefix.as_str())
 }
 
-/// Searches through all rows.
-fn searched(plan: &PolicyPlan, host: &str, method: &str, path: &str, draw: u32) -> Option<usize> {
+/// Finds the row by a search through all rows.
+fn find_by_search(
+    plan: &PolicyPlan,
+    host: &str,
+    method: &str,
+    path: &str,
+    draw: u32,
+) -> Option<usize> {
     let rank = |row: &KindPlan| {
         let (host, method) = (&row.route.host, &row.method);
         (*host != HostMatch::Any, row.path_prefix.len(), *method != MethodMatch::Any)
     };
     let rows = plan.kinds.iter().enumerate();
-    let fitting: Vec<_> = rows.filter(|(_, row)| matches(row, host, method, path)).collect();
-    let best = fitting.iter().map(|(_, row)| rank(row)).max()?;
-    let alike: Vec<_> = fitting.into_iter().filter(|(_, row)| rank(row) == best).collect();
-    // Each row stands as often as its weight says.
-    let tickets: Vec<usize> =
-        alike.iter().flat_map(|(place, row)| (0..row.route.weight).map(|_| *place)).collect();
+    let matching: Vec<_> = rows.filter(|(_, row)| matches(row, host, method, path)).collect();
+    let best = matching.iter().map(|(_, row)| rank(row)).max()?;
+    let equal_matches: Vec<_> = matching.into_iter().filter(|(_, row)| rank(row) == best).collect();
+    // Each row is repeated as often as its weight.
+    let tickets: Vec<usize> = equal_matches
+        .iter()
+        .flat_map(|(index, row)| (0..row.route.weight).map(|_| *index))
+        .collect();
     match tickets.is_empty() {
-        true => alike.first().map(|(place, _)| *place),
+        true => equal_matches.first().map(|(index, _)| *index),
         false => Some(tickets[draw as usize % tickets.len()]),
     }
 }
 
 #[test]
-fn each_request_gets_the_row_that_a_search_through_all_finds() {
+fn each_request_gets_the_row_that_a_full_search_finds() {
     let mut found = 0;
     for seed in 0..PLANS {
         let mut random = Gen::from_size_and_seed(64, seed);
@@ -139,10 +147,10 @@
             let host = chosen(&mut random, &HOSTS).to_owned() + chosen(&mut random, &PORTS);
             let (method, path) = (chosen(&mut random, &METHODS), path(&mut random, 7));
             let draw = u32::arbitrary(&mut random);
-            let row = indexed.find(&host, method, &path, draw).map(|(place, _)| place);
+            let row = indexed.find(&host, method, &path, draw).map(|(index, _)| index);
             assert_eq!(
                 row,
-                searched(&plan, &host, method, &path, draw),
+                find_by_search(&plan, &host, method, &path, draw),
                 "{host:?} {method} {path} {draw} {plan:#?}"
             );
             found += usize::from(row.is_some());
@@ -153,7 +161,7 @@
 }
 
 #[test]
-fn each_pool_is_told_what_a_search_through_all_rows_finds() {
+fn each_pool_gets_the_settings_that_a_full_search_finds() {
     for seed in 0..PLANS {
         let plan = plan(&mut Gen::from_size_and_seed(64, seed));
         let indexed = IndexedPlan::from(plan.clone());
--- a/crates/pulley_core/tests/ledger_machine.rs
+++ b/crates/pulley_core/tests/ledger_machine.rs
@@ -1,4 +1,4 @@
-//! The at-most-once ledger by itself.
+//! Tests of the at-most-once ledger's state machine.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     answer_budget: 1_500,
 };
 
-/// A ledger that counts the log's indices by itself.
+/// A ledger with its own log index and clock.
 #[derive(Default)]
 struct TestLedger {
     machine: LedgerMachine,
@@ -30,7 +30,7 @@
     }
 
     fn claim(&mut self, key: &str, request: u8) -> ClaimAnswer {
-        // A new request each time, unless a test says otherwise.
+        // A different claimant each time, unless a test uses `claim_as`.
         let claimant = ClaimantId(self.index + 1);
         self.claim_as(key, request, claimant)
     }
@@ -67,8 +67,8 @@
     RecordedAnswer { status: 201, content_type: None, body: Some(Bytes::from(vec![7; size])) }
 }
 
-// A broker's binding is sent again after its answer was lost. It gets the first answer, however
-// often it is sent, and the binding does not run again.
+// A non-idempotent request is sent again after its answer was lost. Each resend must get the first
+// answer, and the request must not run again.
 #[test]
 fn a_resend_gets_the_recorded_answer() {
     let mut ledger = TestLedger::default();
@@ -79,8 +79,8 @@
     assert_eq!(ledger.claim("binding", 1), ClaimAnswer::AlreadyRan(answer_of(10)));
 }
 
-// The entry that sent a refund dies before the answer comes. Nobody knows whether it was recorded,
-// so no resend may run it; the caller is told that it may have run.
+// The entry that sent a request fails before the answer arrives, so its outcome is unknown. No
+// resend may run the request; the caller must learn that it may have run.
 #[test]
 fn a_claim_without_outcome_may_have_run() {
     let mut ledger = TestLedger::default();
@@ -91,8 +91,8 @@
     assert_eq!(ledger.release("refund", token), LedgerOutcome::StaleToken);
 }
 
-// A shop's system uses one key for two different refunds. Answering the second with the first's
-// outcome would lose it silently.
+// A caller uses one key for two different requests. Answering the second with the outcome of the
+// first would silently lose the second.
 #[test]
 fn one_key_for_two_requests_is_a_conflict() {
     let mut ledger = TestLedger::default();
@@ -100,8 +100,8 @@
     assert_eq!(ledger.claim("refund", 2), ClaimAnswer::Conflict);
 }
 
-// An entry was paused, its claim was released and another entry holds the key now. What the first
-// one still has to say must not touch the second one's claim.
+// An entry was paused, its claim was released and another entry now holds the key. Late commands of
+// the first entry must not change the second entry's claim.
 #[test]
 fn an_outdated_token_changes_nothing() {
     let mut ledger = TestLedger::default();
@@ -114,10 +114,10 @@
     assert_eq!(ledger.claim("refund", 1), ClaimAnswer::MayHaveRun);
 }
 
-// More claims come within the retention than there is room for. Dropping the oldest would let its
-// request run twice; so new ones are refused as not run until the oldest have expired.
+// More claims arrive within the retention time than the ledger can hold. Evicting the oldest would
+// let its request run twice, so new claims are refused as not run until the oldest have expired.
 #[test]
-fn a_full_ledger_refuses_and_keeps_what_it_has() {
+fn a_full_ledger_refuses_new_claims_and_keeps_its_own() {
     let mut ledger = TestLedger::default();
     let tokens: Vec<FencingToken> = ["a", "b", "c"].map(|key| ledger.grant(key)).to_vec();
     assert_eq!(ledger.claim("d", 1), ClaimAnswer::Unavailable);
@@ -133,8 +133,8 @@
     assert_eq!(ledger.machine.len(), 2);
 }
 
-// Loss files are large. Their bodies may not push the replica over its memory; what ran is known
-// all the same.
+// Large answer bodies must not exceed the replica's memory budget. Without its body, an answer
+// still has to show that the request ran.
 #[test]
 fn answer_bodies_stay_within_their_budget() {
     let mut ledger = TestLedger::default();
@@ -150,9 +150,10 @@
     assert_eq!(ledger.machine.answer_bytes(), 0);
 }
 
-// The leader grants a claim and dies before its answer arrives; the entry asks the next leader. Were
-// the entry told that the request may have run, its caller would have to look into a refund that
-// nobody had sent. Once an outcome is known, or somebody else asks, the grant is not repeated.
+// The leader grants a claim and fails before its answer arrives, so the entry asks the next leader.
+// If the entry were told that the request may have run, its caller would have to investigate a
+// request that was never sent. The grant is repeated only to the same claimant, and only until an
+// outcome is known.
 #[test]
 fn a_claim_sent_again_by_its_claimant_is_granted_under_its_first_token() {
     let mut ledger = TestLedger::default();
--- a/crates/pulley_core/tests/question_router.rs
+++ b/crates/pulley_core/tests/question_router.rs
@@ -1,4 +1,4 @@
-//! Questions on their way to the leader.
+//! Tests of the router that brings questions to the leader.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     router
 }
 
-/// A change whose sheet nothing packs.
+/// Creates a change with an incompressible sheet.
 fn change(bytes: usize) -> ReplicaQuestion {
     let mut random = StdRng::seed_from_u64(1);
     ReplicaQuestion::Apply(ChangeRequest {
@@ -45,9 +45,10 @@
     }
 }
 
-// A change of a megabyte was sent to every replica in turn while the first still received it.
+// Guards against sending a change of a megabyte to every replica in turn while the first replica is
+// still receiving it.
 #[test]
-fn a_large_question_is_not_sent_again_while_it_is_on_its_way() {
+fn a_large_question_is_not_sent_again_during_its_transfer() {
     for (bytes, again) in [(100, 700), (128 << 10, 1_700), (512 << 10, 4_700)] {
         let mut router = router(0);
         let (_, outputs) = router.ask(START, change(bytes)).expect("it has room");
@@ -59,9 +60,10 @@
     }
 }
 
-// A change of a megabyte was given up after 4 s, though it was still on its way over a slow link.
+// Guards against giving up on a change of a megabyte after 4 s while it is still in transfer over a
+// slow link.
 #[test]
-fn a_large_question_is_not_given_up_while_it_is_on_its_way() {
+fn a_large_question_is_not_given_up_during_its_transfer() {
     for (bytes, limit) in [(100, 4_000), (1 << 20, 12_000)] {
         let mut router = router(0);
         router.ask(START, change(bytes)).expect("it has room");
@@ -72,9 +74,9 @@
     }
 }
 
-// A configuration of some thousand routes went over slow links as it stood.
+// Guards against sending a configuration of several thousand routes uncompressed over slow links.
 #[test]
-fn configurations_are_packed_on_their_way_there_and_back() {
+fn configurations_are_compressed_in_questions_and_answers() {
     let rows: Vec<String> = (0..10_000).map(|row| format!("{{\"Name\":\"row-{row}\"}}")).collect();
     let (sheet, version) = (rows.join(","), ConfigVersion(7));
     let ReplicaQuestion::Apply(request) = change(0) else { panic!("a change") };
--- a/crates/pulley_core/tests/sheet.rs
+++ b/crates/pulley_core/tests/sheet.rs
@@ -1,6 +1,7 @@
-//! The sheet: what is read, what is refused, and that nothing makes the reader panic.
+//! Tests of the sheet reader and printer: what is accepted, what is refused, and that no input
+//! causes a panic.
 
-#![allow(clippy::unwrap_used, clippy::needless_pass_by_value, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, clippy::needless_pass_by_value, reason = "a test may panic")]
 
 use pulley_core::version::{
     IndexedPlan, PolicyPlan, SheetColumn, SheetFaults, SheetPrinter, SheetReader,
@@ -12,7 +13,7 @@
 deadline_ms,idempotent,length,probes_per_s";
 const ROW: &str = "cover,brokers,check,GET,/cover,1,50%,2,400,yes,short,1";
 
-/// Cases a property is tried on.
+/// Number of cases per property.
 const CASES: u64 = 3_000;
 
 fn read(text: &str) -> Result<PolicyPlan, SheetFaults> {
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn the_examples_are_read_and_put_the_first_kinds_first() {
+fn the_examples_are_read_with_their_priorities() {
     let abay = SheetReader::read(include_bytes!("../../../examples/abay.csv")).unwrap();
     let kolkhi = SheetReader::read(include_bytes!("../../../examples/kolkhi.csv")).unwrap();
     let first = abay.kinds.iter().min_by_key(|row| row.priority).unwrap();
@@ -55,10 +56,10 @@
     }
 }
 
-/// A planner mistypes several cells of one morning's sheet. Named one at a time, each would cost
-/// another round while the day runs on yesterday's shares.
+/// A sheet has several mistyped cells. If faults were reported one at a time, the planner would
+/// need a round for each, while the previous day's shares stay in force.
 #[test]
-fn every_fault_is_named_at_once() {
+fn every_fault_is_reported_at_once() {
     let bad = "co ver,,che/ck,FETCH,cover,10,101%,-1,0,maybe,medium,x";
     let faults = read(&sheet(&[bad, ROW])).unwrap_err();
     let expected: Vec<(u64, &str)> =
@@ -80,8 +81,9 @@
     assert!(faults.to_string().contains("at most 50.00%"), "{faults}");
 }
 
-/// One row has a wrong method and a share that, with the others', exceeds the pool. Found only
-/// once the method is mended, the share would cost the planner a second round.
+/// A row with a wrong method also has a share that, together with the others, exceeds the pool. If
+/// the share were checked only after the method is corrected, the planner would need a second
+/// round.
 #[test]
 fn shares_of_rows_with_other_faults_count_too() {
     let first = ROW.replace("GET", "FETCH").replace("50%", "60%");
@@ -107,8 +109,8 @@
     assert!(faults.to_string().contains("unquoted"), "{faults}");
 }
 
-/// An export went wrong and the file holds a header only, or nothing. Applied, it would take all
-/// capacity from every service at once.
+/// After a failed export the file is empty or holds only a header. Applied, such a sheet would take
+/// all capacity from every service at once.
 #[test]
 fn a_sheet_without_rows_is_refused() {
     for text in ["", "\n\n", HEADER] {
@@ -121,7 +123,7 @@
     QuickCheck::new().tests(CASES).rng(Gen::from_size_and_seed(64, 1))
 }
 
-fn accepted_reads_back_equal(bytes: &[u8]) -> bool {
+fn is_refused_or_reads_back_equal(bytes: &[u8]) -> bool {
     let Ok(plan) = SheetReader::read(bytes) else { return true };
     SheetReader::read(SheetPrinter::print(&plan).as_bytes()).as_ref() == Ok(&plan)
 }
@@ -129,7 +131,7 @@
 #[test]
 fn no_bytes_make_the_reader_panic() {
     fn property(bytes: Vec<u8>) -> bool {
-        accepted_reads_back_equal(&bytes)
+        is_refused_or_reads_back_equal(&bytes)
     }
     quickcheck().quickcheck(property as fn(Vec<u8>) -> bool);
 }
@@ -139,19 +141,19 @@
     fn property(damage: Vec<(u16, u8)>, cut: u16) -> bool {
         let mut bytes = include_bytes!("../../../examples/kolkhi.csv").to_vec();
         let length = bytes.len();
-        for (place, byte) in damage.into_iter().take(3) {
-            bytes[usize::from(place) % length] = byte;
+        for (index, byte) in damage.into_iter().take(3) {
+            bytes[usize::from(index) % length] = byte;
         }
         if cut.is_multiple_of(2) {
             bytes.truncate(usize::from(cut) % length);
         }
-        accepted_reads_back_equal(&bytes)
+        is_refused_or_reads_back_equal(&bytes)
     }
     quickcheck().quickcheck(property as fn(Vec<(u16, u8)>, u16) -> bool);
 }
 
 #[test]
-fn whatever_rows_are_accepted_read_back_equal() {
+fn accepted_rows_read_back_equal() {
     fn property(parts: u16, priority: u8, deadline: u32, probes: u32, yes: bool) -> bool {
         let share = format!("{}.{:02}%", parts % 101, parts % 100);
         let yes = if yes { "Yes" } else { "0" };
@@ -165,7 +167,7 @@
         );
         let text = sheet(&[&row]);
         let refusable = deadline.is_multiple_of(600_001) || parts % 101 == 100;
-        (refusable || read(&text).is_ok()) && accepted_reads_back_equal(text.as_bytes())
+        (refusable || read(&text).is_ok()) && is_refused_or_reads_back_equal(text.as_bytes())
     }
     quickcheck().quickcheck(property as fn(u16, u8, u32, u32, bool) -> bool);
 }
@@ -177,8 +179,8 @@
     format!("{ROUTED}\n{}\n", rows.join("\n"))
 }
 
-/// A sheet may tell requests apart by host, split them over pools by weight and bound what callers
-/// send; printed and read again, it must say the same.
+/// A sheet may match requests by host, split them over pools by weight and limit what callers send.
+/// Printed and read again, it must give the same plan.
 #[test]
 fn routes_are_read_and_printed() {
     let text = format!(
@@ -197,9 +199,10 @@
     assert_eq!(read(&SheetPrinter::print(&plan)).unwrap(), plan);
 }
 
-/// A named host goes before any, whatever the paths; a port and capitals make no other host.
+/// A row for one host name takes precedence over rows for any host, whatever their paths. A port or
+/// upper-case letters don't make it a different host.
 #[test]
-fn a_named_host_goes_first() {
+fn a_named_host_takes_precedence() {
     let plan = read(&routed(&[
         "old,desk,all,any,/q/long/,1,50%,0,800,yes,short,0,,,,,,",
         "old,desk,one,any,/q/,1,50%,0,800,yes,short,0,a.example,,,,,",
@@ -215,7 +218,7 @@
     assert_eq!(kind("b.example", "/q/x"), None);
 }
 
-/// A tenth is meant to try out a new release. However many requests come, it gets its tenth.
+/// A weight of 10 % tries out a new release. Of any number of requests, 10 % must go there.
 #[test]
 fn a_split_keeps_to_its_weights() {
     let plan = read(&routed(&[
@@ -232,7 +235,7 @@
     assert!((900..=1_100).contains(&share), "{share} of 10,000");
 }
 
-/// Two rows that match the same requests and name the same pool are a mistake: neither would be
+/// Two rows that match the same requests and name the same pool are a mistake, because neither is
 /// the better match.
 #[test]
 fn the_same_match_twice_in_a_pool_is_refused() {
--- a/crates/pulley_core/tests/stored_change.rs
+++ b/crates/pulley_core/tests/stored_change.rs
@@ -1,4 +1,4 @@
-//! Changes as the log keeps them.
+//! Tests of changes as the log stores them.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A sheet whose lines and rows are given by small numbers, so that many repeat.
+/// Creates a sheet whose lines and rows are given by small numbers, so that many are repeated.
 fn sheet_of(numbers: &[u8]) -> (String, PolicyPlan) {
     let lines: Vec<String> = numbers.iter().map(|number| format!("line {number}")).collect();
     let kinds = numbers.iter().map(|number| row(number % 16, u16::from(*number))).collect();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_change_builds_the_very_sheet_that_was_given() {
+fn a_change_builds_exactly_the_submitted_sheet() {
     for seed in 0..2_000 {
         let mut random = Gen::from_size_and_seed(40, seed);
         let before: Vec<u8> = Arbitrary::arbitrary(&mut random);
@@ -71,8 +71,8 @@
     }
 }
 
-// A planner changes one row of a large sheet, 2,100 times a day. Were the whole sheet sent to each
-// replica, the leader would go over the bytes that control may cost.
+// A planner changes one row of a large sheet, 2,100 times a day. If the whole sheet were sent to
+// each replica, the leader would exceed the bandwidth budget of control traffic.
 #[test]
 fn a_change_of_one_row_is_small() {
     let numbers: Vec<u8> = (0..200).collect();
@@ -86,8 +86,8 @@
     assert!(size < whole / 8, "{size} bytes for a sheet of {whole}");
 }
 
-// The leader has already another version in force: the change can only be refused, and its sheet
-// need not be kept. One that is ahead may follow changes that are still under way.
+// The leader already has a newer version in force, so the change can only be refused and its sheet
+// need not be stored. A change ahead of the current version may follow changes not yet applied.
 #[test]
 fn an_outdated_change_carries_no_sheet() {
     let base = plan_at(3, &[1, 2, 3]);
@@ -98,7 +98,7 @@
     assert!(matches!(ahead.content, ChangeContent::Whole { .. }));
 }
 
-/// A JSON sheet in one line, as some operators send it.
+/// Creates a JSON sheet in a single line, as some operators send it.
 fn json_of(numbers: &[u8]) -> String {
     let rows: Vec<String> = numbers.iter().map(|n| format!("{{\"Name\":\"{n}\"}}")).collect();
     format!("{{\"Rows\":[{}]}}", rows.join(","))
@@ -111,9 +111,9 @@
     ChangeRequest { change_id, given: Some(ConfigVersion(version)), ..request(0, sheet, plan) }
 }
 
-// A change with a version of the operator's, in one line, was kept whole in the log each time.
+// Guards against storing the whole sheet for each change with a chosen version and a single line.
 #[test]
-fn a_change_with_a_given_version_is_kept_as_a_difference() {
+fn a_change_with_a_given_version_is_stored_as_a_difference() {
     let numbers: Vec<u8> = (0..200).collect();
     let (_, plan) = sheet_of(&numbers);
     let base = StoredPlan { version: ConfigVersion(3), sheet: json_of(&numbers), plan };
@@ -128,7 +128,7 @@
     assert_eq!(change.build(&base), Some((asked.sheet, asked.plan)));
 }
 
-// Pools and limits change with the rows where services are added; the difference must hold them.
+// Adding services changes pools and limits as well as rows, so the difference must hold them too.
 #[test]
 fn a_difference_holds_pools_and_limits_too() {
     let numbers: Vec<u8> = (0..100).collect();
@@ -142,8 +142,8 @@
     assert_eq!(change.build(&base), Some((sheet, plan)));
 }
 
-// Should a difference ever meet another version than its own, it must change nothing, and its
-// operator must be able to send it again.
+// A difference that is applied to a version other than its base must change nothing, and its
+// operator must be able to send the change again.
 #[test]
 fn a_difference_against_another_version_changes_nothing() {
     let mut machine = ConfigurationMachine::default();
@@ -162,26 +162,27 @@
     let again = StoredChange::new(given(5, &edited), machine.current());
     let accepted = ChangeAnswer::Accepted { version: ConfigVersion(5) };
     assert_eq!(machine.apply(LogIndex(4), &again), accepted);
-    // From here on it is known as a resend, however it is kept.
+    // From now on it is recognised as a resend, however it is stored.
     assert_eq!(machine.apply(LogIndex(5), &stale), accepted);
 }
 
-// The size that a packed form claims is memory to be set aside.
+// Decompression allocates the size that a packed value declares, so an excessive size must be
+// rejected before that.
 #[test]
-fn a_packed_change_that_claims_gigabytes_is_not_unpacked() {
+fn a_packed_change_that_declares_gigabytes_is_not_unpacked() {
     let base = plan_at(0, &[]);
     let (sheet, plan) = sheet_of(&[1, 2]);
     let mut change = StoredChange::new(request(1, sheet, plan), &base);
-    let claims = |size: u32| {
+    let packed_with_size = |size: u32| {
         let mut bytes = size.to_le_bytes().to_vec();
         bytes.extend([0xff; 64]);
         let encoded = postcard::to_allocvec(&bytes).expect("can be encoded");
         postcard::from_bytes(&encoded).expect("bytes are a packed value")
     };
     for size in [u32::MAX, u32::try_from(CHANGE_BYTES_LIMIT).expect("a small limit") + 1] {
-        change.content = ChangeContent::Whole(claims(size));
+        change.content = ChangeContent::Whole(packed_with_size(size));
         assert_eq!(change.build(&base), None);
-        change.content = ChangeContent::Edit(claims(size));
+        change.content = ChangeContent::Edit(packed_with_size(size));
         assert_eq!(change.build(&base), None);
     }
 }
