--- a/crates/pulley_core/src/request/busy_spell.rs
+++ b/crates/pulley_core/src/request/busy_spell.rs
@@ -1,4 +1,4 @@
-//! For how long a pool has been full, and when its refused callers had better come back.
+//! Retry delays for refused callers, by how long a pool has been full.
 
 use std::time::Duration;
 
@@ -6,28 +6,28 @@
 
 use crate::process::Moment;
 
-/// After how long without a refusal a spell is over.
+/// Time without a refusal after which a busy period is over.
 const CALM: Duration = Duration::from_secs(1);
 
-/// The longest time that callers are asked to stay away for a spell: a longer one may be no rush but
-/// a lasting lack, through which some have to be served all the same.
+/// Longest retry delay because of a busy period. A longer period may be a lasting lack of capacity
+/// instead of a rush, and some of these callers must be served nevertheless.
 const LONGEST: Duration = Duration::from_millis(2_500);
 
-/// For how long a pool has been full.
+/// How long a pool has been full.
 ///
-/// Load it is for: rushes of seconds. Harm: a request that was refused is late by then, and comes
-/// back while the rush goes on if it is asked to come back soon. It takes the slot of one that could
-/// still be answered in time, and both are late. Reason for the limits: a rush that has lasted for so
-/// long is as likely as not to last for as long again; callers come back over half of that time, as
-/// together they would be the next rush.
+/// In a rush of seconds a refused request is already late. If its caller is asked to come back
+/// soon, it returns while the rush goes on. It then takes the slot of a request that could still be
+/// answered in time, and both are late. A rush that has lasted for some time is as likely as not to
+/// last as long again, so the retry delay follows the time it has lasted. The delays are spread
+/// over half of that time, because callers that come back together would cause the next rush.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BusySpell {
-    /// When it began, and when a request was last refused in it.
+    /// When the period began, and the last refusal in it.
     spell: Option<(Moment, Moment)>,
 }
 
 impl BusySpell {
-    /// Notes that a request found no room; returns when its caller may come back, `soonest` at least.
+    /// Records that a request found no room. Returns its retry delay, which is at least `soonest`.
     pub(crate) fn refuse(
         &mut self,
         now: Moment,
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -1,4 +1,4 @@
-//! Which kinds of request may use how much of a pool, and who is next.
+//! Shares of a pool for each kind of request, and the order in which waiting kinds start.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use crate::process::{CountKey, FastMap, Moment, PoolName, ServiceName, digest_of};
 use crate::version::{IndexedPlan, KindPlan, RequestPriority, WorkLength};
 
-/// Of so many starts from the queue, one goes to whoever has waited longest of the lower
-/// priorities, so that a steady flood of first kinds delays them but never starves them.
+/// One in this many starts from the queue goes to the longest-waiting request of the lower
+/// priorities. A steady flood of first-priority kinds delays them but never starves them.
 const FLOOR_EVERY: u32 = 20;
 
-/// What one entry knows of one kind.
+/// State of one kind at one entry.
 #[derive(Clone, Debug)]
 pub(crate) struct KindState {
     pub(crate) key: CountKey,
@@ -18,14 +18,14 @@
     pub(crate) reserved: u32,
     pub(crate) length: WorkLength,
     pub(crate) service: usize,
-    /// This entry's own requests outstanding.
+    /// This entry's own outstanding requests.
     own: u32,
-    /// The other entries' requests outstanding and waiting, as of the newest sum.
+    /// The other entries' outstanding and waiting requests, as of the newest sum.
     foreign: u32,
     foreign_queued: u32,
-    /// Requests this entry may have outstanding while the kind is held to a part.
+    /// Requests this entry may have outstanding while the kind is limited to its lease.
     pub(crate) leased: f32,
-    /// Until when an answer is worth most, from its request on.
+    /// Target time of an answer, counted from its request.
     pub(crate) target: Option<Duration>,
     /// Smoothed time of its work where nothing slows it down, in milliseconds; 0 if unknown.
     pub(crate) base_ms: f32,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 struct ServiceState {
     share: f32,
-    /// Requests of its kinds outstanding, from all entries.
+    /// Outstanding requests of its kinds, from all entries.
     used: u32,
 }
 
@@ -47,36 +47,36 @@
 pub(crate) struct KindShares {
     kinds: Vec<KindState>,
     services: Vec<ServiceState>,
-    /// Each kind's row in the plan, in the plan's order.
+    /// Each kind's row in the plan, in ascending order.
     rows: Vec<usize>,
     digest: u16,
-    /// This entry's own requests outstanding, of all kinds.
+    /// This entry's own outstanding requests, of all kinds.
     own: u32,
-    /// Slots that are reserved and not in use by their kinds.
+    /// Reserved slots that their kinds do not use.
     unused_reserves: u32,
     starts: u32,
-    /// Whether more is asked for than the pool has room for.
+    /// Whether the demand exceeds the room of the pool.
     is_tight: bool,
     /// Requests this entry may have outstanding while the pool is not tight.
     room: f32,
 }
 
-/// What leases are worked out from.
+/// The inputs of the lease calculation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseTerms {
     /// Requests that may be outstanding over the pool.
     pub(crate) slots: f32,
-    /// The same for kinds that do not queue at upstreams.
+    /// The same limit for kinds that do not queue at upstreams.
     pub(crate) long_slots: f32,
-    /// Entries that share the pool.
+    /// Number of entries that share the pool.
     pub(crate) entries: f32,
 }
 
-/// How often room that nobody asks for is given out.
+/// Factor by which unrequested room is given out in excess.
 const SPARE_GIVEN: f32 = 2.0;
 
 impl KindShares {
-    /// Reads a pool's kinds from the plan; counts of kinds that stay are kept.
+    /// Reads a pool's kinds from the plan. Counts of kinds that stay are kept.
     pub(crate) fn new(plan: &IndexedPlan, pool: &PoolName, old: &Self) -> Self {
         let mut shares = Self::default();
         let mut services: FastMap<&ServiceName, usize> = FastMap::default();
@@ -105,7 +105,7 @@
         shares
     }
 
-    /// A kind's place among the pool's, by its row in the plan.
+    /// Returns a kind's index among the pool's kinds, by its row in the plan.
     pub(crate) fn local(&self, row: usize) -> Option<usize> {
         self.rows.binary_search(&row).ok()
     }
@@ -122,12 +122,12 @@
         self.kinds.len()
     }
 
-    /// A digest of the kinds, by which hosts know that they count the same ones.
+    /// Returns a digest of the kinds, by which hosts check that they count the same ones.
     pub(crate) fn digest(&self) -> u16 {
         self.digest
     }
 
-    /// What this entry has running and waiting of each kind.
+    /// Returns this entry's running and waiting requests of each kind.
     pub(crate) fn own_uses(
         &self,
         queued: impl Fn(usize) -> usize,
@@ -136,7 +136,8 @@
         self.kinds.iter().enumerate().map(move |(local, kind)| (kind.own, waiting(local)))
     }
 
-    /// Takes in what all entries have running and waiting, less what this one told of its own.
+    /// Applies the running and waiting requests of all entries, less those that this entry reported
+    /// itself.
     pub(crate) fn receive(&mut self, totals: &[(u32, u32)], told: &[(u32, u32)]) {
         for (local, kind) in self.kinds.iter_mut().enumerate() {
             let total = totals.get(local).copied().unwrap_or_default();
@@ -147,21 +148,23 @@
         self.add_up();
     }
 
-    /// Divides room for `slots` requests among the kinds, and of each kind's part gives this
-    /// entry what is due to it by its own demand; none while there is room for everyone.
+    /// Divides room for `slots` requests among the kinds, and gives this entry its part of each
+    /// kind's lease by its own demand. Leases are not enforced while there is room for every
+    /// request.
     ///
-    /// While the pool has room for all, nobody is held back, whatever its share. When it has not,
-    /// each entry keeps to its part of each service's share, worked out from the same sum that
-    /// all the others use; so a share is held over all entries together and a lent one comes back
-    /// with the next sum. First kinds are not held back: an urgent read must not wait because
-    /// counts are old. What they use is taken off the room of the others.
+    /// While the pool has room for all requests, none is held back, whatever its share. When it has
+    /// not, each entry keeps to its part of each service's share. All entries derive their parts
+    /// from the same sum, so a share holds over all entries together, and a lent share returns with
+    /// the next sum. Kinds of the first priority are not held back: an urgent read must not wait
+    /// because counts are old. What they use is subtracted from the room of the others.
     ///
-    /// Room that nobody asks for is split evenly and given out twice over: until the next sum only
-    /// some entries will need theirs. Without any bound, calls that arrive between two sums would
-    /// all be sent at once when a pool has just stopped being tight.
+    /// Room without demand is split evenly and given out twice over, because only some entries will
+    /// need their part before the next sum. Without any bound, requests that arrive between two
+    /// sums would all be sent at once when a pool has just stopped being tight.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
     pub(crate) fn lease(&mut self, terms: &LeaseTerms, queued: impl Fn(usize) -> usize) {
-        // Most rows of a large sheet have no request at any one time, and divide nothing.
+        // Most rows of a large sheet have no request at any one time and take no part in the
+        // division.
         let asking: Vec<usize> = (0..self.kinds.len())
             .filter(|local| self.kinds[*local].is_used() || queued(*local) > 0)
             .collect();
@@ -176,8 +179,8 @@
         let spare = (terms.slots - all).max(0.0) / terms.entries.max(1.0) * SPARE_GIVEN;
         self.room = own.iter().sum::<f32>() + spare + 1.0;
         let given = divide_slots(terms.slots, &demands);
-        // Long work does not queue at upstreams: a short request that comes to wait behind a long
-        // one waits ten times its own time. So it gets its part of the slots themselves.
+        // Long work does not queue at upstreams: a short request that queues behind a long one
+        // waits ten times its own duration. So a long kind gets a part of the slots themselves.
         let given_long = divide_slots(terms.long_slots, &demands);
         for kind in &mut self.kinds {
             kind.leased = 0.0;
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Without sums, keeps this entry to its even part of the pool.
+    /// Limits this entry to an even part of the pool while there are no sums.
     pub(crate) fn lease_alone(&mut self, room: f32) {
         self.is_tight = false;
         self.room = room;
@@ -209,14 +212,14 @@
         KindDemand { service: kind.service, share, priority: kind.priority.0, wanted }
     }
 
-    /// Rounds each kind's lease at random, so that parts of a request are not lost.
+    /// Rounds each kind's lease at random, so that fractions of a request are not lost.
     pub(crate) fn round_leases(&mut self, mut draw: impl FnMut() -> f32) {
         for kind in &mut self.kinds {
             kind.leased = (kind.leased + draw()).floor();
         }
     }
 
-    /// Whether more is asked for than the pool has room for.
+    /// Whether the demand exceeds the room of the pool.
     pub(crate) fn is_tight(&self) -> bool {
         self.is_tight
     }
@@ -234,7 +237,7 @@
         (self.own as f32) < self.room
     }
 
-    /// Forgets what other entries have running and waiting.
+    /// Discards the other entries' running and waiting requests.
     pub(crate) fn forget_foreign(&mut self) {
         for kind in &mut self.kinds {
             kind.foreign = 0;
@@ -244,13 +247,14 @@
         self.is_tight = false;
     }
 
-    /// Slots that others than this kind must leave free: reserved and not in use by their kind.
+    /// Returns how many slots this kind must leave free: reserved for other kinds and not used by
+    /// them.
     pub(crate) fn reserved_from(&self, local: usize) -> u32 {
         self.unused_reserves - self.kinds[local].unused_reserve()
     }
 
-    /// Orders waiting kinds; the least goes first: by priority, then by who has used less of its
-    /// share.
+    /// Returns the sort key of a waiting kind; the lowest goes first. It orders by priority, then
+    /// by how much of its share the service has used.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
     pub(crate) fn rank(&self, local: usize) -> (RequestPriority, u32) {
         let kind = &self.kinds[local];
@@ -259,23 +263,23 @@
         (kind.priority, ratio.to_bits())
     }
 
-    /// Counts a start from the queue; true if this one belongs to the floor.
+    /// Counts a start from the queue. Returns true if it is the turn of the lower priorities.
     pub(crate) fn floor_turn(&mut self) -> bool {
         self.starts = (self.starts + 1) % FLOOR_EVERY;
         self.starts == 0
     }
 
-    /// Counts a request of a kind as outstanding.
+    /// Counts a new outstanding request of a kind.
     pub(crate) fn note_start(&mut self, local: usize) {
         self.change_own(local, |own| own + 1);
     }
 
-    /// Counts a request of a kind as outstanding no more.
+    /// Counts the end of an outstanding request of a kind.
     pub(crate) fn note_finish(&mut self, local: usize) {
         self.change_own(local, |own| own.saturating_sub(1));
     }
 
-    /// Changes one kind's count and, by as much, the sums that it is part of.
+    /// Changes one kind's count and, by the same amount, the sums that contain it.
     fn change_own(&mut self, local: usize, change: impl FnOnce(u32) -> u32) {
         let kind = &mut self.kinds[local];
         let service = &mut self.services[kind.service];
@@ -288,7 +292,7 @@
         self.unused_reserves += kind.unused_reserve();
     }
 
-    /// Works out the sums anew, after the counts of many kinds have changed.
+    /// Recalculates the sums, after the counts of many kinds have changed.
     fn add_up(&mut self) {
         self.services.iter_mut().for_each(|service| service.used = 0);
         for kind in &self.kinds {
@@ -299,7 +303,7 @@
     }
 }
 
-/// Kinds of this priority go first, whatever their service has used.
+/// Kinds of this priority go first, however much their service has used.
 pub(crate) const FIRST_PRIORITY: RequestPriority = RequestPriority(0);
 
 impl KindState {
@@ -322,28 +326,28 @@
         }
     }
 
-    /// Requests outstanding, from all entries.
+    /// Returns the outstanding requests, from all entries.
     fn used(&self) -> u32 {
         self.own + self.foreign
     }
 
-    /// Whether any entry has a request of it.
+    /// Whether any entry has a request of this kind.
     fn is_used(&self) -> bool {
         self.used() + self.foreign_queued > 0
     }
 
-    /// Slots reserved for it that it does not use.
+    /// Returns how many of its reserved slots are not in use.
     fn unused_reserve(&self) -> u32 {
         self.reserved.saturating_sub(self.used())
     }
 
-    /// Whether it holds anything that outlasts a plan.
+    /// Whether its state must be kept when the plan changes.
     fn is_known(&self) -> bool {
         self.own > 0 || self.foreign > 0 || self.base_ms > 0.0
     }
 }
 
-/// A digest of a pool's kinds in the order of the plan, and how many there are.
+/// Returns a digest of a pool's kinds in the order of the plan, and their number.
 #[must_use]
 pub(crate) fn kind_digest(plan: &IndexedPlan, pool: &PoolName) -> (u16, usize) {
     let keys: Vec<CountKey> = plan.rows_of(pool).map(|(_, kind)| key_of(kind)).collect();
--- a/crates/pulley_core/src/request/mod.rs
+++ b/crates/pulley_core/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! State that lives as long as one request.
+//! Per-request decisions: scheduling, upstream choice, probing and retries.
 
 mod arrival_probes;
 mod busy_spell;
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -1,4 +1,4 @@
-//! Decides, for one pool at one entry, who starts, who waits and who is refused.
+//! The scheduler of one pool at one entry: which requests start, wait or are refused.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,58 +20,58 @@
 };
 use crate::version::{IndexedPlan, WorkLength};
 
-/// Requests that one entry lets wait for one pool. The expected wait refuses long before this on
-/// any ordinary day; the bound keeps memory finite when deadlines are hours.
+/// Most requests that one entry lets wait for one pool. Normally the expected wait leads to
+/// refusals long before this. The bound keeps memory finite when deadlines are hours.
 const QUEUE_LIMIT: usize = 4_096;
 
-/// Requests outstanding for each usable slot, over the pool, while counts are fresh.
+/// Outstanding requests per usable slot, over the pool, while counts are fresh.
 ///
-/// Each entry keeps to its part of this while more is asked for. What waits at an upstream can no
-/// longer be overtaken by an urgent request; but with less, an upstream that old counts have
-/// passed over would stand idle.
+/// Each entry keeps to its part of this while the demand exceeds it. A request that queues at an
+/// upstream can no longer be overtaken by an urgent one. But with a lower limit, an upstream that
+/// stale counts have passed over would stand idle.
 const SLACK: f32 = 1.5;
 
-/// What each usual time of an answer between two rounds adds to that, and the most it comes to: the
-/// rarer the rounds, the more requests end unseen between them.
+/// Increase of that limit for each usual answer time between two rounds, and its maximum. The rarer
+/// the rounds, the more requests end unseen between them.
 const SLACK_PER_ANSWER: f32 = 0.6;
 const MOST_SLACK: f32 = 10.0;
 
-/// Requests outstanding at one upstream for each of its usable slots, at most: so many, and so many
-/// times what the pool as a whole is held to. It is for one upstream that old counts make look idle
-/// to every entry at once; what waits there cannot be moved elsewhere when it slows down.
+/// Most outstanding requests per usable slot of one upstream: a constant, plus a multiple of the
+/// limit over the pool. The limit is for an upstream that stale counts make look idle to every
+/// entry at once. Requests that queue there cannot be moved elsewhere when it slows down.
 const UPSTREAM_LEAST: f32 = 2.0;
 const UPSTREAM_PART: f32 = 1.0;
 
-/// One entry's own requests outstanding at an upstream for each of its usable slots. More than the
-/// slots hold would only wait there; the half hides the way to the upstream and back, which for
-/// long work is not worth a place in front of shorter work.
+/// One entry's own outstanding requests per usable slot of an upstream. Requests beyond the slots
+/// only queue there. The extra half hides the network round trip to the upstream. For long work
+/// that is not worth a place in front of shorter work.
 const OWN_SLACK: f32 = 1.5;
 
-/// Long requests outstanding for each usable slot, over the pool.
+/// Long requests outstanding per usable slot, over the pool.
 const LONG_SLACK: f32 = 1.5;
 
-/// A request waits at most this part of the time it has left, in expectation.
+/// The largest part of its remaining time that a request may be expected to wait.
 ///
-/// Admitted to the brim, a queue under overload holds only requests that start when their time is
-/// almost over; a third of the answers then come too late and the slots' work is thrown away.
+/// If a queue is filled completely under overload, it holds only requests that start when their
+/// time is almost over. A third of the answers then come too late, and the slots' work is wasted.
 pub(super) const WAIT_PART: f32 = 0.25;
 
-/// Usual times of an answer that must be left when a request starts; 1 answer in 30 takes longer.
+/// Usual answer times that must be left when a request starts; 1 answer in 30 takes longer.
 const TIMES_LEFT: f32 = 3.0;
 
-/// Finished requests between two workings-out of what holds for the pool as a whole.
+/// Finished requests between two recalculations of the sums over the pool.
 const REFRESH_EVERY: u32 = 32;
 
-/// The weight of one start in the smoothed time between starts.
+/// Weight of one start in the smoothed time between starts.
 const GAP_WEIGHT: f32 = 0.1;
 
-/// How soon a refused caller may come back, at least.
+/// Shortest retry delay of a refused caller.
 pub(super) const SHORTEST_RETRY: Duration = Duration::from_millis(50);
 
-/// How long a refused caller is asked to stay away, at most.
+/// Longest retry delay of a refused caller.
 pub(super) const LONGEST_RETRY: Duration = Duration::from_secs(5);
 
-/// When to come back where no upstream takes work.
+/// Retry delay where no upstream takes work.
 const NO_UPSTREAM_RETRY: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
@@ -79,18 +79,18 @@
     pub(super) upstream: usize,
     pub(super) row: usize,
     pub(super) started: Moment,
-    /// How long it should take, in usual times, by its upstream's own word.
+    /// Expected duration in usual answer times, according to the upstream's load report.
     pub(super) cost: Option<f32>,
-    /// What room it found there, by the same word.
+    /// Room that the request found there, according to the same report.
     pub(super) room: Option<SlotRoom>,
-    /// Whether one more request was enough to fill it.
+    /// Whether one more request was enough to fill the upstream.
     pub(super) was_near: bool,
 }
 
 /// One pool's scheduler at one entry.
 ///
-/// It holds no socket and no clock: each call says what time it is, and the returned effects say
-/// what to do.
+/// It holds no socket and no clock. Each call passes the current time, and the returned effects are
+/// the actions to carry out.
 #[derive(Debug)]
 pub struct PoolScheduler {
     pub(crate) pool: PoolName,
@@ -107,20 +107,20 @@
     pub(super) running: FastMap<RequestNumber, RunningRequest>,
     pub(super) rng: SmallRng,
     finishes: u32,
-    /// Requests that may be outstanding for each usable slot, over the pool.
+    /// Limit of outstanding requests per usable slot, over the pool.
     slack: f32,
-    /// The upstream whose slot this entry has just seen freed.
+    /// The upstream where this entry has just seen a slot become free.
     freed: Option<usize>,
-    /// What arriving requests may ask of upstreams.
+    /// Budget of the probes for arriving requests.
     pub(super) probes: ArrivalBudget,
-    /// How much longer work takes at the pool's upstreams when it takes their last slot.
+    /// Learned slowdown of work that takes the last slot of one of the pool's upstreams.
     pub(super) filling: FillingCost,
-    /// For how long the pool has been full.
+    /// How long the pool has been full.
     pub(super) busy_spell: BusySpell,
 }
 
 impl PoolScheduler {
-    /// Makes a scheduler that knows no upstream yet.
+    /// Creates a scheduler without upstreams.
     #[must_use]
     pub fn new(host: HostId, zone: ZoneName, pool: PoolName, seed: u64) -> Self {
         Self {
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Puts a newer plan in force. Requests that wait move to their rows in it; one whose kind is
-    /// gone is refused.
+    /// Puts a newer plan in force. Waiting requests move to their rows in it. A request whose kind
+    /// no longer exists is refused.
     pub fn apply_plan(&mut self, now: Moment, plan: Arc<IndexedPlan>) -> SchedulerEffects {
         let mut effects = Vec::new();
         let waiting = self.queue.drain();
@@ -178,12 +178,12 @@
         effects
     }
 
-    /// Takes over which entries are alive, who share what cold upstreams bear.
+    /// Sets the live entries, which share the rate that cold upstreams can handle.
     pub fn set_entries(&mut self, now: Moment, entries: &Arc<EntryZones>) {
         self.upstreams.set_entries(now, entries);
     }
 
-    /// Replaces what is known of the pool's upstreams.
+    /// Replaces the list of the pool's upstreams.
     pub fn apply_upstreams(
         &mut self,
         now: Moment,
@@ -193,7 +193,7 @@
         self.apply_changes(now, &changes)
     }
 
-    /// Takes over how the pool's upstreams have changed.
+    /// Applies changes of the pool's upstreams.
     pub fn apply_changes(&mut self, now: Moment, changes: &[UpstreamChange]) -> SchedulerEffects {
         if self.upstreams.apply(now, changes) {
             self.relist(now);
@@ -210,7 +210,7 @@
         effects
     }
 
-    /// Takes a new request; it starts, waits or is refused.
+    /// Starts a new request, queues it or refuses it.
     pub fn arrive(&mut self, now: Moment, ticket: &RequestTicket) -> SchedulerEffects {
         let number = ticket.number;
         let Some(local) = self.shares.local(ticket.kind) else {
@@ -228,7 +228,7 @@
         effects
     }
 
-    /// Notes the end of an attempt that was started.
+    /// Records the end of an attempt that was started.
     pub fn finish(
         &mut self,
         now: Moment,
@@ -251,7 +251,7 @@
             }
         }
         self.finishes = self.finishes.wrapping_add(1);
-        // A failure may take the last usable upstream, and then the floor has to hold at once.
+        // A failure may remove the last usable upstream, and then the floor must apply at once.
         let is_due = self.finishes.is_multiple_of(REFRESH_EVERY) || self.upstreams.is_stale(now);
         if outcome.is_failure() || is_due {
             self.upstreams.refresh(now);
@@ -263,13 +263,13 @@
         effects
     }
 
-    /// Forgets a request that still waits, because its caller has left.
+    /// Removes a waiting request, because its caller has left.
     pub fn cancel(&mut self, _now: Moment, number: RequestNumber) -> SchedulerEffects {
         self.queue.remove(number);
         Vec::new()
     }
 
-    /// Does what has come due: early refusals, grown-old counts, returned slots.
+    /// Runs the work that is due: early refusals, expiry of old counts and starts on freed slots.
     pub fn tick(&mut self, now: Moment) -> SchedulerEffects {
         let mut effects = Vec::new();
         self.expire_counts(now);
@@ -278,7 +278,7 @@
         effects
     }
 
-    /// When [`Self::tick`] is next of use, if ever.
+    /// Returns when [`Self::tick`] is next needed, if ever.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Moment> {
         let refuse_at = self.queue.earliest()? - self.usual();
@@ -286,25 +286,26 @@
         Some(expires_at.map_or(refuse_at, |at| at.min(refuse_at)))
     }
 
-    /// The pool it decides for.
+    /// Returns the pool that it schedules.
     #[must_use]
     pub fn pool(&self) -> &PoolName {
         &self.pool
     }
 
-    /// How many requests wait.
+    /// Returns how many requests wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many requests are started and not finished.
+    /// Returns how many requests have started and not finished.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Counts are shared under the name of the first zone that has upstreams.
+    /// Joins the exchange of counts. Counts are shared under the name of the first zone that has
+    /// upstreams.
     fn link_counts(&mut self, now: Moment) {
         let Some(zone) = self.upstreams.first_zone() else { return };
         if self.link.as_ref().is_none_or(|link| link.zone != *zone) {
@@ -315,11 +316,11 @@
     // -----------------------------------------------------------------------------------------
     // Admitting and starting
 
-    /// Refuses what cannot be answered in time.
+    /// Returns the cause of a refusal for a request that cannot be answered in time.
     ///
-    /// Under sustained overload every queue that merely waits grows until all answers are late;
-    /// the callers see timeouts and the upstreams' work is thrown away. Said at once, a refusal
-    /// costs the caller nothing but the trip, and it knows that nothing was run.
+    /// Under sustained overload a queue without admission control grows until all answers are late.
+    /// The callers see timeouts and the upstreams' work is wasted. An immediate refusal costs the
+    /// caller only the round trip, and the caller knows that nothing was run.
     fn refusal_cause(
         &self,
         now: Moment,
@@ -338,13 +339,14 @@
         (wait > longest).then_some(RefusalCause::DeadlineTooClose)
     }
 
-    /// How long a request would wait, by how many of its kind go before it and how fast the kind
-    /// has lately started; that pace holds what priorities and shares leave it.
+    /// Returns how long a request would wait, from the number of its kind ahead of it and the
+    /// recent start rate of the kind. That rate already reflects what priorities and shares leave
+    /// it.
     fn expected_wait(&self, local: usize, deadline: Moment) -> Duration {
         self.wait_of(local, self.queue.ahead_of(local, deadline))
     }
 
-    /// When a refused caller may usefully come back: once those who wait now have started.
+    /// Returns when a refused caller may come back: once the requests that wait now have started.
     fn retry_after(&self, local: usize) -> Duration {
         self.wait_of(local, self.queue.len_of(local)).clamp(SHORTEST_RETRY, LONGEST_RETRY)
     }
@@ -355,7 +357,7 @@
         Duration::from_secs_f32(wait_ms / 1_000.0)
     }
 
-    /// Starts what may start, best first.
+    /// Starts all requests that may start, in order of precedence.
     pub(crate) fn dispatch(&mut self, now: Moment, effects: &mut SchedulerEffects) {
         while let Some((local, upstream)) = self.next_start(now) {
             let Some(waiting) = self.queue.pop(local) else { return };
@@ -388,7 +390,8 @@
         order.into_iter().find_map(|local| Some((local, self.place(now, local)?)))
     }
 
-    /// Lets whoever has waited longest of the lower kinds go first on the floor's turns.
+    /// Moves the longest-waiting request of the lower kinds to the front when it is the floor's
+    /// turn.
     fn raise_lowest(&mut self, order: &mut Vec<usize>) {
         if !self.shares.floor_turn() {
             return;
@@ -416,9 +419,8 @@
             slack: self.slack.mul_add(UPSTREAM_PART, UPSTREAM_LEAST),
             own_slack: if kind.length == WorkLength::Long { 1.0 } else { OWN_SLACK },
         };
-        // The one thing known for certain is the slot that an answer has just left. While every
-        // slot is in demand, filling that one keeps each upstream's load even, whatever the age
-        // of the counts.
+        // The only certain fact is the slot that an answer has just freed. While every slot is in
+        // demand, filling that one keeps each upstream's load even, whatever the age of the counts.
         if let Some(freed) = self.freed.take_if(|_| self.shares.is_tight())
             && self.upstreams.is_usual(&choice, freed)
         {
@@ -428,12 +430,13 @@
         if found.is_some() || choice.avoid.is_empty() {
             return found;
         }
-        // Where every other upstream is tried or full, a tried one beats none.
+        // Where every other upstream has been tried or is full, one that was tried is better than
+        // none.
         choice.avoid = &[];
         self.upstreams.choose(&mut self.rng, &choice)
     }
 
-    /// Whether shares, reservations and the bound on long work leave this kind a slot.
+    /// Whether shares, reservations and the limit on long work leave this kind a slot.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
     pub(super) fn may_start(&self, local: usize) -> bool {
         if self.shares.kind(local).priority == FIRST_PRIORITY {
@@ -447,7 +450,7 @@
             || self.upstreams.busy() + reserved as f32 <= self.upstreams.usable_slots() * self.slack
     }
 
-    /// Works out anew what this entry may start until the next sum.
+    /// Recalculates how many requests this entry may start until the next sum.
     pub(crate) fn grant_leases(&mut self, entries: u16, interval: Duration) {
         let slots = self.upstreams.usable_slots();
         let usual_ms = self.upstreams.usual_ms().max(1.0);
@@ -496,8 +499,8 @@
     // -----------------------------------------------------------------------------------------
     // Growing old
 
-    /// Refuses waiting requests that can no longer be answered in time, so that their callers
-    /// learn it while they can still act, and no slot is spent on an answer nobody awaits.
+    /// Refuses waiting requests that can no longer be answered in time. Their callers learn it
+    /// while they can still act, and no slot is spent on an answer that no caller waits for.
     fn refuse_late(&mut self, now: Moment, effects: &mut SchedulerEffects) {
         let usual = self.usual();
         for local in self.queue.waiting().to_vec() {
@@ -520,7 +523,7 @@
         let kind = self.shares.kind_mut(local);
         let since = kind.last_start.map_or(arrived, |last| last.max(arrived));
         kind.last_start = Some(now);
-        // One that starts as it comes says nothing about how fast a queue moves.
+        // A request that starts on arrival says nothing about how fast a queue moves.
         if now == arrived {
             return;
         }
@@ -528,21 +531,22 @@
         kind.start_gap_ms += GAP_WEIGHT * (gap_ms - kind.start_gap_ms);
     }
 
-    /// The usual time of one answer.
+    /// Returns the usual answer time.
     pub(super) fn usual(&self) -> Duration {
         Duration::from_secs_f32(self.upstreams.usual_ms() / 1_000.0)
     }
 
-    /// Time that must be left when a request starts.
+    /// Returns the time that must be left when a request starts.
     fn needed(&self) -> Duration {
         self.usual().mul_f32(TIMES_LEFT)
     }
 }
 
-/// The new row of each row of the old plan that is in use, if it is still there.
+/// Returns the new row of each row of the old plan that is in use, if it still exists.
 ///
-/// Each pool looks at its own rows by name, and only for what waits or runs: a sheet of thousands of
-/// rows would otherwise hold up the control thread for so long that a leader loses its lease.
+/// Each pool looks up its own rows by name, and only those of waiting or running requests.
+/// Otherwise a sheet of thousands of rows would hold up the control thread for so long that a
+/// leader loses its lease.
 fn moved_rows(
     pool: &PoolName,
     old: &IndexedPlan,
--- a/crates/pulley_core/src/request/pool_scheduler_counts.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_counts.rs
@@ -1,4 +1,4 @@
-//! The scheduler's part in sharing counts between entries.
+//! Exchange of request counts between entries, on the scheduler's side.
 
 use std::time::Duration;
 
@@ -9,16 +9,17 @@
 };
 use crate::request::SchedulerEffects;
 
-/// Rounds whose own counts are remembered, so that they can be taken off the sum that holds them.
+/// Number of rounds whose own counts are kept, so that they can be subtracted from the sum that
+/// contains them.
 const REMEMBERED: usize = 8;
 
-/// Requests for each usable slot that all entries together may have outstanding without counts.
+/// Requests per usable slot that all entries together may have outstanding without counts.
 const ALONE_SLACK: f32 = 4.0;
 
-/// Requests that one entry may have outstanding without counts, at least.
+/// Least number of requests that one entry may have outstanding without counts.
 const ALONE_LEAST: f32 = 4.0;
 
-/// Own counts as they went into one round's report.
+/// The entry's own counts as sent in the report of one round.
 #[derive(Clone, Debug)]
 pub(crate) struct ToldCounts {
     round: CountRound,
@@ -27,7 +28,7 @@
 }
 
 impl PoolScheduler {
-    /// Takes in the entries' counts as the coordinator has added them up.
+    /// Applies the sum of all entries' counts that the coordinator has published.
     pub fn receive_sum(&mut self, now: Moment, sum: &CountSum) -> SchedulerEffects {
         let mut effects = Vec::new();
         let fits = sum.pool == self.pool;
@@ -48,20 +49,20 @@
         effects
     }
 
-    /// The copies of sums that this entry passes on, each with the host it goes to.
+    /// Returns the copies of sums that this entry forwards, each with its destination host.
     pub fn take_relays(&mut self) -> Vec<(HostId, CountSum)> {
         self.link.as_mut().map(CountLink::take_relays).unwrap_or_default()
     }
 
-    /// Takes in another entry's report, to be added to this entry's own.
+    /// Keeps another entry's report, to be added to this entry's own.
     pub fn receive_report(&mut self, from: &HostId, delta: &CountDelta) {
         if let Some(link) = self.link.as_mut().filter(|_| delta.pool == self.pool) {
             link.keep_report(from, delta);
         }
     }
 
-    /// The reports that are due, each for the host in its `to`, or else for the coordinator of
-    /// the zone named with it.
+    /// Returns the reports that are due. Each goes to the host in its `to`, or to the coordinator
+    /// of the zone returned with it if there is none.
     pub fn take_deltas(&mut self, now: Moment) -> Vec<(ZoneName, CountDelta)> {
         let mut deltas = Vec::new();
         let Some(link) = self.link.as_mut() else { return deltas };
@@ -105,29 +106,29 @@
         deltas
     }
 
-    /// When [`Self::take_deltas`] next has something, if ever.
+    /// Returns when [`Self::take_deltas`] next has a report, if ever.
     #[must_use]
     pub fn next_delta_at(&self) -> Option<Moment> {
         self.link.as_ref().map(CountLink::next_at)
     }
 
-    /// How old the counts of the other entries are; none without any.
+    /// Returns the age of the other entries' counts, or `None` if there are none.
     #[must_use]
     pub fn count_age(&self, now: Moment) -> Option<Duration> {
         self.link.as_ref()?.age(now)?;
         Some(now.since(self.counted_at?))
     }
 
-    /// Without a coordinator the other entries' counts mean nothing any more; kept, they would
-    /// hold slots occupied that were freed long ago.
+    /// Discards the other entries' counts once the coordinator is lost. If they were kept, slots
+    /// that were freed long ago would still count as occupied.
     pub(crate) fn expire_counts(&mut self, now: Moment) {
         let Some(link) = self.link.as_mut() else { return };
         link.expire(now);
         if link.age(now).is_none() && self.counted_at.take().is_some() {
             self.upstreams.forget_foreign();
             self.shares.forget_foreign();
-            // Its part of the pool and as much again: nobody counts, so others may do the same,
-            // and the upstreams' queues take what is too much.
+            // This entry may use its part of the pool and as much again. Other entries may do the
+            // same while nobody counts. The upstreams' queues take the excess.
             let known = f32::from(link.known().max(1));
             let room = self.upstreams.usable_slots() * ALONE_SLACK / known;
             self.shares.lease_alone(room.max(ALONE_LEAST));
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Forgets counts that were told for another list of upstreams.
+    /// Discards counts that were reported for another list of upstreams.
     pub(crate) fn relist(&mut self, now: Moment) {
         self.layout_since = now;
         self.told.clear();
@@ -169,7 +170,8 @@
         true
     }
 
-    /// Own counts, with the news since the last report if it is to travel.
+    /// Returns the entry's own counts, with the answers since the last report if `with_news` is
+    /// set.
     fn own_totals(&mut self, with_news: bool) -> CountTotals {
         let upstreams = self.upstreams.layout().len();
         let mut totals = CountTotals::new(upstreams, self.shares.len());
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -1,4 +1,4 @@
-//! The scheduler's part in asking upstreams when a request arrives, and in going by what they say.
+//! Probing upstreams when a request arrives, and placing the request by their load reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,97 +13,99 @@
 use super::{LoadReport, PoolScheduler, RefusalCause, RequestTicket, SchedulerEffects};
 use crate::process::{Moment, UpstreamId};
 
-/// What going to another zone costs, in usual times of an answer: the way there and back takes a
-/// few hundredths of one, and its bytes cost the operators more than the rest of the request.
+/// Ranking penalty of another zone, in usual answer times. The round trip takes a few hundredths of
+/// one, and bytes between zones cost the operators more than the rest of the request.
 const ZONE_DISTANCE: f32 = 0.25;
 
-/// The longest expected time, in usual times of an answer, that is worth a slot. A free slot beside
-/// a busy one comes to 1.6 at two slots; the slowest usual spell is 5.
+/// The longest expected time, in usual answer times, that is worth a slot. A free slot beside a
+/// busy one costs 1.6 with two slots. The usual slowdown of a machine by its neighbours is at most
+/// 5.
 const WORTH_STARTING: f32 = 2.0;
 
 /// The part of its time for which a request runs beside a full set of others, if it found room and
 /// its upstream was full when it ended.
 const FULL_PART: f32 = 0.5;
 
-/// How much larger than usual a request's work may be and still be in time, before other zones are
-/// asked as well.
+/// Other zones are probed as well unless work that is larger than usual by this factor would still
+/// be in time.
 const LARGE_WORK: f32 = 1.6;
 
-/// From how many times the promised time on a request counts as overdue, and by what its upstream
-/// then ranks behind others: three times the usual work is rarer than one in a thousand. It refuses
-/// nobody: where answers get lost on the way, every upstream soon has a request that is overdue, and
-/// with all of them passed over requests would be refused beside free slots.
+/// Multiple of its promised time after which a request counts as overdue, and the ranking factor
+/// for its upstream. Work of three times the usual size is rarer than one in a thousand. The factor
+/// causes no refusals. Where answers get lost on the network, every upstream soon has an overdue
+/// request, and with all of them excluded, requests would be refused beside free slots.
 const OVERDUE_TIMES: f32 = 3.0;
 const OVERDUE_COST: f32 = 2.0;
 
-/// The least part of an upstream that is taken to be usable when its cost is worked out.
+/// Lower bound of an upstream's usable part in its cost.
 const LEAST_PART: f32 = 0.2;
 
-/// How long what an upstream said of itself is gone by. Its neighbours change its speed about every
-/// 150 ms, so that one reading in five of this age is wrong.
+/// How long a load report is used in place of a new probe. Neighbours change an upstream's speed
+/// about every 150 ms, so one report in five of this age is wrong.
 const FRESH: Duration = Duration::from_millis(30);
 
-/// For how long an upstream is asked last that has said that it is slowed down or full: most spells
-/// and most queues are not over sooner.
+/// How long an upstream that has reported a slowdown or no free slot is probed last. Most slow
+/// periods and most queues last at least this long.
 const BAD_SPAN: Duration = Duration::from_millis(150);
 
-/// How many upstreams a request asks at a time once half of the probes are used up. In a rush two
-/// and a half probes come on each request; three at a time, every third request could ask nobody.
+/// Upstreams that a request probes at a time once half of the probes are used up. In a rush there
+/// are two and a half probes per request. With three at a time, every third request could probe no
+/// upstream.
 const SCARCE_WANTED: usize = 2;
 
-/// How long a word of a free slot is remembered for requests that can ask nobody.
+/// How long a report of a free slot is used for requests that cannot probe any upstream.
 const REMEMBERED: Duration = Duration::from_secs(1);
 
-/// The part of a kind's target that its work is taken to need before answers have shown it.
+/// The part of a kind's target that its work is assumed to need before answers have shown it.
 const TARGET_PART: f32 = 0.35;
 
-/// The weight of one answer in a kind's smoothed time, and how many times that time one answer may
-/// count for at most: a spell that began after the probe says nothing of the work itself.
+/// Weight of one answer in a kind's smoothed time, and the largest multiple of that time that one
+/// answer may count for. A slowdown that began after the probe says nothing about the work itself.
 const BASE_WEIGHT: f32 = 0.1;
 const BASE_JUMP: f32 = 2.0;
 
-/// How far a request looks for an upstream.
+/// Where a request looks for an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeReach {
-    /// In its own zone, as long as that has upstreams of its pool.
+    /// In its own zone, if that has upstreams of its pool.
     OwnZone,
     /// In every zone.
     EveryZone,
 }
 
-/// Asks for upstreams to ask.
+/// A query for upstreams to probe.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeQuestion<'a> {
-    /// Those that were asked already.
+    /// Upstreams that were already probed.
     pub asked: &'a [UpstreamId],
-    /// How many to ask at most.
+    /// Most upstreams to probe.
     pub wanted: usize,
-    /// How far to look.
+    /// Where to look.
     pub reach: ProbeReach,
 }
 
-/// An upstream to ask when a request arrives.
+/// An upstream to probe when a request arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProbeTarget {
-    /// Which upstream.
+    /// The upstream.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
 }
 
 impl PoolScheduler {
-    /// Sets how many upstreams arriving requests may ask, in probes a second.
+    /// Sets the probe rate for arriving requests, in probes per second.
     pub fn set_probe_rate(&mut self, rate: f32) {
         self.probes.set_rate(rate);
     }
 
-    /// Which upstreams to ask for a request, within the budget; none while requests wait here
-    /// already, since theirs is the next slot.
+    /// Returns the upstreams to probe for a request, within the budget. Returns none while requests
+    /// wait here already, because those get the next slot.
     ///
-    /// A request looks in its own zone first: another zone's answer is later, and its bytes are dear.
-    /// Within a zone those of the entry's subset go first, as it has connections to them; among them
-    /// the choice is random, as two entries that ask the same ones at the same moment would both
-    /// choose the one that is idle.
+    /// A request looks in its own zone first: an answer from another zone is later, and its bytes
+    /// are expensive. Within a zone the entry's subset goes first, because there are open
+    /// connections to it. Within the subset the order is random. Otherwise two entries that probe
+    /// the same upstreams at the same moment would both choose the idle one.
     pub fn probe_targets(
         &mut self,
         now: Moment,
@@ -132,14 +134,14 @@
         targets.collect()
     }
 
-    /// Orders upstreams to ask: those that are silent or have just said that they are bad go last, and
-    /// else the own zone and the others take turns.
+    /// Orders upstreams for probing. Silent upstreams and those with a recent bad report go last.
+    /// The remaining ones alternate between the own zone and the others.
     ///
-    /// Load it is for: one zone's callers ask more of its upstreams than other zones' do, in a rush or
-    /// all day. Harm: with all of the own zone before any other, requests never left a zone of eighty
-    /// upstreams that were all busy, and were refused while other zones had upstreams that stood
-    /// idle. Reason for the limit: a request comes here again only once some of the own zone were
-    /// asked in vain; half of its questions still go there, as bytes to other zones are dear.
+    /// One zone's callers may ask more of its upstreams than those of other zones, in a rush or all
+    /// day. When all of the own zone were probed first, requests never left a zone of eighty busy
+    /// upstreams, and were refused while upstreams of other zones stood idle. A request only looks
+    /// in other zones once some upstreams of its own zone were probed without success. Half of its
+    /// probes still go to its own zone, because bytes to other zones are expensive.
     fn in_turns(&self, now: Moment, open: Vec<AskableUpstream>) -> Vec<AskableUpstream> {
         let standing = |upstream: &AskableUpstream| {
             let was_bad = self.was_bad(now, upstream.index);
@@ -147,7 +149,7 @@
         };
         let mut ranked: Vec<(u8, AskableUpstream)> =
             open.into_iter().map(|upstream| (standing(&upstream), upstream)).collect();
-        // Stable, so that the order within the subset stays the random one.
+        // The sort is stable, so that the order within the subset stays random.
         ranked
             .sort_by_key(|(standing, upstream)| (*standing, upstream.is_away, upstream.is_outside));
         let groups = ranked.chunk_by(|(a, x), (b, y)| (a, x.is_away) == (b, y.is_away));
@@ -158,19 +160,19 @@
         turns.into_iter().map(|(_, _, upstream)| upstream).collect()
     }
 
-    /// Notes that an upstream has left a question unanswered.
+    /// Records that an upstream has left a probe unanswered.
     ///
-    /// Load it is for: a zone's upstreams vanish without a word, and their leases hold for seconds yet.
-    /// Harm: requests of the zone ask one of them after the other, wait for each, and come late while
-    /// other zones have upstreams that stand idle. Reason for the limits: an upstream that is only
-    /// slow is asked again a second later, and so is a zone, by whoever finds no other.
+    /// A zone's upstreams may vanish without notice while their leases are still valid for seconds.
+    /// Requests of the zone would probe them one after the other, wait for each, and come late
+    /// while upstreams of other zones stand idle. An upstream that is only slow is probed again a
+    /// second later. So is a silent zone, by requests that find no other.
     pub fn note_unanswered(&mut self, now: Moment, upstream: &UpstreamId) {
         if let Some(index) = self.upstreams.index_of(upstream) {
             self.upstreams.at_mut(index).note_unanswered(now);
         }
     }
 
-    /// Whether an upstream has said within the last moments that it is slowed down or full.
+    /// Whether an upstream has recently reported a slowdown or no free slot.
     fn was_bad(&self, now: Moment, index: usize) -> bool {
         let slots = self.upstreams.at(index);
         slots.reading.is_some_and(|(at, report)| {
@@ -181,7 +183,7 @@
         })
     }
 
-    /// Whether the own zone has upstreams that may be heard.
+    /// Whether the own zone has upstreams and is not silent.
     fn has_own_zone(&self, now: Moment) -> bool {
         if self.upstreams.silent_zones(now).contains(&&self.zone) {
             return false;
@@ -189,16 +191,16 @@
         self.upstreams.open().any(|slots| slots.record.announcement.zone == self.zone)
     }
 
-    /// How long a request would take at the best of the upstreams that were asked, in usual times
-    /// of an answer.
+    /// Returns how long a request would take at the best of the probed upstreams, in usual answer
+    /// times.
     #[must_use]
     pub fn best_cost(&self, now: Moment, readings: &[ProbeReading]) -> Option<f32> {
         let costs = readings.iter().filter_map(|reading| self.reading_cost(now, reading));
         costs.map(|found| found.cost + found.harm).min_by(f32::total_cmp)
     }
 
-    /// Takes a new request whose upstreams have been asked: it starts at the one that will answer
-    /// it first, if any can answer it in time.
+    /// Takes a new request whose upstreams have been probed. It starts at the one that should
+    /// answer first, if any can answer in time.
     pub fn arrive_probed(
         &mut self,
         now: Moment,
@@ -249,18 +251,18 @@
         vec![started]
     }
 
-    /// Takes a request for which no upstream could be asked any more, as the budget is used up.
+    /// Takes a request for which no upstream could be probed, because the budget is used up.
     ///
-    /// It goes by what upstreams have said within the last second: where one had a slot free, it is
-    /// likely to have one still. Placed blindly where none had, it would only wait there, just when
-    /// the pool can least afford it; it had better ask a little later.
+    /// It uses the load reports of the last second: an upstream that had a free slot is likely to
+    /// have one still. If no upstream had one, a request that is placed blindly would only queue,
+    /// just when the pool can least afford it. Its caller should retry a little later instead.
     fn arrive_unasked(
         &mut self,
         now: Moment,
         local: usize,
         ticket: &RequestTicket,
     ) -> SchedulerEffects {
-        // Those that wait here already are asked for by nobody: it goes behind them.
+        // No probes are made for requests that already wait here, so this one queues behind them.
         let waits = self.queue.len() > 0;
         if waits || ticket.target.is_none() || self.upstreams.is_closed() {
             return self.arrive(now, ticket);
@@ -276,7 +278,8 @@
         vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)]
     }
 
-    /// The best upstream by what all have said within the last second; none if none had room.
+    /// Returns the best upstream according to the load reports of the last second, or `None` if
+    /// none had room.
     fn remembered(&self, now: Moment, ticket: &RequestTicket) -> Option<usize> {
         let known = self.readings_since(now, REMEMBERED, ticket);
         let costs = known.iter().filter_map(|reading| self.reading_cost(now, reading));
@@ -285,21 +288,21 @@
         worth.min_by(|a, b| a.rank().total_cmp(&b.rank())).map(|found| found.index)
     }
 
-    /// Whether one of the upstreams that were asked should answer a request by its target.
+    /// Whether one of the probed upstreams should answer a request by its target.
     #[must_use]
     pub fn is_soon(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
         self.should_answer(now, ticket, readings, 1.0)
     }
 
-    /// Whether a request would start at the best of the upstreams that were asked, but its answer
-    /// would come late if its work were somewhat larger than usual.
+    /// Whether a request would start at the best of the probed upstreams, but its answer would come
+    /// late if its work were somewhat larger than usual.
     ///
-    /// Load it is for: pools whose upstreams have few slots, in which the free slot of the own zone
-    /// is mostly beside a busy one. Harm: there work takes longer, and answers miss targets of a few
-    /// usual times while other zones have upstreams that stand idle. Reason for the limit: work
-    /// much larger than usual is rare; what meets its target then too needs nobody else asked, and
-    /// another zone's bytes are dear. Once half of the probes are used up they are kept for those
-    /// that would else find no upstream at all.
+    /// In pools whose upstreams have few slots, the free slot of the own zone is mostly beside a
+    /// busy one. Work takes longer there, and answers miss targets of a few usual answer times
+    /// while upstreams of other zones stand idle. Work much larger than usual is rare. A request
+    /// that would meet its target even then needs no other probe, and bytes from another zone are
+    /// expensive. Once half of the probes are used up, the rest is kept for requests that would
+    /// otherwise find no upstream at all.
     #[must_use]
     pub fn is_risky(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
         let starts = self.best_cost(now, readings).is_some_and(|cost| cost <= WORTH_STARTING);
@@ -307,7 +310,7 @@
         may_ask && !self.should_answer(now, ticket, readings, LARGE_WORK)
     }
 
-    /// Whether work of so many times the usual size should be answered by its target.
+    /// Whether work of `size` times the usual size should be answered by its target.
     fn should_answer(
         &self,
         now: Moment,
@@ -324,14 +327,14 @@
         now + takes <= ticket.target.unwrap_or(ticket.deadline)
     }
 
-    /// Whether a request is better kept than sent to the best upstream that was found.
+    /// Whether to hold a request instead of sending it to the best upstream that was found.
     ///
-    /// Load it is for: many of a pool's upstreams are slowed down or full at this moment. Harm:
-    /// work that starts in a spell keeps its slot for the whole factor, and work that queues comes
-    /// late and makes those behind it late; a rush of seconds then leaves a pool unable to recover for
-    /// many times as long, though it could answer more than is asked of it. Reason for the limit: a
-    /// slot that is free, even beside a busy one, is below it; a spell or a queue is not, and both
-    /// are over sooner than the work would be.
+    /// Many of a pool's upstreams may be slowed down or full at the same moment. Work that starts
+    /// on a slowed upstream keeps its slot that many times as long. Work that queues comes late and
+    /// makes the requests behind it late. After a rush of seconds, a pool that could handle more
+    /// than its load would then be unable to recover for many times as long. A free slot, even
+    /// beside a busy one, is below the limit. A slow period or a queue is above it, and both are
+    /// over sooner than the work would be.
     fn is_kept(
         &self,
         now: Moment,
@@ -348,8 +351,8 @@
         queueing > ticket.deadline.since(now).mul_f32(WAIT_PART)
     }
 
-    /// Until when a request may look for an upstream that is worth starting at: past that its
-    /// answer would miss its target, and its caller had better know.
+    /// Returns until when a request may look for an upstream. After that its answer would miss its
+    /// target, and its caller should be refused.
     #[must_use]
     pub fn patience(&self, now: Moment, ticket: &RequestTicket) -> Moment {
         let (Some(local), Some(target)) = (self.shares.local(ticket.kind), ticket.target) else {
@@ -358,8 +361,7 @@
         (target - self.base(local)).min(ticket.deadline)
     }
 
-    /// What upstreams have said of themselves within the last moments, so that they need not be
-    /// asked again.
+    /// Returns the most recent load reports, so that these upstreams need not be probed again.
     #[must_use]
     pub fn fresh_readings(&self, now: Moment, ticket: &RequestTicket) -> Vec<ProbeReading> {
         self.readings_since(now, FRESH, ticket)
@@ -380,14 +382,14 @@
         known.collect()
     }
 
-    /// Whether any upstream has said how loaded it is within the last second.
+    /// Whether any upstream has reported its load within the last second.
     #[must_use]
     pub fn has_heard(&self, now: Moment) -> bool {
         let mut readings = self.upstreams.open().filter_map(|slots| slots.reading);
         readings.any(|(at, _)| now.since(at) <= REMEMBERED)
     }
 
-    /// How long a kind's work takes at an upstream that nothing slows down.
+    /// Returns how long a kind's work takes at an upstream that nothing slows down.
     fn base(&self, local: usize) -> Duration {
         let kind = self.shares.kind(local);
         if kind.base_ms > 0.0 {
@@ -412,18 +414,19 @@
             if let Some(left) = reading.report.cold_left {
                 self.upstreams.note_cold(now, index, left);
             }
-            // What it said of that holds from now on, and no longer than until it says otherwise.
+            // The reported cold time counts from now and holds until the next report, so it is not
+            // stored.
             let report = LoadReport { cold_left: None, ..reading.report };
             let slots = self.upstreams.at_mut(index);
-            // One that was passed on from here is no newer than it was.
+            // A load report that was returned from this store is no newer than the stored one.
             if slots.reading.is_none_or(|(_, known)| known != report) {
                 slots.reading = Some((now, report));
             }
         }
     }
 
-    /// Whether a request that this entry has sent to an upstream has taken far longer already than
-    /// the upstream's own word promised.
+    /// Whether a request that this entry has sent to an upstream has already taken far longer than
+    /// the load report promised.
     fn is_overdue(&self, now: Moment, upstream: usize) -> bool {
         self.running.values().filter(|running| running.upstream == upstream).any(|running| {
             let Some(cost) = running.cost else { return false };
@@ -432,10 +435,11 @@
         })
     }
 
-    /// What a reading says of a request's time there, if the upstream still takes work.
+    /// Returns a request's cost at an upstream by its load report, if the upstream still takes
+    /// work.
     ///
-    /// What callers have seen of it lately counts as well: an upstream may fail or take long while
-    /// its own word is good.
+    /// Recently observed failures and answer times count as well, because an upstream may fail or
+    /// take long while its own report is good.
     fn reading_cost(&self, now: Moment, reading: &ProbeReading) -> Option<UpstreamCost> {
         let index = self.upstreams.index_of(&reading.upstream)?;
         let slots = self.upstreams.at(index);
@@ -451,8 +455,8 @@
         Some(UpstreamCost { cost, harm, handicap: cost * late / part - cost + away, index })
     }
 
-    /// Whether an upstream is cold and nothing may be sent to it by this entry now. Its own word of
-    /// this moment goes before what was known.
+    /// Whether an upstream is cold and this entry may not send to it now. A new report takes
+    /// precedence over earlier information.
     fn is_too_cold(&self, now: Moment, index: usize, reading: &ProbeReading) -> bool {
         let (cold, terms) = (&self.upstreams.at(index).cold, self.upstreams.warm_up());
         match reading.report.cold_left {
@@ -462,13 +466,14 @@
         }
     }
 
-    /// Whether an upstream was full when a request ended that its report no longer counts.
+    /// Whether an upstream was full when a request ended. The report no longer counts that request.
     fn was_filled(&self, index: usize, report: Option<LoadReport>) -> bool {
         let slots = self.upstreams.at(index).slots();
         report.is_some_and(|report| SlotRoom::of(slots, &report) != SlotRoom::Free)
     }
 
-    /// Learns from an answer how long the kind's work takes, and how its upstream's word holds.
+    /// Learns from an answer how long the kind's work takes, and how accurate the upstream's load
+    /// report was.
     pub(super) fn note_answer(
         &mut self,
         now: Moment,
@@ -481,10 +486,11 @@
         let promised = self.base(local).as_secs_f32() * cost;
         let slots = self.upstreams.at_mut(running.upstream);
         slots.note_pace(now, took.as_secs_f32() / promised);
-        // Each of the two is learned from what the other has no part in: learned from the same
-        // answers, one would make up for whatever the other is wrong by.
+        // The two estimates are learned from different answers. Learned from the same answers, one
+        // would compensate for the error of the other.
         match running.room {
-            // Nobody need take a last slot to learn what it costs: others do, by chance.
+            // The cost of a last slot can be learned without taking one, from other requests that
+            // do by chance.
             Some(SlotRoom::Free)
                 if running.was_near && self.was_filled(running.upstream, report) =>
             {
@@ -501,14 +507,14 @@
     }
 }
 
-/// What a request would cost at one upstream, in usual times of an answer.
+/// The cost of a request at one upstream, in usual answer times.
 #[derive(Clone, Copy, Debug)]
 struct UpstreamCost {
     cost: f32,
-    /// By how much it would delay those that run there.
+    /// The delay that it would cause for the requests running there.
     harm: f32,
-    /// What speaks against it besides: another zone, failures lately. It ranks upstreams and
-    /// refuses none, as a moment's waiting changes nothing about it.
+    /// Other disadvantages, such as another zone or recent failures. It ranks upstreams and causes
+    /// no refusals, because waiting a moment would not change it.
     handicap: f32,
     index: usize,
 }
--- a/crates/pulley_core/src/request/retry_budget.rs
+++ b/crates/pulley_core/src/request/retry_budget.rs
@@ -1,33 +1,32 @@
-//! Whether a failed attempt is tried again.
+//! Retry decisions and the budget that limits retries.
 
 use std::time::Duration;
 
 use super::{AttemptOutcome, RequestVerdict};
 
-/// Retries allowed for each first attempt, in thousandths, unless set otherwise: one in ten.
+/// Retries allowed per first attempt by default, in thousandths: one in ten.
 ///
-/// When upstreams fail for want of capacity, each retry takes capacity from a request that has
-/// not had any. A tenth rides out single failures and cannot turn a partial failure into twice
-/// the load.
+/// When upstreams fail for lack of capacity, each retry takes capacity from a request that has not
+/// had any. A tenth covers single failures and cannot turn a partial failure into twice the load.
 const DEPOSIT: u32 = 100;
 
-/// One retry, in the same unit.
+/// The cost of one retry, in the same unit.
 const RETRY_COST: u32 = 1_000;
 
-/// Retries that may be saved up over quiet times, in the same unit.
+/// Most retries that may be saved up, in the same unit.
 const MOST_SAVED: u32 = 10 * RETRY_COST;
 
-/// Retries saved at the start.
+/// Retries saved at the start, in the same unit.
 const FIRST_SAVED: u32 = 3 * RETRY_COST;
 
-/// How many parts of an allowance over all entries are saved up: one in two. The other half is for
-/// entries that start anew, or that do not know yet how many they are.
+/// Divisor of an allowance over all entries that gives the part which may be saved up: one in two.
+/// The other half is for entries that restart, or that do not know yet how many entries there are.
 const ALLOWANCE_PARTS: u32 = 2;
 
-/// Retries of one pool's requests at one entry, paid for by its first attempts.
+/// Limits one entry's retries in one pool in proportion to its first attempts.
 ///
-/// Entries need not agree on anything: each spends a tenth of its own requests and what it has
-/// saved, so all together spend a tenth of all requests and what all have saved.
+/// Entries need no coordination. Each spends a tenth of its own requests and what it has saved, so
+/// all together spend a tenth of all requests and what all have saved.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     saved: u32,
@@ -35,33 +34,34 @@
     deposit: u32,
 }
 
-/// What all entries together may spend on retries of one pool's requests.
+/// Retries that all entries together may spend on one pool's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAllowance {
-    /// Retries for each hundred requests.
+    /// Retries per hundred requests.
     pub percent: u32,
-    /// Retries in any short while besides.
+    /// Additional retries in any short period.
     pub extra: u32,
 }
 
-/// What a decision about a retry depends on.
+/// The inputs of a retry decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryQuestion {
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
     /// Whether the request may have run.
     pub verdict: RequestVerdict,
-    /// Whether running it twice does no harm.
+    /// Whether the request is idempotent.
     pub idempotent: bool,
-    /// 0 after the first attempt, as in the ticket.
+    /// Number of the attempt as in the ticket: 0 for the first.
     pub attempt: u8,
-    /// Attempts at the request at most, the first included.
+    /// Most attempts at the request, including the first.
     pub most_attempts: u8,
-    /// Whether the answer says that another layer of this system gave up on it already.
+    /// Whether the answer says that another layer of this system has already given up on the
+    /// request.
     pub retried_below: bool,
     /// Time left until the deadline.
     pub left: Duration,
-    /// The usual time of one answer.
+    /// The usual answer time.
     pub typical: Duration,
 }
 
@@ -77,15 +77,15 @@
 /// Why there is no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpCause {
-    /// It was answered.
+    /// The request was answered.
     Answered,
-    /// It may have run, and running it twice would do harm.
+    /// The request may have run and is not idempotent, so running it twice would do harm.
     NotIdempotent,
-    /// It has had its attempts.
+    /// The attempts of the request are used up.
     TooManyAttempts,
-    /// The layer next to the failure has retried already.
+    /// The layer next to the failure has already retried.
     RetriedBelow,
-    /// No time is left for another attempt.
+    /// The time left is too short for another attempt.
     DeadlineTooClose,
     /// The budget is used up.
     BudgetUsedUp,
@@ -94,17 +94,17 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget with a few retries saved.
+    /// Creates a budget with a few retries saved.
     #[must_use]
     pub const fn new() -> Self {
         Self { saved: FIRST_SAVED, most_saved: MOST_SAVED, deposit: DEPOSIT }
     }
 
-    /// Makes a budget that keeps to its part of an allowance: in any window all entries together
-    /// make no more retries than it says.
+    /// Creates a budget for one entry's part of an allowance. In any window all entries together
+    /// make no more retries than the allowance permits.
     ///
-    /// It starts with one retry saved: entries restart many at a time, and each would begin with
-    /// its whole part once more.
+    /// It starts with one retry saved. Entries restart many at a time, and otherwise each would
+    /// begin with its whole part once more.
     #[must_use]
     pub fn within(allowance: RetryAllowance, entries: u32) -> Self {
         let deposit = allowance.percent.saturating_mul(RETRY_COST / 100);
@@ -113,7 +113,7 @@
         budget
     }
 
-    /// Keeps to its part of an allowance among so many entries.
+    /// Limits the saved retries to this entry's part of an allowance shared by `entries` entries.
     pub fn share(&mut self, allowance: RetryAllowance, entries: u32) {
         let saved = allowance.extra.saturating_mul(RETRY_COST) / ALLOWANCE_PARTS / entries.max(1);
         self.most_saved = saved.clamp(RETRY_COST, MOST_SAVED);
@@ -126,11 +126,12 @@
         self.saved = if saved < self.most_saved { saved } else { self.most_saved };
     }
 
-    /// Decides, and pays for the retry if there is one.
+    /// Decides whether to retry, and charges the budget for a retry.
     ///
-    /// Calls are up to 7 deep. If each layer tried 3 times, one failing upstream at the bottom
-    /// would be called 3^7 times for one request at the top. Only the layer next to the failure
-    /// retries; what it passes up bears a mark that keeps the others from trying again.
+    /// Calls are up to 7 layers deep. If each layer tried 3 times, one failing upstream at the
+    /// bottom would be called 3^7 times for one request at the top. Only the layer next to the
+    /// failure retries. The answer that it passes up carries a mark that keeps the other layers
+    /// from retrying.
     #[must_use]
     pub fn decide(&mut self, question: &RetryQuestion) -> RetryDecision {
         if let Some(cause) = give_up_cause(question) {
@@ -143,7 +144,7 @@
         RetryDecision::Retry
     }
 
-    /// Whole retries saved.
+    /// Returns the number of whole retries saved.
     #[must_use]
     pub const fn saved(&self) -> u32 {
         self.saved / RETRY_COST
@@ -163,7 +164,7 @@
     if question.outcome == AttemptOutcome::Cancelled {
         return Some(GiveUpCause::CallerLeft);
     }
-    // A binding that may have run must not run again: two premiums for one cargo.
+    // A binding that may have run must not run again: it would charge two premiums for one cargo.
     if question.verdict != RequestVerdict::NotRun && !question.idempotent {
         return Some(GiveUpCause::NotIdempotent);
     }
--- a/crates/pulley_core/src/request/share_leases.rs
+++ b/crates/pulley_core/src/request/share_leases.rs
@@ -1,13 +1,13 @@
-//! Divides a pool's capacity among kinds and entries while more is asked for than it has.
+//! Divides a pool's capacity among kinds while the demand exceeds it.
 
-/// What one kind asks for and may have.
+/// The demand of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KindDemand {
-    /// Which service of the pool the kind belongs to.
+    /// Index of the kind's service within the pool.
     pub service: usize,
     /// The service's share of the pool, as a part of the whole.
     pub share: f32,
-    /// The kind's rank; the least goes first within its service.
+    /// The kind's priority; the lowest value goes first within its service.
     pub priority: u8,
     /// Requests outstanding and waiting, from all entries.
     pub wanted: f32,
@@ -15,9 +15,9 @@
 
 /// Divides room for `slots` requests among kinds.
 ///
-/// Each service gets what it asks for up to its share; what some leave is lent to the others by
-/// their shares, so no room stays unused while anyone waits. Within a service the kinds that go
-/// first are served first. The parts never add up to more than `slots`.
+/// Each service gets its demand up to its share. What some services leave unused is lent to the
+/// others in proportion to their shares, so no room stays unused while requests wait. Within a
+/// service, kinds are served by priority. The parts never add up to more than `slots`.
 #[must_use]
 pub fn divide_slots(slots: f32, demands: &[KindDemand]) -> Vec<f32> {
     let services = demands.iter().map(|kind| kind.service + 1).max().unwrap_or(0);
@@ -38,11 +38,11 @@
     given
 }
 
-/// Fills services up to what they want, in proportion to their shares.
+/// Gives each service up to its demand, in proportion to the shares.
 fn fill(slots: f32, wanted: &[f32], share: &[f32]) -> Vec<f32> {
     let mut given = vec![0.0_f32; wanted.len()];
     let mut left = slots.max(0.0);
-    // Each turn satisfies a service for good or uses up what is left.
+    // Each iteration either satisfies a service completely or uses up the remaining room.
     for _ in 0..=wanted.len() {
         let open: Vec<usize> = (0..wanted.len()).filter(|s| given[*s] < wanted[*s]).collect();
         let weight = |service: usize| share[service].max(LEAST_SHARE);
@@ -61,5 +61,5 @@
     given
 }
 
-/// A service without a share still gets what nobody else wants.
+/// Weight of a service without a share, which still gets what no other service wants.
 const LEAST_SHARE: f32 = 0.001;
--- a/crates/pulley_core/src/request/start_wait.rs
+++ b/crates/pulley_core/src/request/start_wait.rs
@@ -2,32 +2,34 @@
 
 use std::time::Duration;
 
-/// How long after its start a host is expected to learn the configuration and the upstreams.
+/// Time after its start within which a host is expected to learn the configuration and the
+/// upstreams.
 ///
-/// That takes an election, where all hosts have restarted, and the first announcements of upstreams. A
-/// host that knows nothing after this has lost touch, and its callers had better go elsewhere.
+/// This takes an election, if all hosts have restarted, and the first announcements of upstreams. A
+/// host that knows nothing after this time has lost contact, and its callers should go elsewhere.
 const START_SPAN: Duration = Duration::from_millis(800);
 
-/// The part of its remaining time that a request waits at most; the rest is for the work.
+/// A request waits at most its remaining time divided by this. The rest is for the work.
 const WAIT_PART: u32 = 2;
 
-/// When to come back to a host that has just started, and to one that is not ready otherwise.
+/// Retry delay for callers of a host that has just started, and of one that is not ready for other
+/// reasons.
 const SOON: Duration = Duration::from_millis(200);
 const LATER: Duration = Duration::from_secs(1);
 
-/// How long a request waits for its host to get ready, if it does at all.
+/// Returns how long a request waits for its host to get ready, or `None` if it does not wait.
 ///
-/// Load it is for: all hosts restart together, and every caller comes back to them in the third of
-/// a second in which none is ready. Harm: refused at once, a caller that has one retry spends it
-/// there, and most are refused for good. Reason for the limit: the wait is short against the work where it helps, and none at all later, so that a host
-/// that is cut off refuses at once.
+/// When all hosts restart together, every caller comes back to them within the third of a second in
+/// which none is ready. If they were refused at once, callers with one retry would spend it there,
+/// and most would be refused for good. The wait is short compared with the work. After the start
+/// there is none, so a host that is cut off refuses at once.
 #[must_use]
 pub fn start_wait(uptime: Duration, left: Option<Duration>) -> Option<Duration> {
     let until_ready = START_SPAN.checked_sub(uptime).filter(|wait| !wait.is_zero())?;
     Some(left.map_or(until_ready, |left| until_ready.min(left / WAIT_PART)))
 }
 
-/// When a caller may come back to a host that is not ready.
+/// Returns when a caller may come back to a host that is not ready.
 #[must_use]
 pub fn not_ready_retry(uptime: Duration) -> Duration {
     if uptime < START_SPAN { SOON } else { LATER }
--- a/crates/pulley_core/src/request/subset_ranking.rs
+++ b/crates/pulley_core/src/request/subset_ranking.rs
@@ -1,27 +1,28 @@
-//! Which upstreams of a zone one entry asks before all others of that zone.
+//! The subset of a zone's upstreams that one entry probes before the others of the zone.
 
-/// How many upstreams of each zone an entry asks before all others of that zone.
+/// Number of upstreams of each zone that an entry probes before the others of that zone.
 ///
-/// Load it is for: many entries with a few requests a second each, and more upstreams than an entry
-/// can keep connections to. Harm: picked among all, nearly every question opened a connection, which
-/// takes an upstream a millisecond, an entry more processor time than the request, and longer than
-/// an answer that is already there; at an upstream's limit it was refused. Reason for the limit:
-/// two rounds of three questions, and two upstreams to spare that rest or fail.
+/// There may be many entries with a few requests a second each, and more upstreams than an entry
+/// can keep connections to. When upstreams were picked among all, nearly every probe opened a
+/// connection. That takes an upstream a millisecond, costs the entry more processor time than the
+/// request, and takes longer than an answer on an open connection. At an upstream's connection
+/// limit the probe was refused. Eight upstreams are enough for two rounds of three probes, with two
+/// to spare that rest or fail.
 const SUBSET_SIZE: usize = 8;
 
-/// What a change of the ranking does to the subset.
+/// The change of the subset caused by a change of the ranking.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SubsetShift {
-    /// The upstream that belongs to it now.
+    /// The upstream that joined the subset.
     pub(crate) joined: Option<usize>,
-    /// The upstream that no longer does.
+    /// The upstream that left the subset.
     pub(crate) left: Option<usize>,
 }
 
-/// The upstreams of one zone that take work, in the order in which one entry ranks them.
+/// The upstreams of one zone that take work, as ranked by one entry.
 ///
-/// The ranks are those of rendezvous hashing: one upstream that leaves or joins changes one place
-/// of the subset, and all entries' subsets together cover every upstream.
+/// The ranks are those of rendezvous hashing. An upstream that leaves or joins changes one place of
+/// the subset, and all entries' subsets together cover every upstream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SubsetRanking {
     ranked: Vec<(u64, usize)>,
@@ -33,7 +34,7 @@
         self.ranked.is_empty()
     }
 
-    /// Takes in an upstream.
+    /// Adds an upstream.
     pub(crate) fn insert(&mut self, rank: u64, index: usize) -> SubsetShift {
         let Err(place) = self.ranked.binary_search(&(rank, index)) else {
             return SubsetShift::default();
@@ -45,7 +46,7 @@
         SubsetShift { joined: Some(index), left: self.at(SUBSET_SIZE) }
     }
 
-    /// Takes out an upstream.
+    /// Removes an upstream.
     pub(crate) fn remove(&mut self, rank: u64, index: usize) -> SubsetShift {
         let Ok(place) = self.ranked.binary_search(&(rank, index)) else {
             return SubsetShift::default();
--- a/crates/pulley_core/src/request/ticket.rs
+++ b/crates/pulley_core/src/request/ticket.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the scheduler, and what the scheduler answers.
+//! Requests to the scheduler and the effects that it returns.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use super::RefusalCause;
 use crate::process::{Moment, UpstreamId};
 
-/// Numbers the requests of one process.
+/// Number of a request within its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// A request that wants an upstream.
+/// A request that needs an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestTicket {
     /// Its number, unique in the process.
@@ -28,38 +28,38 @@
     pub kind: usize,
     /// When its answer is no longer of use.
     pub deadline: Moment,
-    /// Until when its answer is worth most to its caller, if the plan says so.
+    /// The time by which the caller wants the answer, if the plan sets one.
     pub target: Option<Moment>,
-    /// 0 for a first attempt.
+    /// Number of earlier attempts: 0 for the first attempt.
     pub attempt: u8,
     /// Upstreams that earlier attempts have tried.
     pub avoid: Vec<UpstreamId>,
 }
 
-/// What the scheduler wants done.
+/// An action that the scheduler requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SchedulerEffect {
-    /// Send the request now; a slot is counted as used until the request is finished.
+    /// Send the request now. A slot is counted as used until the request is finished.
     Start {
-        /// Which request.
+        /// The number of the request.
         number: RequestNumber,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: UpstreamId,
-        /// Where that upstream listens.
+        /// The upstream's address.
         address: SocketAddr,
     },
-    /// Answer at once that it was not run.
+    /// Refuse the request at once, as not run.
     Refuse {
-        /// Which request.
+        /// The number of the request.
         number: RequestNumber,
-        /// Why.
+        /// The cause of the refusal.
         cause: RefusalCause,
-        /// When the caller may usefully come back.
+        /// When the caller may come back.
         retry_after: Duration,
     },
 }
 
-/// Effects in the order they are to be carried out.
+/// Effects in the order in which they must be carried out.
 pub type SchedulerEffects = Vec<SchedulerEffect>;
 
 /// How one attempt at an upstream ended.
@@ -69,43 +69,43 @@
     Answered,
     /// A whole answer that is a server error.
     Failed,
-    /// The upstream says it shed the request unrun.
+    /// The upstream reports that it shed the request without running it.
     Shed,
     /// No connection could be made; nothing was sent.
     Unreachable,
-    /// The connection broke, or nothing came in time, after bytes were sent.
+    /// The connection broke, or the attempt timed out, after bytes were sent.
     Broken,
     /// The caller left.
     Cancelled,
 }
 
 impl AttemptOutcome {
-    /// Whether it shows that something is wrong with the upstream or the way to it.
+    /// Whether the outcome points to a fault of the upstream or of the network path to it.
     #[must_use]
     pub const fn is_failure(self) -> bool {
         !matches!(self, Self::Answered | Self::Cancelled)
     }
 }
 
-/// An upstream's own report of its load, as read from a reply.
+/// An upstream's own load report, as read from a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Busy part of the upstream, from 0 to 1; it may exceed 1 when the upstream queues.
+    /// Busy part of the upstream, from 0 to 1. It may exceed 1 when the upstream queues requests.
     pub utilization: f32,
-    /// Requests it works on, if it says so.
+    /// Requests running at the upstream, if reported.
     pub in_flight: Option<u32>,
-    /// Requests that wait at it, if it says so.
+    /// Requests queued at the upstream, if reported.
     pub waiting: Option<u32>,
-    /// How long work takes there now, against its usual time, if it says so: its neighbours on the
-    /// machine may slow it down.
+    /// Current duration of work relative to its usual duration, if reported. Neighbours on the same
+    /// machine may slow an upstream down.
     pub slowdown: Option<f32>,
-    /// For how long it is still cold, if it says so; zero once it has warmed up.
+    /// Remaining time for which the upstream is cold, if reported; zero once it has warmed up.
     pub cold_left: Option<Duration>,
 }
 
 impl LoadReport {
-    /// The load once one of the requests that it counts is over: the next that waits takes its
-    /// slot.
+    /// Returns the load after one of the counted requests has ended. The next queued request takes
+    /// its slot.
     #[must_use]
     pub fn less_one(mut self) -> Self {
         match self.waiting {
--- a/crates/pulley_core/src/request/upstream_slots.rs
+++ b/crates/pulley_core/src/request/upstream_slots.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of one upstream's slots.
+//! State of one upstream's slots, as one entry sees it.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
     CountKey, Moment, UpstreamHealth, UpstreamNews, UpstreamPhase, UpstreamRecord,
 };
 
-/// Part of its slots that a warming upstream starts with, and how long it takes to the whole.
+/// Part of its slots that a warming upstream starts with, and the time until all of them are used.
 ///
-/// A cold upstream answers its first requests many times slower. With its full slots at once it
-/// would collect a queue that outlasts its warming.
+/// A cold upstream answers its first requests many times slower. If all its slots were used at
+/// once, it would collect a queue that outlasts the warm-up.
 const COLD_PART: f32 = 0.25;
 const WARMING: Duration = Duration::from_secs(4);
 
-/// Below this usable part an upstream gets no more than a trickle.
+/// Usable part of the slots below which an upstream gets only a trickle of requests.
 const IMPAIRED: f32 = 0.3;
 
-/// Time between requests that one entry sends to an impaired upstream. Each of them may fail or
-/// take long; 25 entries send six a second, which is enough to see that it has recovered.
+/// Interval between the requests that one entry sends to an impaired upstream. Each of them may
+/// fail or take long. 25 entries send six a second, which is enough to notice a recovery.
 const TRICKLE_EVERY: Duration = Duration::from_secs(4);
 
-/// For how long an upstream is taken to be gone that has not answered a question.
+/// How long an upstream that left a probe unanswered counts as silent.
 const SILENT_SPAN: Duration = Duration::from_secs(1);
 
-/// In which time half of a slow pace is forgotten, in seconds; the weight of one answer in it, and
-/// the most that one answer may count for.
+/// Half-life in seconds of the pace (measured against promised answer time), the weight of one
+/// answer, and the largest ratio that one answer may count for.
 const PACE_MEMORY_S: f32 = 2.0;
 const PACE_WEIGHT: f32 = 0.3;
 const PACE_LIMIT: f32 = 10.0;
@@ -35,28 +35,29 @@
 pub(crate) struct UpstreamSlots {
     pub(crate) key: CountKey,
     pub(crate) record: UpstreamRecord,
-    /// False once it is no longer announced; it stays until its last request ends.
+    /// False once the upstream is no longer announced. It is kept until its last request ends.
     pub(crate) listed: bool,
-    /// Whether it is one of those of its zone that this entry asks first.
+    /// Whether the upstream belongs to the subset of its zone that this entry probes first.
     pub(crate) in_subset: bool,
-    /// This entry's own requests outstanding.
+    /// This entry's own outstanding requests.
     pub(crate) own: u32,
-    /// The other entries' requests outstanding, as of the newest sum.
+    /// The other entries' outstanding requests, as of the newest sum.
     pub(crate) foreign: f32,
-    /// Answers since the last report.
+    /// Answers and failures since the last report.
     pub(crate) news: UpstreamNews,
     health: UpstreamHealth,
-    /// What all entries together find usable.
+    /// The usable part according to all entries together.
     pub(crate) shared_usable: f32,
-    /// What it said of its load last, and when.
+    /// The upstream's last load report and when it arrived.
     pub(crate) reading: Option<(Moment, LoadReport)>,
-    /// When it last left a question unanswered.
+    /// When the upstream last left a probe unanswered.
     unanswered: Option<Moment>,
-    /// How much longer its answers take than its own word promised, and since when.
+    /// Ratio of its answer times to those that its load reports promise, and when it was last
+    /// updated.
     pace: f32,
     paced_at: Moment,
     warming_since: Option<Moment>,
-    /// Bounds what is sent to it while it is cold.
+    /// Rate limit while the upstream is cold.
     pub(crate) cold: ColdGuard,
     trickle_at: Moment,
 }
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes over a newer announcement; true if the upstream has started anew.
+    /// Applies a newer announcement. Returns true if the upstream has restarted.
     pub(crate) fn update(&mut self, now: Moment, record: &UpstreamRecord) -> bool {
         let restarted = record.announcement.incarnation > self.record.announcement.incarnation;
         if restarted {
@@ -102,17 +103,18 @@
         restarted
     }
 
-    /// Takes its own word for how slow it is at first, as what it gets is bounded otherwise.
+    /// Disables the assumed warm-up ramp, for pools where the rate to a cold upstream is limited in
+    /// another way.
     pub(crate) fn skip_warming(&mut self) {
         self.warming_since = None;
     }
 
-    /// Whether new work may go to it.
+    /// Whether new requests may go to the upstream.
     pub(crate) fn takes_work(&self) -> bool {
         self.listed && self.record.takes_work
     }
 
-    /// Part of its slots that is believed usable.
+    /// Returns the part of its slots that is considered usable.
     pub(crate) fn usable_part(&self, now: Moment) -> f32 {
         let part = self.health.usable(now).min(self.shared_usable);
         match self.warming_since {
@@ -124,36 +126,36 @@
         }
     }
 
-    /// How much longer its answers take than its own word promises.
+    /// Returns the ratio of its answer times to those that its load reports promise.
     ///
-    /// Some upstreams turn slow without saying so. One late answer in a row weighs little, as its
-    /// work may just have been long; several keep the upstream from getting work that another can
-    /// do. It is forgotten by half every few seconds, so that a recovered one is found out.
+    /// Some upstreams turn slow without reporting it. A single late answer weighs little, as its
+    /// work may just have been long. Several late answers keep away work that another upstream can
+    /// do. The ratio decays by half every few seconds, so that a recovery is noticed.
     pub(crate) fn pace(&self, now: Moment) -> f32 {
         let passed = now.since(self.paced_at).as_secs_f32();
         1.0 + (self.pace - 1.0) * (-passed / PACE_MEMORY_S).exp2()
     }
 
-    /// Learns from an answer that took so many times what its own word promised.
+    /// Learns from an answer that took `ratio` times as long as the load report promised.
     pub(crate) fn note_pace(&mut self, now: Moment, ratio: f32) {
         let pace = self.pace(now);
         self.pace = pace + PACE_WEIGHT * (ratio.clamp(1.0, PACE_LIMIT) - pace);
         self.paced_at = now;
     }
 
-    /// Notes that it has left a question unanswered.
+    /// Records that the upstream has left a probe unanswered.
     pub(crate) fn note_unanswered(&mut self, now: Moment) {
         self.unanswered = Some(now);
     }
 
-    /// Whether it has left a question unanswered lately and said nothing since.
+    /// Whether the upstream left a probe unanswered recently and has reported nothing since.
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
         let Some(unanswered) = self.unanswered else { return false };
         let has_spoken = self.reading.is_some_and(|(at, _)| at >= unanswered);
         !has_spoken && now.since(unanswered) < SILENT_SPAN
     }
 
-    /// Whether it is to be left alone for now.
+    /// Whether the upstream should get no request for now.
     pub(crate) fn rests(&self, now: Moment, usable_part: f32) -> bool {
         usable_part < IMPAIRED && now < self.trickle_at
     }
@@ -169,18 +171,18 @@
         }
     }
 
-    /// Slots it announced.
+    /// Returns the number of announced slots.
     #[expect(clippy::cast_precision_loss, reason = "slots are few")]
     pub(crate) fn slots(&self) -> f32 {
         self.record.announcement.slots.0 as f32
     }
 
-    /// Smoothed time of its answers in milliseconds, if there were enough.
+    /// Returns the smoothed answer time in milliseconds, once there are enough answers.
     pub(crate) fn latency_ms(&self) -> Option<f32> {
         self.health.latency_ms()
     }
 
-    /// Learns from the end of an attempt; `pool_ms` is the usual time in the pool.
+    /// Records the end of an attempt. `pool_ms` is the usual answer time in the pool.
     pub(crate) fn finish(
         &mut self,
         now: Moment,
@@ -193,7 +195,7 @@
         match outcome {
             AttemptOutcome::Answered => {
                 news.answers = 1;
-                // At least 1, so that many answers of half a millisecond do not add up to none.
+                // At least 1, so that many answers of half a millisecond do not add up to zero.
                 news.total_ms = u16::try_from(took.as_millis()).unwrap_or(u16::MAX).max(1);
             }
             AttemptOutcome::Cancelled => return,
--- a/crates/pulley_core/src/request/upstream_table.rs
+++ b/crates/pulley_core/src/request/upstream_table.rs
@@ -14,58 +14,59 @@
 };
 use crate::version::WarmUpTerms;
 
-/// Upstreams compared, at most, however fresh the counts are: beyond that a choice costs more
-/// than it gains.
+/// Most upstreams compared, however fresh the counts are. Beyond that a choice costs more than it
+/// gains.
 const MOST_CANDIDATES: usize = 3;
 
-/// Upstreams compared when the counts say nothing any more.
+/// Upstreams compared when the counts are too old to be useful.
 const FEWEST_CANDIDATES: usize = 2;
 
-/// From how many silent upstreams on a zone counts as silent, if none of it was heard within a while.
-/// One in six may have crashed on a bad day, so that three in a row by chance are rare.
+/// Least number of silent upstreams for a zone to count as silent, if none of its upstreams has
+/// reported within the given time. One in six may have crashed on a bad day, so three in a row by
+/// chance are rare.
 const SILENT_LEAST: usize = 3;
 const HEARD_SPAN: Duration = Duration::from_millis(300);
 
-/// How much an upstream that has left a question unanswered ranks behind others, in requests
-/// outstanding at one slot. It refuses nobody: where this host's own link is full, all are silent.
+/// Ranking penalty of an upstream that has left a probe unanswered, in outstanding requests at one
+/// slot. It causes no refusals: where this host's own link is full, all upstreams are silent.
 const SILENT_COST: f32 = 4.0;
 
-/// What going to another zone costs, in requests outstanding at one slot.
+/// Ranking penalty of another zone, in outstanding requests at one slot.
 const ZONE_COST: f32 = 0.05;
 
 /// The least part of the pool's slots that stays usable, whatever is measured.
 ///
-/// When everything slows down at once, the cause is load or the network, and taking slots away
-/// would only add to it.
+/// When all upstreams slow down at once, the cause is load or the network, and taking slots away
+/// would make it worse.
 const USABLE_FLOOR: f32 = 0.5;
 
-/// How old the sums over the pool may get while requests end.
+/// Maximum age of the sums over the pool while requests end.
 ///
-/// An entry with a few requests a second would else go by a pool of seconds ago: what its usual
-/// answer takes and how many slots are usable.
+/// Otherwise an entry with a few requests a second would use the usual answer time and the usable
+/// slots of seconds ago.
 const REFRESH_AFTER: Duration = Duration::from_secs(1);
 
 /// The upstreams of one pool.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamTable {
-    /// The entry that looks; each has a subset of its own.
+    /// The entry that owns the table. Each entry has its own subset.
     host: HostId,
     slots: Vec<UpstreamSlots>,
     by_id: FastMap<UpstreamId, usize>,
-    /// Upstreams that are no longer announced.
+    /// Indexes of upstreams that are no longer announced.
     unlisted: Vec<usize>,
-    /// Upstreams that take work, in ascending order.
+    /// Indexes of upstreams that take work, in ascending order.
     open: Vec<usize>,
-    /// The same by zone, as this entry ranks them.
+    /// The same upstreams by zone, as this entry ranks them.
     zones: FastMap<ZoneName, SubsetRanking>,
     layout: CountLayout,
-    /// What the pool's upstreams bear while they are cold.
+    /// Limits for the pool's upstreams while they are cold.
     warm_up: Option<WarmUpTerms>,
-    /// The live entries, which share that.
+    /// The live entries, which share those limits.
     entries: Arc<EntryZones>,
-    /// Where each place of the layout is kept.
+    /// Index of the upstream at each place of the layout.
     places: Vec<usize>,
-    /// When what holds for the pool as a whole was last worked out.
+    /// When the sums over the pool were last recalculated.
     refreshed: Moment,
     announced_slots: f32,
     usable_slots: f32,
@@ -75,21 +76,21 @@
     usual_ms: f32,
 }
 
-/// An upstream that may be asked how loaded it is.
+/// An upstream that may be probed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AskableUpstream {
-    /// Whether it has left a question unanswered lately, or its zone is silent.
+    /// Whether it recently left a probe unanswered, or its zone is silent.
     pub(crate) is_silent: bool,
     /// Whether it is in another zone.
     pub(crate) is_away: bool,
     /// Whether it is outside the entry's subset of its zone.
     pub(crate) is_outside: bool,
-    /// Where the table keeps it.
+    /// Its index in the table.
     pub(crate) index: usize,
 }
 
 impl UpstreamTable {
-    /// Makes an empty table for an entry.
+    /// Creates an empty table for an entry.
     pub(crate) fn new(host: HostId) -> Self {
         Self {
             host,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// What turns the announced upstreams into these.
+    /// Returns the changes from the currently announced upstreams to `records`.
     pub(crate) fn changes_to(&self, records: &[UpstreamRecord]) -> Vec<UpstreamChange> {
         let put = records.iter().map(|record| UpstreamChange::Put(Arc::new(record.clone())));
         let named: FastSet<&UpstreamId> =
@@ -123,11 +124,12 @@
         removed.chain(put).collect()
     }
 
-    /// Takes over how the announced upstreams have changed; true if another one is announced, or one
-    /// no longer is. That one stays until its last request ends, so that its end finds it.
+    /// Applies changes of the announced upstreams. Returns true if an upstream was added to the
+    /// announced ones or removed. A removed upstream is kept until its last request ends, so that
+    /// the end can be recorded.
     ///
-    /// The work is that of the changes and of two sums over the pool, as a host hears of several
-    /// changes a second among hundreds of upstreams.
+    /// The cost is that of the changes and of two sums over the pool, because a host receives
+    /// several changes a second among hundreds of upstreams.
     pub(crate) fn apply(&mut self, now: Moment, changes: &[UpstreamChange]) -> bool {
         let mut relisted = false;
         for change in changes {
@@ -143,13 +145,14 @@
         relisted
     }
 
-    /// The first zone of those that announced upstreams are in, by name.
+    /// Returns the first zone, by name, that has announced upstreams.
     pub(crate) fn first_zone(&self) -> Option<&ZoneName> {
         let listed = self.slots.iter().filter(|slots| slots.listed);
         listed.map(|slots| &slots.record.announcement.zone).min()
     }
 
-    /// Takes over one upstream's record; true if it was not announced before, or in another zone.
+    /// Applies one upstream's record. Returns true if the upstream was not announced before, or in
+    /// another zone.
     fn put(&mut self, now: Moment, record: &UpstreamRecord) -> bool {
         let known = self.by_id.get(&record.announcement.id).copied();
         let was_listed = known.is_some_and(|index| {
@@ -172,8 +175,9 @@
         !was_listed
     }
 
-    /// Notes by an upstream's record whether it is cold. One that gets work again without a new
-    /// start, as its zone is back in use, may have become cold meanwhile: its own word decides.
+    /// Updates from an upstream's record whether it is cold. An upstream that gets work again
+    /// without a restart, because its zone is back in use, may have turned cold in the meantime.
+    /// Its own report decides.
     fn note_phase(&mut self, now: Moment, index: usize, is_known: bool) {
         let Some(terms) = self.warm_up else { return };
         let slots = &mut self.slots[index];
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Notes what an upstream has said of how long it is cold.
+    /// Records an upstream's own report of how long it stays cold.
     pub(crate) fn note_cold(&mut self, now: Moment, index: usize, left: Duration) {
         if left.is_zero() {
             self.slots[index].cold.note_warm();
@@ -206,17 +210,17 @@
         self.entries.is_assigned(&self.host, upstream, COLD_ENTRIES)
     }
 
-    /// Takes over what the pool's upstreams bear while they are cold.
+    /// Sets the limits for the pool's upstreams while they are cold.
     pub(crate) fn set_warm_up(&mut self, terms: Option<WarmUpTerms>) {
         self.warm_up = terms;
     }
 
-    /// What the pool's upstreams bear while they are cold.
+    /// Returns the limits for the pool's upstreams while they are cold.
     pub(crate) fn warm_up(&self) -> Option<WarmUpTerms> {
         self.warm_up
     }
 
-    /// Takes over which entries are alive.
+    /// Sets the live entries.
     pub(crate) fn set_entries(&mut self, now: Moment, entries: &Arc<EntryZones>) {
         if Arc::ptr_eq(&self.entries, entries) {
             return;
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Notes that an upstream is no longer announced; true if it was.
+    /// Marks an upstream as no longer announced. Returns true if it was announced.
     fn remove(&mut self, id: &UpstreamId) -> bool {
         let Some(index) = self.by_id.get(id).copied().filter(|index| self.slots[*index].listed)
         else {
@@ -242,7 +246,7 @@
         true
     }
 
-    /// Counts an upstream among those that take work, if it does.
+    /// Adds an upstream to those that take work, if it does.
     fn open_up(&mut self, index: usize) {
         let slots = &self.slots[index];
         if !slots.takes_work() {
@@ -258,7 +262,7 @@
         self.shift_subset(shift);
     }
 
-    /// Counts an upstream no longer among those that take work.
+    /// Removes an upstream from those that take work.
     fn close(&mut self, index: usize) {
         let Ok(place) = self.open.binary_search(&index) else { return };
         self.open.remove(place);
@@ -285,7 +289,7 @@
         }
     }
 
-    /// Orders the announced upstreams as messages do.
+    /// Rebuilds the layout: the order of the announced upstreams in messages.
     fn lay_out(&mut self) {
         let listed = self.slots.iter().enumerate().filter(|(_, slots)| slots.listed);
         let mut places: Vec<(CountKey, usize)> = listed.map(|(i, slots)| (slots.key, i)).collect();
@@ -294,12 +298,12 @@
         self.places = places.into_iter().map(|(_, index)| index).collect();
     }
 
-    /// Whether the sums over the pool are as old as they may get.
+    /// Whether the sums over the pool have reached their maximum age.
     pub(crate) fn is_stale(&self, now: Moment) -> bool {
         now.since(self.refreshed) >= REFRESH_AFTER
     }
 
-    /// Works out anew what holds for the pool as a whole.
+    /// Recalculates the sums over the pool.
     pub(crate) fn refresh(&mut self, now: Moment) {
         self.refreshed = now;
         let open = self.open.iter().map(|index| &self.slots[*index]);
@@ -325,8 +329,8 @@
         self.by_id.get(id).copied()
     }
 
-    /// The zones from which nobody is heard: several of their upstreams have left questions
-    /// unanswered lately, and none has said anything since.
+    /// Returns the silent zones: several of their upstreams recently left probes unanswered, and
+    /// none has reported anything since.
     pub(crate) fn silent_zones(&self, now: Moment) -> Vec<&ZoneName> {
         let mut zones: FastMap<&ZoneName, (usize, bool)> = FastMap::default();
         for slots in self.open() {
@@ -338,7 +342,7 @@
         zones.into_iter().filter(|(_, counts)| is_silent(*counts)).map(|(zone, _)| zone).collect()
     }
 
-    /// Upstreams that may be asked how loaded they are.
+    /// Returns the upstreams that may be probed.
     pub(crate) fn askable(
         &self,
         now: Moment,
@@ -358,7 +362,7 @@
             let is_silent =
                 slots.is_silent(now) || silent_zones.contains(&&slots.record.announcement.zone);
             let is_away = slots.record.announcement.zone != *zone;
-            // What is set aside for this entry is asked as if it were of its subset.
+            // A cold upstream that is assigned to this entry is probed as if it were in its subset.
             let is_outside = !slots.in_subset && !slots.cold.is_cold(now);
             AskableUpstream { is_silent, is_away, is_outside, index }
         });
@@ -369,22 +373,22 @@
         &mut self.slots[index]
     }
 
-    /// The order of the upstreams in messages.
+    /// Returns the order of the upstreams in messages.
     pub(crate) fn layout(&self) -> &CountLayout {
         &self.layout
     }
 
-    /// The upstream at a place of the layout.
+    /// Returns the upstream at a place of the layout.
     pub(crate) fn at_place(&mut self, place: usize) -> &mut UpstreamSlots {
         &mut self.slots[self.places[place]]
     }
 
-    /// Counts a request that starts or ends in the sums over the pool.
+    /// Adds a request that starts or ends to the sums over the pool.
     pub(crate) fn count(&mut self, change: f32) {
         self.busy = (self.busy + change).max(0.0);
     }
 
-    /// Upstreams that take work.
+    /// Returns the upstreams that take work.
     pub(crate) fn open(&self) -> impl Iterator<Item = &UpstreamSlots> {
         self.open.iter().map(|index| &self.slots[*index])
     }
@@ -394,28 +398,28 @@
         self.open.is_empty()
     }
 
-    /// The usable part of a usual upstream. Where all fail or are slow, the cause is load or the
-    /// network, and none is worse than another for it.
+    /// Returns the usable part of a typical upstream. Where all upstreams fail or are slow, the
+    /// cause is load or the network, and none is worse than another because of it.
     pub(crate) fn usual_part(&self) -> f32 {
         if self.announced_slots > 0.0 { self.usable_slots / self.announced_slots } else { 1.0 }
     }
 
-    /// Slots that are usable, over the pool.
+    /// Returns the usable slots over the pool.
     pub(crate) fn usable_slots(&self) -> f32 {
         self.usable_slots
     }
 
-    /// Requests outstanding, over the pool.
+    /// Returns the outstanding requests over the pool.
     pub(crate) fn busy(&self) -> f32 {
         self.busy
     }
 
-    /// The usual time of an answer in milliseconds; 0 if nothing is known.
+    /// Returns the usual answer time in milliseconds; 0 if it is unknown.
     pub(crate) fn usual_ms(&self) -> f32 {
         self.usual_ms
     }
 
-    /// Forgets what other entries have outstanding.
+    /// Discards the other entries' outstanding requests.
     pub(crate) fn forget_foreign(&mut self) {
         for slots in &mut self.slots {
             slots.foreign = 0.0;
@@ -423,14 +427,14 @@
         }
     }
 
-    /// Chooses the upstream with the least load for its size among a few, if any is below its
-    /// bound.
+    /// Chooses the least loaded upstream for its size among a few candidates, if any is below its
+    /// limit.
     ///
     /// With fresh counts the best of many is the best. With old ones every entry would choose the
-    /// same few that were idle when the sum was made, and pile up there; so the older the counts,
-    /// the fewer are compared, and the less they weigh against the pool's mean. If all that were
-    /// looked at are full, the rest is looked through, because a request that waits beside a free
-    /// slot is pure loss.
+    /// same few upstreams that were idle when the sum was made, and overload them. So the older the
+    /// counts, the fewer upstreams are compared, and the less the counts weigh against the pool's
+    /// mean. If all candidates are full, the remaining upstreams are examined as well, because a
+    /// request that waits beside a free slot is pure loss.
     pub(crate) fn choose(&self, rng: &mut SmallRng, choice: &UpstreamChoice<'_>) -> Option<usize> {
         if self.open.is_empty() {
             return None;
@@ -449,7 +453,7 @@
         self.best(choice, freshness, tail.iter().chain(head).copied())
     }
 
-    /// Whether an upstream may get the next request and is not loaded far beyond the others.
+    /// Whether an upstream may get the next request and is not loaded far above the others.
     pub(crate) fn is_usual(&self, choice: &UpstreamChoice<'_>, index: usize) -> bool {
         if !self.slots[index].takes_work() {
             return false;
@@ -459,8 +463,8 @@
         score.is_some_and(|score| score <= usual * UNUSUAL)
     }
 
-    /// How much the counts still say, from 1 to 0: requests end and others start, and after one
-    /// time of an answer two thirds of what was counted is gone.
+    /// Returns the weight of the counts, from 1 to 0. Requests end and others start, and after one
+    /// usual answer time two thirds of what was counted is gone.
     fn freshness(&self, age: Option<Duration>) -> f32 {
         let Some(age) = age else { return 0.0 };
         let usual_ms = if self.usual_ms > 0.0 { self.usual_ms } else { UNKNOWN_MS };
@@ -483,7 +487,8 @@
         best.map(|(_, index)| index)
     }
 
-    /// Load after one more request, by usable slot; none if that is above the bound.
+    /// Returns the load per usable slot after one more request, or `None` if that is above the
+    /// limit.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
     fn score(&self, choice: &UpstreamChoice<'_>, freshness: f32, index: usize) -> Option<f32> {
         let slots = &self.slots[index];
@@ -491,7 +496,7 @@
         let usable = slots.slots() * part;
         let usual = self.foreign_a_slot * usable;
         let load = slots.own as f32 + usual + (slots.foreign - usual) * freshness;
-        // What the entry has sent itself it knows for certain, whatever the age of the counts.
+        // The entry's own outstanding requests are known exactly, whatever the age of the counts.
         if slots.own as f32 >= (usable * choice.own_slack).max(1.0)
             || load >= (usable * choice.slack).max(1.0)
             || slots.rests(choice.now, part)
@@ -510,7 +515,8 @@
         slots.own as f32 + slots.foreign
     }
 
-    /// Puts a new upstream in a place of its own, or in that of one whose last request has ended.
+    /// Adds a new upstream, in place of an unannounced one whose last request has ended if there is
+    /// one.
     fn insert(&mut self, slots: UpstreamSlots) -> usize {
         let id = slots.record.announcement.id.clone();
         let unused = self.unlisted.iter().position(|index| self.slots[*index].own == 0);
@@ -528,13 +534,13 @@
     }
 }
 
-/// The usual time of an answer before any is known, in milliseconds.
+/// Assumed usual answer time in milliseconds, before any is known.
 const UNKNOWN_MS: f32 = 20.0;
 
-/// An upstream with this many times the pool's load for a slot is relieved, not refilled.
+/// An upstream whose load per slot exceeds the pool's by this factor is not refilled.
 const UNUSUAL: f32 = 1.5;
 
-/// What a choice depends on besides the upstreams.
+/// The inputs of a choice besides the upstreams.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UpstreamChoice<'a> {
     pub(crate) now: Moment,
@@ -542,11 +548,11 @@
     pub(crate) zone: &'a ZoneName,
     /// Upstreams that were tried before.
     pub(crate) avoid: &'a [UpstreamId],
-    /// How old the counts are; none without a coordinator.
+    /// Age of the counts; `None` without a coordinator.
     pub(crate) age: Option<Duration>,
-    /// All entries' requests allowed outstanding for each usable slot of an upstream.
+    /// All entries' outstanding requests allowed per usable slot of an upstream.
     pub(crate) slack: f32,
-    /// This entry's own requests allowed outstanding for each usable slot of an upstream.
+    /// This entry's own outstanding requests allowed per usable slot of an upstream.
     pub(crate) own_slack: f32,
 }
 
--- a/crates/pulley_core/src/request/verdict.rs
+++ b/crates/pulley_core/src/request/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether a request may have run.
+//! Whether a request may have run, and why a request was refused.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,23 +7,23 @@
 
 use crate::process::QuantityFault;
 
-/// Says whether a request may have run on an upstream.
+/// Whether a request may have run on an upstream.
 ///
-/// It travels on every answer that the system itself makes, in the header
+/// It is sent with every answer that the system itself makes, in the header
 /// `jacinthpulley-verdict`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestVerdict {
-    /// No byte of it can have been acted on; sending it again is safe.
+    /// No byte of the request can have been acted on. It is safe to send it again.
     NotRun,
-    /// It may or may not have run; only an idempotent request may be sent again.
+    /// The request may or may not have run. Only an idempotent request may be sent again.
     MayHaveRun,
-    /// It ran, and the answer is the upstream's own.
+    /// The request ran, and the answer is the upstream's own.
     Ran,
 }
 
 impl RequestVerdict {
-    /// The value as it stands in the header.
+    /// Returns the header value.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -55,13 +55,13 @@
     }
 }
 
-/// Why the system refused a request before any upstream saw it.
+/// Why the system refused a request before it reached any upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalCause {
-    /// No row of the plan matches it.
+    /// No row of the plan matches the request.
     NoSuchKind,
-    /// The plan changed while it was on its way, and its pool no longer answers its kind.
+    /// The plan changed while the request was in progress, and its pool no longer serves its kind.
     PlanChanged,
     /// This host has no configuration that it knows to be current.
     NotReady,
@@ -69,11 +69,11 @@
     NoUpstream,
     /// The wait would be longer than the deadline allows.
     DeadlineTooClose,
-    /// Every upstream that was asked is full.
+    /// Every upstream that was probed is full.
     PoolBusy,
-    /// Its queue is full.
+    /// The queue of the pool is full.
     QueueFull,
-    /// The process is at its own limits.
+    /// The process has reached its own limits.
     HostFull,
     /// The claim on the idempotency key could not be made.
     LedgerUnavailable,
@@ -81,12 +81,12 @@
     KeyConflict,
     /// The request is malformed or over a size limit.
     BadRequest,
-    /// The configuration held here doesn't allow it, but a newer one was accepted that may.
+    /// The configuration held here doesn't allow the request, but a newer accepted one may.
     ConfigurationBehind,
 }
 
 impl RefusalCause {
-    /// The cause as it stands in headers, logs and metrics.
+    /// Returns the cause as written in headers, logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/pulley_core/src/request/wait_queue.rs
+++ b/crates/pulley_core/src/request/wait_queue.rs
@@ -1,11 +1,11 @@
-//! Requests that wait at one entry for a slot of one pool.
+//! Queue of the requests that wait at one entry for a slot of one pool.
 
 use std::collections::BTreeMap;
 
 use super::{RequestNumber, RequestTicket};
 use crate::process::{FastMap, Moment};
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub(crate) ticket: RequestTicket,
@@ -14,22 +14,22 @@
 
 type WaitKey = (Moment, RequestNumber);
 
-/// Waiting requests of each kind, by deadline.
+/// Waiting requests by kind, each kind ordered by deadline.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitQueue {
     kinds: Vec<BTreeMap<WaitKey, WaitingRequest>>,
-    /// The kinds of which requests wait, in order.
+    /// The kinds that have waiting requests, in ascending order.
     waiting: Vec<usize>,
     places: FastMap<RequestNumber, (usize, Moment)>,
 }
 
 impl WaitQueue {
-    /// Makes an empty queue with a place for each kind.
+    /// Creates an empty queue for `kinds` kinds.
     pub(crate) fn new(kinds: usize) -> Self {
         Self { kinds: vec![BTreeMap::new(); kinds], ..Self::default() }
     }
 
-    /// Adds a request of the `local` kind.
+    /// Adds a request of the kind with index `local`.
     pub(crate) fn push(&mut self, local: usize, waiting: WaitingRequest) {
         let key = (waiting.ticket.deadline, waiting.ticket.number);
         self.places.insert(waiting.ticket.number, (local, waiting.ticket.deadline));
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes a kind's request with the earliest deadline.
+    /// Removes and returns a kind's request with the earliest deadline.
     pub(crate) fn pop(&mut self, local: usize) -> Option<WaitingRequest> {
         let (_, waiting) = self.kinds[local].pop_first()?;
         self.places.remove(&waiting.ticket.number);
@@ -47,7 +47,7 @@
         Some(waiting)
     }
 
-    /// Takes a request out, wherever it waits.
+    /// Removes a request, whatever its kind and position.
     pub(crate) fn remove(&mut self, number: RequestNumber) -> Option<WaitingRequest> {
         let (local, deadline) = self.places.remove(&number)?;
         let waiting = self.kinds[local].remove(&(deadline, number));
@@ -55,33 +55,33 @@
         waiting
     }
 
-    /// Takes out all requests.
+    /// Removes and returns all requests.
     pub(crate) fn drain(&mut self) -> Vec<WaitingRequest> {
         self.places.clear();
         let waiting = std::mem::take(&mut self.waiting).into_iter();
         waiting.flat_map(|local| std::mem::take(&mut self.kinds[local]).into_values()).collect()
     }
 
-    /// The kinds of which requests wait, in order.
+    /// Returns the kinds that have waiting requests, in ascending order.
     pub(crate) fn waiting(&self) -> &[usize] {
         &self.waiting
     }
 
-    /// A kind's request with the earliest deadline.
+    /// Returns a kind's request with the earliest deadline.
     pub(crate) fn first(&self, local: usize) -> Option<&WaitingRequest> {
         self.kinds[local].first_key_value().map(|(_, waiting)| waiting)
     }
 
-    /// How many requests of a kind wait.
+    /// Returns how many requests of a kind wait.
     pub(crate) fn len_of(&self, local: usize) -> usize {
         self.kinds[local].len()
     }
 
-    /// How many requests of a kind wait with a deadline not after this one.
+    /// Returns how many requests of a kind wait with a deadline no later than this one.
     pub(crate) fn ahead_of(&self, local: usize, deadline: Moment) -> usize {
         let kind = &self.kinds[local];
-        // Deadlines of one kind mostly come in order of arrival, so the newcomer goes last; the
-        // count is only walked for one that overtakes.
+        // Deadlines of one kind mostly come in order of arrival, so a new request usually goes
+        // last. The requests ahead are only counted one by one for a request that overtakes others.
         match kind.last_key_value() {
             Some((last, _)) if last.0 > deadline => {
                 kind.range(..=(deadline, RequestNumber(u64::MAX))).count()
@@ -90,12 +90,12 @@
         }
     }
 
-    /// How many requests wait in all.
+    /// Returns how many requests wait in all.
     pub(crate) fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// The earliest deadline in the queue.
+    /// Returns the earliest deadline in the queue.
     pub(crate) fn earliest(&self) -> Option<Moment> {
         let firsts = self.waiting.iter().filter_map(|local| self.first(*local));
         firsts.map(|first| first.ticket.deadline).min()
