--- a/crates/pulley_core/tests/arrival_probes/main.rs
+++ b/crates/pulley_core/tests/arrival_probes/main.rs
@@ -1,4 +1,4 @@
-//! Asking upstreams at arrival: single decisions, and what callers get of it under load.
+//! Arrival probes: single decisions, and the share of answers in time under load.
 
 mod noisy_pool;
 mod subset_tests;
@@ -108,8 +108,8 @@
 }
 
 // Of three upstreams, one is idle on a machine that its neighbours slow down five times, one has a
-// free slot beside a busy one, and one has a queue. Sent to the idle one by its counts, the request
-// would take two seconds; the free slot beside the busy one answers it in time.
+// free slot beside a busy one, and one has a queue. If the idle one were chosen by its counts, the
+// request would take two seconds. The free slot beside the busy one answers it in time.
 #[test]
 fn a_slowed_machine_is_passed_over_though_it_is_idle() {
     let records: Vec<_> = (0..3).map(|index| upstream(index, "a", 2)).collect();
@@ -119,9 +119,9 @@
     assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(1, now), &readings)), Some("u1"));
 }
 
-// Every upstream that was asked is slowed down or full. The request is kept, as spells and queues
-// are over sooner than work that is sent into them; once its target can no longer be met, its
-// caller is to be told at once, with a time to come back.
+// Every probed upstream is slowed down or full. The request is held back, because slow periods and
+// queues are over sooner than work that is sent into them. Once its target can no longer be met,
+// its caller must be refused at once, with a retry delay.
 #[test]
 fn a_request_is_kept_while_all_are_slow_or_full() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 2)).collect();
@@ -136,8 +136,9 @@
     assert!(patience > now + 100 * MS && patience < now + TARGET, "{patience:?}");
 }
 
-// An upstream of another zone is idle, one of the own zone has a busy slot. The own one answers a
-// little later and saves the bytes between zones; a full own zone sends the request away.
+// An upstream of another zone is idle, and one of the own zone has busy slots. The own one answers
+// a little later and saves the bytes between zones. A full own zone must send the request to the
+// other.
 #[test]
 fn the_own_zone_goes_first_and_refuses_nobody() {
     let records = [upstream(0, "a", 6), upstream(1, "b", 6)];
@@ -157,8 +158,8 @@
 
 // Upstreams have two slots, and the free one of the own zone is beside a busy one, while another
 // zone has idle upstreams. The answer would be late if the work were half again as large as usual,
-// so the other zone is asked as well. Where all are idle, in a spell that is over sooner, or once
-// half of the probes are used up, nobody else is asked.
+// so the other zone is probed as well. It is not probed where all upstreams are idle, during a slow
+// period that is over sooner, or once half of the probes are used up.
 #[test]
 fn other_zones_are_asked_where_the_target_is_at_risk() {
     let records = [upstream(0, "a", 2), upstream(1, "b", 2), upstream(2, "b", 2)];
@@ -180,9 +181,10 @@
     assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(9, now), &both)), Some("u1"));
 }
 
-// Of two upstreams one has said half a second ago that it is free; none of those that are asked now
-// answers, as slowed machines answer late. Placed by counts alone, half of the requests went to the
-// other one and took a second. Once nobody has answered for longer, counts are all there is.
+// Of two upstreams one reported half a second ago that it is free. No probed upstream answers now,
+// because slowed machines answer late. When requests were placed by counts alone, half of them went
+// to the other upstream and took a second. Once no upstream has answered for longer, only the
+// counts are left.
 #[test]
 fn those_that_answer_nobody_are_passed_over_while_others_do() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 6)).collect();
@@ -199,8 +201,8 @@
     assert!(!scheduler.has_heard(now + Duration::from_secs(1)));
 }
 
-// A burst comes when upstreams have the least time for questions. No entry may ask more than its
-// part of the budget in any second, whatever arrives.
+// A burst comes when upstreams have the least time to answer probes. No entry may send more than
+// its part of the probe budget in any second, whatever arrives.
 #[test]
 fn probes_stay_within_the_budget_through_a_burst() {
     let records: Vec<_> = (0..14).map(|index| upstream(index, "a", 2)).collect();
@@ -218,9 +220,9 @@
     }
 }
 
-// Answers get lost on their way, so that every upstream has a request that is long overdue. They
-// all have free slots still: one with nothing overdue goes first, and where there is none the
-// request starts all the same. It was refused before, beside idle upstreams.
+// Answers get lost on the network, so that every upstream has a request that is long overdue,
+// although all of them have free slots. An upstream without overdue requests goes first. Where
+// there is none, the request must start all the same; it was once refused beside idle upstreams.
 #[test]
 fn overdue_requests_rank_upstreams_and_refuse_nobody() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 6)).collect();
@@ -237,8 +239,8 @@
     assert_eq!(chosen(&scheduler.arrive_probed(later, &ticket(3, later), &only)), Some("u0"));
 }
 
-// An upstream takes ten times as long as its own word promises. After a few answers the entry goes
-// by what its callers have seen, and some seconds later tries it again.
+// An upstream takes ten times as long as its own load reports promise. After a few answers the
+// entry must go by the observed answer times, and some seconds later try the upstream again.
 #[test]
 fn what_callers_see_counts_besides_an_upstreams_word() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 2)).collect();
@@ -265,12 +267,12 @@
     f64::from(in_time) / f64::from(asked)
 }
 
-// 14 upstreams of two slots on machines whose neighbours slow them down five times in a quarter of
-// all spells; 29 entries, 40 requests a second, 160 ms of work, answers wanted within 400 ms; a
-// rush of three seconds. Placed by own counts, a quarter of the work starts in a spell and keeps
-// its slot for the whole of it: callers see half of their answers late, and the pool does not get
-// over the rush. Measured by this test: 0.25 of the answers in time by own counts, 0.97 by asking;
-// after the rush 0.32 and 0.97.
+// 14 upstreams of two slots run on machines whose neighbours slow them down five times in a quarter
+// of all periods. 29 entries get 40 requests a second of 160 ms of work, with answers wanted within
+// 400 ms, and a rush of three seconds. When requests are placed by own counts, a quarter of the
+// work starts in a slow period and keeps its slot for the whole of it. Half of the answers are then
+// late, and the pool does not recover from the rush. Measured by this test: 0.25 of the answers in
+// time by own counts, 0.97 with probes; after the rush 0.32 and 0.97.
 #[test]
 fn asking_at_arrival_brings_answers_in_time_and_gets_over_a_rush() {
     let blind = NoisyPool::new(PoolShape::SLOWING, false).play(40.0, 1.7);
@@ -283,12 +285,13 @@
     assert!(before <= 0.75 * now, "{before:.3} by own counts, {now:.3} by asking");
 }
 
-// Twelve upstreams of three slots that do not slow down when they are full, on machines whose
-// neighbours slow them down seven times in a quarter of all spells; 22 entries; 88 ms of work,
-// answers wanted within 250 ms; a rush of three seconds at nine tenths of what the fast ones can
-// do. Nearly every free slot is a last one then. Taken to slow down, and with the load on an answer
-// counting that answer's own request, they were passed over and callers refused beside them.
-// Measured by this test: 0.862 of the answers of the rush in time before, 0.954 since.
+// Twelve upstreams of three slots do not slow down when they are full. They run on machines whose
+// neighbours slow them down seven times in a quarter of all periods. 22 entries get requests of 88
+// ms of work, with answers wanted within 250 ms, and a rush of three seconds at nine tenths of what
+// the fast upstreams can do. Nearly every free slot is a last one then. The upstreams were once
+// assumed to slow down, and the load reported with an answer counted that answer's own request.
+// They were then passed over, and callers were refused beside them. Measured by this test: 0.862 of
+// the answers of the rush in time before, 0.954 since.
 #[test]
 fn a_rush_on_upstreams_that_bear_it_is_answered_in_time() {
     let figures = NoisyPool::new(PoolShape::STEADY, true).play(105.0, 2.6);
@@ -297,9 +300,9 @@
     assert!(after >= 0.97, "{after:.3} after it");
 }
 
-// Forty upstreams of two slots in the callers' zone and forty in another, of which nobody else asks
-// anything; a rush of three seconds of more than the own zone can answer. Were a request to ask all
-// forty of its own zone before any other, callers would be refused or answered late beside idle
+// Forty upstreams of two slots are in the callers' zone and forty in another that gets no other
+// load. A rush of three seconds exceeds what the own zone can answer. If a request probed all forty
+// of its own zone before any other, callers would be refused or answered late beside idle
 // upstreams. Measured by this test: 0.435 of the answers of the rush in time before, 0.938 since.
 #[test]
 fn a_rush_in_one_zone_is_answered_by_others_too() {
@@ -311,8 +314,8 @@
 }
 
 // Upstreams of three slots take no longer when their last slot is taken. Once answers have shown
-// that, a request is sent to one that is full and has one waiting, where it was kept before; and
-// where answers show the opposite it is still kept.
+// that, a request must be sent to an upstream that is full and has one request waiting, where it
+// was held back before. Where answers show the opposite, it must still be held back.
 #[test]
 fn what_a_last_slot_costs_is_learned_from_answers() {
     for (took, starts) in [(140 * MS, true), (280 * MS, false)] {
@@ -333,9 +336,9 @@
     }
 }
 
-// A rush has used up the probes, and the one upstream that was asked last is slowed down. Another
-// has said half a second ago that it has room. The request goes there; it was refused before, as
-// one bad word counted for more than none.
+// A rush has used up the probes, and the only upstream probed last is slowed down. Another reported
+// half a second ago that it has room. The request must go there; it was once refused, because one
+// bad report counted for more than none.
 #[test]
 fn with_the_probes_used_up_one_bad_word_does_not_refuse_a_request() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 3)).collect();
@@ -353,8 +356,8 @@
     assert_eq!(chosen(&sent), Some("u0"));
 }
 
-// Half of the probes are used up, and one of three upstreams has just said that it is slowed down.
-// A request asks two more, and not that one: asked three at a time and at random, every third
+// Half of the probes are used up, and one of three upstreams has just reported a slowdown. A
+// request must probe the two others. When three random upstreams were probed at a time, every third
 // request of a rush found no probes left.
 #[test]
 fn scarce_probes_go_to_those_that_may_have_room() {
@@ -378,9 +381,9 @@
     if index < 20 { "a" } else { "b" }
 }
 
-// The upstreams of the entry's zone vanish without a word, while their leases hold for seconds yet. A
-// request that goes on asking them, each for a while, comes late; the next one must turn to the other
-// zone at once, and nobody may be given up for good.
+// The upstreams of the entry's zone vanish without notice, while their leases are still valid for
+// seconds. A request that goes on probing them, each until a timeout, comes late. The next one must
+// turn to the other zone at once, and no upstream may be given up for good.
 #[test]
 fn a_zone_that_has_fallen_silent_is_asked_after_the_others() {
     let records: Vec<_> =
@@ -394,7 +397,7 @@
     };
     let first = ask(&mut scheduler, now);
     assert!(first.iter().all(|target| zone_of(target) == "a"));
-    // One that is silent is no sign of a zone that is: others of it are asked.
+    // One silent upstream does not make its zone silent: others of the zone are probed.
     scheduler.note_unanswered(now, &first[0].upstream);
     let second = ask(&mut scheduler, now + 40 * MS);
     assert!(second.iter().all(|target| zone_of(target) == "a" && *target != first[0]));
@@ -403,7 +406,7 @@
     }
     let third = ask(&mut scheduler, now + 90 * MS);
     assert!(third.iter().all(|target| zone_of(target) == "b"), "{third:?}");
-    // A word from the zone, or a second without a question, brings it back.
+    // A report from the zone, or a second without probes, ends the zone's silence.
     let heard = ProbeReading { upstream: first[0].upstream.clone(), ..reading(0, 0, 0, 1.0) };
     scheduler.arrive_probed(now + 100 * MS, &ticket(2, now + 100 * MS), &[heard]);
     assert!(ask(&mut scheduler, now + 110 * MS).iter().all(|target| zone_of(target) == "a"));
@@ -411,7 +414,8 @@
     assert!(ask(&mut scheduler, later).iter().all(|target| zone_of(target) == "a"));
 }
 
-// This host's own link is full, and nobody at all is heard. Requests must still find an upstream.
+// This host's own link is full, and no upstream at all answers. Requests must still find an
+// upstream.
 #[test]
 fn with_all_upstreams_silent_requests_still_start() {
     let records: Vec<_> = (0..3).map(|index| upstream(index, "a", 2)).collect();
--- a/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
+++ b/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
@@ -1,4 +1,4 @@
-//! A pool on machines with noisy neighbours, in virtual time.
+//! Simulation of a pool on machines with noisy neighbours, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,20 +16,20 @@
 
 use super::{MS, entry_for, reading, ticket_for, upstream};
 
-/// Upstreams of two slots on machines with noisy neighbours, and entries that know only their own
-/// requests and what they ask.
+/// Upstreams on machines with noisy neighbours, and entries that know only their own requests and
+/// the load reports of probes.
 pub(crate) struct NoisyPool {
     shape: PoolShape,
     records: Vec<UpstreamRecord>,
     entries: Vec<PoolScheduler>,
-    /// Requests each upstream works on, and those that wait there: entry, number, when sent, work.
+    /// Running requests of each upstream, and its queue: entry, number and work of each request.
     running: Vec<usize>,
     queues: Vec<Vec<(usize, u64, Duration)>>,
     events: BinaryHeap<Reverse<(u64, u64, PoolEvent)>>,
     sequence: u64,
     rng: SmallRng,
     asks: bool,
-    /// When each request was first made, in microseconds.
+    /// When each request was first sent, in microseconds.
     first: Vec<u64>,
     figures: Vec<SecondFigures>,
 }
@@ -47,22 +47,22 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolShape {
     pub(crate) upstreams: u16,
-    /// Upstreams in another zone than the entries', of which nobody else asks anything.
+    /// Number of upstreams in another zone than the entries', which gets no other load.
     pub(crate) away: u16,
     pub(crate) slots: u32,
     pub(crate) entries: usize,
-    /// The usual time of the work.
+    /// The usual duration of the work.
     pub(crate) work: Duration,
-    /// Until when an answer is in time.
+    /// The time within which an answer is in time.
     pub(crate) target: Duration,
-    /// How many times as long work takes that takes an upstream's last slot.
+    /// Slowdown of work that takes an upstream's last slot.
     pub(crate) filling: f32,
-    /// How many times as long work takes in a quarter of all spells, and how long these are.
+    /// Slowdown of work in a quarter of all periods, and the length of a period.
     pub(crate) slowed: f32,
     pub(crate) spell: Duration,
-    /// Probes of one upstream a second by all entries together.
+    /// Probes per second of one upstream by all entries together.
     pub(crate) probes: f32,
-    /// Whether answers say how loaded their upstream is, once they are over.
+    /// Whether answers carry the load report of their upstream, taken after they have ended.
     pub(crate) tells: bool,
 }
 
@@ -82,7 +82,7 @@
         tells: false,
     };
 
-    /// Upstreams of three slots that do not.
+    /// Upstreams of three slots that do not slow down when they are full.
     pub(crate) const STEADY: Self = Self {
         upstreams: 12,
         away: 0,
@@ -98,7 +98,7 @@
     };
 }
 
-/// What callers got, by the second in which they asked first.
+/// Requests and answers in time, by the second in which the request was first sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SecondFigures {
     pub(crate) asked: u32,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A machine is slowed down in a quarter of its spells.
+    /// Returns the slowdown of an upstream's machine, which applies in a quarter of its periods.
     fn slowdown(&self, upstream: usize, at: u64) -> f32 {
         let spell = self.shape.spell.as_micros() as u64;
         let spell = (at + upstream as u64 * 37_000) / spell;
@@ -179,7 +179,7 @@
         self.shape.slots as usize
     }
 
-    /// Plays 30 s at `rate` requests a second, `rush` times that from second 5 to 8.
+    /// Simulates 30 s at `rate` requests a second, and `rush` times that from second 5 to 8.
     pub(crate) fn play(mut self, rate: f64, rush: f64) -> Vec<SecondFigures> {
         let mut at = 0.0;
         while at < 30.0 {
@@ -210,7 +210,7 @@
         let now = moment(at);
         let ticket = ticket_for(number, moment(begun), self.shape.target);
         let effects = if self.asks {
-            // It looks in its own zone first, and further when it asks again.
+            // A request looks in its own zone first, and in all zones when it probes again.
             let is_first = self.shape.away > 0 && at == begun;
             let reach = if is_first { ProbeReach::OwnZone } else { ProbeReach::EveryZone };
             let wanted = ProbeQuestion { asked: &[], wanted: 4, reach };
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Callers come back twice.
+    /// Sends a refused request again, at most twice.
     fn come_back(&mut self, at: u64, (number, tries): (u64, u32), after: Duration) {
         if tries < 2 {
             let back = at + u64::try_from(after.as_micros()).expect("short");
--- a/crates/pulley_core/tests/arrival_probes/subset_tests.rs
+++ b/crates/pulley_core/tests/arrival_probes/subset_tests.rs
@@ -1,4 +1,5 @@
-//! Which upstreams an entry asks where there are more than it can keep connections to.
+//! The subset of upstreams that an entry probes where there are more than it can keep connections
+//! to.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -31,7 +32,7 @@
     targets.into_iter().map(|target| target.upstream).collect()
 }
 
-/// How often one entry asks each upstream, if the first three are always good enough.
+/// Returns how often one entry probes each upstream, if the first three are always good enough.
 fn asked_by(seed: u64, records: &[UpstreamRecord]) -> BTreeMap<UpstreamId, u64> {
     let mut scheduler = entry(seed, records);
     let mut counts = BTreeMap::new();
@@ -44,11 +45,11 @@
     counts
 }
 
-// An entry with two requests a second has forty upstreams in its zone. Picked among all of them,
-// each is asked every seven seconds: its connection has gone meanwhile, so that most questions open
-// one, and callers wait for it. Measured by this test: 40 upstreams asked by an entry without a
-// subset, 8 with it. Over sixty entries no upstream may be left out or asked twice as much as
-// usual.
+// An entry with two requests a second has forty upstreams in its zone. If it picked among all of
+// them, each would be probed every seven seconds. Its connection would be closed by then, so most
+// probes would open one, and callers would wait for it. Measured by this test: 40 upstreams probed
+// by an entry without a subset, 8 with it. Over sixty entries no upstream may be left out or probed
+// more than twice as often as the mean.
 #[test]
 fn an_entry_asks_the_same_few_and_all_entries_ask_every_upstream() {
     let records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
@@ -66,13 +67,13 @@
     assert!(most <= 2 * mean, "{most} questions to one upstream, {mean} in the mean");
 }
 
-// Three of the usual few are slowed down or full, and the next few as well: the request looks
-// beyond them rather than being kept beside free upstreams.
+// Three upstreams of the subset are slowed down or full, and the next few as well. The request must
+// look beyond them instead of being refused beside free upstreams.
 #[test]
 fn a_request_looks_beyond_the_usual_few_when_those_are_asked() {
     let records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
     let mut scheduler = entry(1, &records);
-    // Enough that none of its questions makes probes scarce.
+    // High enough that none of its probes makes the budget scarce.
     scheduler.set_probe_rate(100.0);
     let now = Moment::ZERO + Duration::from_secs(1);
     let mut asked = Vec::new();
@@ -85,8 +86,8 @@
     assert_eq!(different.len(), asked.len());
 }
 
-// An upstream ends and another takes its place, as on every release. Were the few chosen anew with
-// each change, an entry would open all its connections again with each.
+// An upstream ends and another takes its place, as on every release. If the subset were chosen anew
+// with each change, an entry would open all its connections again with each change.
 #[test]
 fn one_upstream_that_leaves_changes_one_of_the_few() {
     let mut records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
@@ -98,7 +99,7 @@
     assert_eq!(before.difference(&after).collect::<Vec<_>>(), [&gone]);
 }
 
-/// All upstreams of the own zone, the few that go first apart from the rest.
+/// Returns all upstreams of the own zone: the subset, and the rest.
 fn ranked(
     scheduler: &mut PoolScheduler,
     now: Moment,
@@ -111,9 +112,9 @@
     (ids.into_iter().collect(), rest.into_iter().collect())
 }
 
-// Upstreams come, drain, move and leave by the hundred, and an entry hears of them one by one. What
-// it ends with must be what it would have begun with, had it started just now: an upstream that it
-// keeps asking after it left costs callers time, and one that it has lost stands idle.
+// Upstreams join, drain, move and leave by the hundred, and an entry receives the changes one by
+// one. It must end with the same ranking as an entry that has just started. An upstream that it
+// keeps probing after it left costs callers time, and one that it has lost stands idle.
 #[test]
 fn changes_one_by_one_end_where_a_fresh_start_does() {
     for seed in 1..=20 {
@@ -134,7 +135,7 @@
             let next = list.with([change]);
             scheduler.apply_changes(now, &next.changes_since(&list));
             list = next;
-            // Requests that outlast their upstream keep its place.
+            // Requests that outlast their upstream keep its slot in the table.
             let number = RequestNumber(step);
             match scheduler.arrive(now, &ticket(step, now)).as_slice() {
                 [SchedulerEffect::Start { .. }] if rng.random() => {
@@ -152,9 +153,9 @@
     }
 }
 
-// Callers of one zone ask more of its forty upstreams than they can answer, while another zone's
-// stand idle. A request that has asked a few in its own zone in vain looks further; were it to ask
-// all forty before any other, it would be refused beside idle upstreams.
+// Callers of one zone send more to its forty upstreams than these can answer, while another zone's
+// stand idle. A request that has probed a few in its own zone without success must look further. If
+// it probed all forty before any other, it would be refused beside idle upstreams.
 #[test]
 fn a_request_that_found_its_zone_busy_looks_in_others_too() {
     let own = (0..UPSTREAMS).map(|index| upstream(index, "a", 2));
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -1,4 +1,4 @@
-//! Laws of the decisions, over many random schedules with fixed seeds.
+//! Properties of the scheduling decisions, checked over many random schedules with fixed seeds.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Entries, their coordinator and a network that loses, doubles and delays.
+/// Entries, their coordinator and a network that loses, duplicates and delays messages.
 struct CountNetwork {
     entries: Vec<PoolScheduler>,
     coordinator: PoolCoordinator,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Lets everything happen until `end`, in steps of a quarter of a millisecond.
+    /// Runs the simulation until `end`, in steps of a quarter of a millisecond.
     fn run(&mut self, begin: Moment, end: Moment) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         let mut now = begin;
@@ -219,7 +219,8 @@
     coordinator
 }
 
-// Views come with each change of an upstream, many times between two rounds.
+// The configuration is applied again with each change of an upstream, many times between two
+// rounds. Reports received since the last round must not be lost by that.
 #[test]
 fn a_view_without_a_new_plan_loses_no_report() {
     let (now, plan) = (Moment::ZERO, plan());
@@ -247,7 +248,8 @@
     assert_eq!(counted.collect::<Vec<_>>(), [3]);
 }
 
-// A message tells of a bounded number of kinds, however many the configuration has.
+// A message holds a bounded number of kinds, however many the configuration has. A large plan must
+// not make the rounds rarer.
 #[test]
 fn rounds_are_no_rarer_for_a_large_plan() {
     let interval_of = |rows: usize| {
@@ -268,8 +270,9 @@
     assert_eq!(interval_of(1_400), interval_of(100));
 }
 
-// Every service asks for more than there is. If the parts added up to more than the pool, the
-// upstreams would queue what nobody can overtake any more; if to less, slots would stand idle.
+// Every service wants more than there is. If the parts added up to more than the pool, requests
+// would queue at the upstreams, where they can no longer be overtaken. If they added up to less,
+// slots would stand idle.
 #[test]
 fn leased_parts_add_up_to_the_room_and_no_more() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
@@ -297,8 +300,8 @@
     check(law as fn(u16, Vec<(u8, u16, u16)>) -> bool);
 }
 
-// Datagrams are lost, doubled and overtake each other while calls come and go. Once the network is
-// well again, the published counts must be what is really outstanding.
+// Datagrams are lost, duplicated and reordered while requests come and go. Once the network has
+// recovered, the published counts must equal the requests that are really outstanding.
 #[test]
 fn counts_converge_to_the_truth() {
     fn law(seed: u64, entries: u8) -> bool {
@@ -332,8 +335,8 @@
     check(law as fn(u64, u8) -> bool);
 }
 
-// Calls arrive in bursts, upstreams fail, hosts' messages get lost, callers leave. Whatever
-// happens, a caller must get exactly one outcome, and none may be forgotten.
+// Requests arrive in bursts, upstreams fail, messages between hosts get lost, callers leave.
+// Whatever happens, each request must get exactly one outcome, and none may be forgotten.
 #[test]
 fn every_request_ends_in_exactly_one_outcome() {
     fn law(seed: u64) -> bool {
@@ -389,8 +392,8 @@
     check(law as fn(u64) -> bool);
 }
 
-// A coordinator is lost and its successor begins to probe. Both together must stay within the
-// budget of the sheet: upstreams have no slot to spare for more.
+// A coordinator is lost and its successor begins to probe. Both together must stay within the probe
+// budget of the sheet, because upstreams have no slots to spare for more.
 #[test]
 fn probes_stay_within_the_budget_over_a_takeover() {
     let mut network = CountNetwork::new(6, 3, 0.0);
@@ -399,7 +402,7 @@
     network.coordinator = coordinator(1, lost_at);
     network.coordinator_host = 1;
     network.run(lost_at, lost_at + 8_000 * MS);
-    // Three kinds of two probes a second each make six.
+    // Three kinds with two probes a second each make six.
     assert!(network.probes.len() > 10, "nothing else tells of idle upstreams");
     for (first, begin) in network.probes.iter().enumerate() {
         for (extra, end) in network.probes[first..].iter().enumerate() {
@@ -427,8 +430,8 @@
     check(law as fn(u16, Vec<u16>) -> bool);
 }
 
-// First kinds keep coming as fast as they are answered. A caller of a low kind must still get its
-// answer: one start in twenty from the queue belongs to whoever has waited longest.
+// First-priority kinds keep coming as fast as they are answered. A caller of a low kind must still
+// get its answer: one start in twenty from the queue goes to the longest-waiting request.
 #[test]
 fn low_kinds_do_not_starve_below_the_floor() {
     let zone = "a".parse().expect("name");
@@ -461,8 +464,8 @@
     assert!(low_starts >= 400 / 20 - 3, "only {low_starts} low requests were started");
 }
 
-// One upstream answers ten times slower than the rest. Callers must notice little of it, so it may
-// get only a trickle once that is known.
+// One upstream answers ten times slower than the rest. To limit the effect on callers, it may get
+// only a trickle once that is known.
 #[test]
 fn slow_upstream_gets_less_work() {
     let zone = "a".parse().expect("name");
@@ -504,8 +507,8 @@
     }
 }
 
-// An upstream at the bottom of calls seven deep fails. If each layer tried three times, it would
-// be called 2,187 times for one request at the top.
+// An upstream at the bottom of calls seven layers deep fails. If each layer tried three times, it
+// would be called 2,187 times for one request at the top.
 #[test]
 fn one_layer_retries_within_its_budget() {
     let mut budget = RetryBudget::new();
@@ -527,8 +530,8 @@
 }
 
 // Upstreams fail for half a minute, and all entries restart in the middle of it. However the
-// requests are spread over entries that tell each other nothing, the retries of any ten seconds stay
-// within what the operator allows for all of them together.
+// requests are spread over entries that exchange nothing, the retries of any ten seconds must stay
+// within the operator's allowance for all of them together.
 #[test]
 fn entries_keep_to_a_retry_allowance_without_agreeing() {
     let allowance = RetryAllowance { percent: 17, extra: 75 };
@@ -560,8 +563,8 @@
     }
 }
 
-// A host dies. What the others coordinate must stay where it is, or every pool would lose its
-// counts at once.
+// A host dies. The pools that other hosts coordinate must stay where they are, or every pool would
+// lose its counts at once.
 #[test]
 fn lost_host_moves_only_what_it_coordinated() {
     let hosts: Vec<HostId> = (0..25).map(host).collect();
--- a/crates/pulley_core/tests/many_entries/cold_upstreams.rs
+++ b/crates/pulley_core/tests/many_entries/cold_upstreams.rs
@@ -1,4 +1,4 @@
-//! What entries together send to upstreams that are cold.
+//! The combined load of all entries on cold upstreams.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::entry_fleet::{COLD_MOST, COLD_SPAN, EntryFleet, record, warm_up};
 
-// A third of a pool's upstreams come back cold at the same moment in a rush, and two hundred entries
-// hear of it within 0.3 s. However they choose, no upstream may get more in any second than it
-// bears, as it would crash, and callers are still to be answered by the other two thirds and by
-// what the cold ones bear.
+// A third of a pool's upstreams come back cold at the same moment in a rush, and two hundred
+// entries learn of it within 0.3 s. No upstream may get more in any second than it can handle cold,
+// as it would crash. Callers must still be answered by the other two thirds and by what the cold
+// upstreams can handle.
 #[test]
 fn a_zone_that_comes_back_cold_in_a_rush_gets_no_more_than_it_bears() {
     let mut pool = EntryFleet::new(200, 117, Some(warm_up()), 1);
@@ -25,8 +25,8 @@
     assert!(pool.in_time() > 0.9, "in time: {}", pool.in_time());
 }
 
-// Upstreams turn cold again without a new start, as those of a zone that was emptied may, and nobody
-// announces it. Only their answers to questions tell, and all entries hear that within moments.
+// Upstreams turn cold again without a restart, as those of an evacuated zone may, and it is not
+// announced. Only their probe answers tell, and all entries learn it within moments.
 #[test]
 fn upstreams_that_turn_cold_unannounced_get_no_more_than_they_bear() {
     let mut pool = EntryFleet::new(200, 117, Some(warm_up()), 2);
@@ -37,8 +37,9 @@
     assert!(busiest <= COLD_MOST, "{busiest} requests in one second");
 }
 
-// Half of the entries have lost touch with the other half, and each half takes the other for dead
-// while it still reaches all upstreams. Both halves then assign cold upstreams to their own.
+// Half of the entries have lost contact with the other half. Each half considers the other dead
+// while it still reaches all upstreams. Both halves then assign cold upstreams to their own
+// entries.
 #[test]
 fn two_halves_that_do_not_know_of_each_other_keep_to_what_upstreams_bear() {
     let mut pool = EntryFleet::new(200, 117, Some(warm_up()), 3);
@@ -52,8 +53,8 @@
     assert!(busiest <= COLD_MOST, "{busiest} requests in one second");
 }
 
-// A zone is taken back after it was emptied. Its upstreams may be cold, which they have not
-// announced yet: all entries get them back at one moment and must find out first.
+// A zone is taken back into use after its evacuation. Its upstreams may be cold without having
+// announced it yet. All entries get them back at the same moment and must probe them first.
 #[test]
 fn a_zone_that_is_taken_back_is_asked_before_it_gets_work() {
     let mut pool = EntryFleet::new(200, 117, Some(warm_up()), 4);
--- a/crates/pulley_core/tests/many_entries/entry_fleet.rs
+++ b/crates/pulley_core/tests/many_entries/entry_fleet.rs
@@ -1,4 +1,4 @@
-//! Hundreds of entries before one pool whose upstreams turn cold or fall silent.
+//! Simulation of hundreds of entries with one pool whose upstreams turn cold or fall silent.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -26,13 +26,14 @@
 const QUEUE: usize = 8;
 const WORK_MS: f64 = 120.0;
 pub(crate) const TARGET: Duration = Duration::from_millis(300);
-/// How much longer a cold upstream works.
+/// Slowdown of work at a cold upstream.
 const COLD_TIMES: f64 = 2.0;
 pub(crate) const COLD_SPAN: Duration = Duration::from_secs(3);
-/// Requests a second that a cold upstream bears, by the sheet.
+/// Rate of requests that a cold upstream can handle according to the sheet, in thousandths of a
+/// request per second.
 const COLD_RATE: u32 = 4_300;
-/// More than this in one second breaks what was agreed with the upstreams' owners: half as much
-/// again as the rate, and eight.
+/// The limit agreed with the upstreams' owners for one second: half as much again as the rate, plus
+/// eight.
 pub(crate) const COLD_MOST: usize = 14;
 
 pub(crate) fn warm_up() -> WarmUpTerms {
@@ -83,16 +84,17 @@
     UpstreamRecord { announcement, takes_work: phase.takes_work() }
 }
 
-/// An upstream as it is, whatever entries know of it.
+/// The actual state of an upstream, whatever entries know of it.
 #[derive(Default)]
 pub(crate) struct RealUpstream {
     cold_until: Duration,
-    /// It answers nobody, and what is sent to it is lost.
+    /// The upstream answers no requests, and what is sent to it is lost.
     is_dark: bool,
-    /// Work left, in milliseconds of a request alone, with the entry and number of each.
+    /// Remaining work of each request, in milliseconds when it runs alone, with its entry and
+    /// number.
     pub(crate) running: Vec<(f64, usize, u64)>,
     queue: VecDeque<(usize, u64)>,
-    /// When requests came while it was cold.
+    /// Arrival times of requests while it was cold.
     pub(crate) cold_arrivals: Vec<Duration>,
 }
 
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The most requests that came within one second while it was cold.
+    /// Returns the most requests that arrived within one second while it was cold.
     fn busiest_second(&self) -> usize {
         let second = Duration::from_secs(1);
         let within = |from: &Duration| {
@@ -117,8 +119,7 @@
     }
 }
 
-/// How long a request waits for an answer, how long it rests before it asks again, and how often it
-/// asks in one go.
+/// Probe timeout, pause before a request probes again, and number of probe rounds without a pause.
 const PROBE_WAIT: Duration = Duration::from_millis(40);
 const FULL_PAUSE: Duration = Duration::from_millis(30);
 const STAGES: u32 = 2;
@@ -135,7 +136,7 @@
     readings: Vec<ProbeReading>,
 }
 
-/// Hundreds of entries before one pool.
+/// Hundreds of entries with one pool.
 pub(crate) struct EntryFleet {
     entries: Vec<PoolScheduler>,
     pub(crate) upstreams: Vec<RealUpstream>,
@@ -143,16 +144,16 @@
     now: Duration,
     number: u64,
     asked_at: FastMap<u64, Duration>,
-    /// Requests that ask upstreams, and when they go on.
+    /// Requests that probe upstreams, by the time at which they continue.
     asking: BTreeMap<(Duration, u64), AskingRequest>,
-    /// What entries are still to hear, and when.
+    /// Upstream records on their way to entries, by arrival time.
     news: BTreeMap<(Duration, u64), (usize, Vec<UpstreamRecord>)>,
-    /// How much longer work takes while an upstream is full.
+    /// Slowdown of work while an upstream is full.
     pub(crate) full_times: f64,
-    /// How often callers come back that were refused, and whether they do when they are told to.
+    /// How often refused callers come back, and whether they respect the retry delay.
     pub(crate) caller_returns: u32,
     pub(crate) are_patient: bool,
-    /// From when on requests are counted.
+    /// The time from which requests are counted.
     counted_from: Duration,
     in_time: u64,
     asked: u64,
@@ -199,7 +200,7 @@
         pool
     }
 
-    /// Has some entries take others for those alive.
+    /// Sets the list of live entries that some entries hold.
     pub(crate) fn believe(&mut self, who: &[usize], alive: &[usize]) {
         let named = alive.iter().map(|index| {
             (ZONES[index % 3].parse().unwrap(), format!("host{index}").parse().unwrap())
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Tells every entry of records, each within a while of its own.
+    /// Sends records to every entry, each with its own random delay.
     pub(crate) fn tell(&mut self, records: &[UpstreamRecord], slowest_ms: u64) {
         for index in 0..self.entries.len() {
             self.number += 1;
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A zone's upstreams turn cold; with a new start, entries hear of that.
+    /// Turns a zone's upstreams cold. Entries learn of it only if `is_new_start` is set.
     pub(crate) fn chill(&mut self, zone: usize, is_new_start: bool) {
         let members = (0..self.upstreams.len()).filter(|index| index % 3 == zone);
         let members: Vec<usize> = members.collect();
@@ -241,12 +242,12 @@
         }
     }
 
-    /// Counts requests from now on only.
+    /// Restarts the counting of requests.
     pub(crate) fn count_anew(&mut self) {
         (self.counted_from, self.in_time, self.asked) = (self.now, 0, 0);
     }
 
-    /// A zone's upstreams vanish without a word: what they work on is lost.
+    /// Makes a zone's upstreams vanish without notice. What they work on is lost.
     pub(crate) fn darken(&mut self, zone: usize) {
         for index in (0..self.upstreams.len()).filter(|index| index % 3 == zone) {
             self.upstreams[index] = RealUpstream { is_dark: true, ..RealUpstream::default() };
@@ -364,7 +365,7 @@
         }
     }
 
-    /// Asks as requests do: in stages, each of which waits for those that don't answer.
+    /// Probes as requests do: in rounds, each of which waits for upstreams that don't answer.
     fn ask(&mut self, mut request: AskingRequest) {
         let now = Moment::ZERO + self.now;
         let ticket = self.ticket(request.begun);
--- a/crates/pulley_core/tests/many_entries/main.rs
+++ b/crates/pulley_core/tests/many_entries/main.rs
@@ -1,4 +1,4 @@
-//! Decisions that hundreds of entries come to side by side, in virtual time.
+//! Decisions of hundreds of entries that run side by side, in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/pulley_core/tests/many_entries/returning_callers.rs
+++ b/crates/pulley_core/tests/many_entries/returning_callers.rs
@@ -1,10 +1,11 @@
-//! What callers get in a rush in which those that were refused come back.
+//! Answers in time in a rush in which refused callers come back.
 
 use std::time::Duration;
 
 use crate::entry_fleet::EntryFleet;
 
-/// The part of a rush's requests, and of those in the seconds after it, that are answered in time.
+/// Returns the part of a rush's requests, and of those in the seconds after it, that are answered
+/// in time.
 fn in_time_around_a_rush(seed: u64, are_patient: bool) -> f64 {
     let mut fleet = EntryFleet::new(60, 60, None, seed);
     fleet.caller_returns = 2;
@@ -17,9 +18,9 @@
     fleet.in_time()
 }
 
-// For three seconds more is asked of a pool than it can do, and every caller that is refused comes
-// back twice. Those who come back at once are late already and take the slots of those who could be
-// answered in time. When they are told to come back must serve callers better than that.
+// For three seconds a pool gets more requests than it can handle, and every refused caller comes
+// back twice. Callers that come back at once are already late and take the slots of requests that
+// could be answered in time. Respecting the retry delay must leave more answers in time.
 #[test]
 fn callers_that_come_back_when_told_leave_more_in_time() {
     for seed in [6, 7, 8] {
--- a/crates/pulley_core/tests/many_entries/silent_zone.rs
+++ b/crates/pulley_core/tests/many_entries/silent_zone.rs
@@ -1,12 +1,12 @@
-//! What callers get while a zone's upstreams are gone and nobody has said so.
+//! Answers in time while a zone's upstreams are gone without notice.
 
 use std::time::Duration;
 
 use crate::entry_fleet::EntryFleet;
 
-// A third of a pool's upstreams lose power at one moment, and their leases hold for seconds yet. The
-// callers of that zone are to be answered in time by the other zones, which have room for them, from the
-// first second on.
+// A third of a pool's upstreams lose power at the same moment, and their leases are still valid for
+// seconds. From the first second on, the callers of that zone must be answered in time by the other
+// zones, which have room for them.
 #[test]
 fn callers_of_a_zone_that_went_dark_are_answered_in_time_by_others() {
     let mut fleet = EntryFleet::new(60, 60, None, 5);
--- a/crates/pulley_core/tests/pool_scheduler.rs
+++ b/crates/pulley_core/tests/pool_scheduler.rs
@@ -1,4 +1,4 @@
-//! What callers get from one pool's scheduler.
+//! Behaviour of one pool's scheduler as callers see it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -78,8 +78,8 @@
     starts.collect()
 }
 
-// A burst of more calls than the upstreams have room for arrives at one entry. Callers must not
-// all be sent at once: a more urgent one that comes last still has to go before those that wait.
+// A burst of more requests than the upstreams have room for arrives at one entry. They must not all
+// be sent at once: a more urgent request that comes last must still go before those that wait.
 #[test]
 fn finished_request_starts_the_most_urgent_waiting_one() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000), row("usual", 3, 5_000)], 1, 2);
@@ -112,8 +112,8 @@
     }
 }
 
-// Two entries want twice what the pool can do. Each must keep to its part, and an urgent call must
-// still go at once.
+// Two entries want twice what the pool can do. Each must keep to its part, and an urgent request
+// must still start at once.
 #[test]
 fn tight_pool_holds_back_all_but_first_kinds() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000), row("first", 0, 5_000)], 1, 2);
@@ -134,7 +134,7 @@
     assert!(started(&next).contains(&0), "what nobody else wants is lent at once");
 }
 
-// The pool has lost all of its upstreams. A caller must be told at once, not at its deadline.
+// The pool has lost all of its upstreams. A caller must be refused at once, not at its deadline.
 #[test]
 fn lost_upstreams_refuse_waiting_and_new_requests_at_once() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000)], 1, 1);
@@ -157,8 +157,8 @@
     ));
 }
 
-// A request waits behind slow ones until nobody can answer it in time. Its caller must hear so
-// while time is left to act on it.
+// A request waits behind slow ones until it can no longer be answered in time. Its caller must be
+// told while there is time left to act on it.
 #[test]
 fn request_that_cannot_make_its_deadline_is_refused_by_tick() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000)], 1, 1);
@@ -173,8 +173,8 @@
     assert_eq!(scheduler.waiting(), 0);
 }
 
-// Datagrams are doubled and overtake each other on their way. An old sum must not bring back
-// counts of requests that have long ended.
+// Datagrams are duplicated and reordered on the network. An old sum must not bring back counts of
+// requests that have long ended.
 #[test]
 fn old_and_doubled_sums_change_nothing() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000)], 1, 1);
@@ -191,8 +191,8 @@
     assert_eq!(started(&starts), [1]);
 }
 
-// The only upstream of a pool closes connections so often that a third of all requests fail. It is
-// still all there is: callers must not be held back until their deadlines while it could answer.
+// The only upstream of a pool closes connections so often that a third of all requests fail. There
+// is no other: callers must not be held back until their deadlines while it could answer.
 #[test]
 fn failing_upstream_that_is_the_only_one_keeps_its_work() {
     let mut scheduler = scheduler(vec![row("low", 5, 10_000)], 1, 64);
--- a/crates/pulley_core/tests/start_wait.rs
+++ b/crates/pulley_core/tests/start_wait.rs
@@ -8,9 +8,9 @@
     Duration::from_millis(millis)
 }
 
-// All hosts were killed and are back half a second later; callers come at once, with one retry each.
-// The hosts know the configuration a third of a second after their start. Every request that comes
-// in between waits for it, and keeps half of its time for the work.
+// All hosts were killed and are back half a second later, and callers come at once, with one retry
+// each. The hosts know the configuration a third of a second after their start. Every request that
+// comes in between must wait for it, and keep half of its time for the work.
 #[test]
 fn a_request_waits_at_a_starting_host_for_part_of_its_time() {
     assert_eq!(start_wait(ms(0), None), Some(ms(800)));
@@ -19,8 +19,8 @@
     assert!(not_ready_retry(ms(300)) < ms(300), "its caller comes back while it can be served");
 }
 
-// A host that is cut off from the others never gets ready. Its callers are refused at once, so that
-// they spend their time elsewhere.
+// A host that is cut off from the others never gets ready. Its callers must be refused at once, so
+// that they spend their time elsewhere.
 #[test]
 fn nobody_waits_at_a_host_that_has_had_its_time() {
     for uptime in [800, 900, 60_000] {
