--- a/crates/pulley_core/src/request/arrival_probes.rs
+++ b/crates/pulley_core/src/request/arrival_probes.rs
@@ -7,27 +7,27 @@
 
 /// Most probes that may be saved up, in seconds of the probe rate. A burst within a tenth of a
 /// second may use up to that many probes, and no more.
-const SAVED_PART: f32 = 0.5;
+const SAVED_SECONDS: f32 = 0.5;
 
 /// Least number of probes that may be saved up. With fewer, no request could ever probe two
 /// upstreams.
-const LEAST_SAVED: f32 = 4.0;
+const MIN_CAPACITY: f32 = 4.0;
 
 /// Assumed slowdown of work that takes the last slot of an upstream, before answers have shown the
 /// real one. The unit is the usual answer time.
-const FIRST_FILLING: f32 = 0.6;
+const INITIAL_COST: f32 = 0.6;
 
 /// Lower bound of that slowdown. It keeps a preference for upstreams with more room, because other
 /// entries that choose at the same moment have seen the same load reports.
-const LEAST_FILLING: f32 = 0.05;
+const MIN_COST: f32 = 0.05;
 
 /// Threshold below which the learned slowdown counts as clearly less than the initial estimate.
-const CLEARLY_LESS: f32 = 0.35;
+const CLEARLY_LOW: f32 = 0.35;
 
 /// Weight of the initial estimate, in answers, and the least weight of one answer. The size of the
 /// work alone spreads answer times by a third, so about thirty answers have to be averaged.
-const FIRST_WEIGHS: f32 = 3.0;
-const FILLING_WEIGHT: f32 = 0.03;
+const INITIAL_WEIGHT: f32 = 3.0;
+const ANSWER_WEIGHT: f32 = 0.03;
 
 /// Assumed spread of answer times, in usual answer times. The size of the work accounts for a
 /// third, and a slowdown that begins after the probe for more.
@@ -36,7 +36,7 @@
 /// Least number of slots from which filling the last one is assumed to lower an upstream's
 /// throughput, until answers have shown otherwise. With fewer slots the last one is too large a
 /// part of the capacity to be left free on a guess.
-const HARMED_SLOTS: f32 = 4.0;
+const MIN_HARMED_SLOTS: f32 = 4.0;
 
 /// Part of its slots in use from which an upstream counts as nearly full.
 const NEARLY_FULL: f32 = 0.75;
@@ -60,13 +60,13 @@
 pub(crate) struct ArrivalBudget {
     /// Probes per second.
     rate: f32,
-    saved: f32,
-    filled: Moment,
+    tokens: f32,
+    refilled_at: Moment,
 }
 
 impl ArrivalBudget {
     pub(crate) const fn new() -> Self {
-        Self { rate: 0.0, saved: 0.0, filled: Moment::ZERO }
+        Self { rate: 0.0, tokens: 0.0, refilled_at: Moment::ZERO }
     }
 
     /// Sets the rate, in probes per second.
@@ -76,23 +76,23 @@
 
     /// Whether more than half of the probes that may be saved up are available.
     pub(crate) fn is_ample(&self) -> bool {
-        self.saved > self.most() / 2.0
+        self.tokens > self.capacity() / 2.0
     }
 
     /// Whether no probe is available at the moment.
-    pub(crate) fn is_spent(&self) -> bool {
-        self.saved < 1.0
+    pub(crate) fn is_exhausted(&self) -> bool {
+        self.tokens < 1.0
     }
 
     /// Adds the probes gained until `now`.
-    pub(crate) fn fill(&mut self, now: Moment) {
-        let gained = now.since(self.filled).as_secs_f32() * self.rate;
-        self.saved = (self.saved + gained).min(self.most());
-        self.filled = now;
+    pub(crate) fn refill(&mut self, now: Moment) {
+        let gained = now.since(self.refilled_at).as_secs_f32() * self.rate;
+        self.tokens = (self.tokens + gained).min(self.capacity());
+        self.refilled_at = now;
     }
 
-    fn most(&self) -> f32 {
-        if self.rate > 0.0 { (self.rate * SAVED_PART).max(LEAST_SAVED) } else { 0.0 }
+    fn capacity(&self) -> f32 {
+        if self.rate > 0.0 { (self.rate * SAVED_SECONDS).max(MIN_CAPACITY) } else { 0.0 }
     }
 
     /// Takes up to `wanted` probes and returns how many were taken.
@@ -103,9 +103,9 @@
         reason = "a handful of probes"
     )]
     pub(crate) fn take(&mut self, now: Moment, wanted: usize) -> usize {
-        self.fill(now);
-        let taken = (self.saved as usize).min(wanted);
-        self.saved -= taken as f32;
+        self.refill(now);
+        let taken = (self.tokens as usize).min(wanted);
+        self.tokens -= taken as f32;
         taken
     }
 }
@@ -119,39 +119,39 @@
 /// from one place behind a busy slot. The weight averages some thirty answers, as the size of the
 /// work varies by a third.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FillingCost {
+pub(crate) struct LastSlotCost {
     cost: f32,
     /// Number of answers behind the estimate.
     answers: f32,
 }
 
-impl Default for FillingCost {
+impl Default for LastSlotCost {
     fn default() -> Self {
-        Self { cost: FIRST_FILLING, answers: FIRST_WEIGHS }
+        Self { cost: INITIAL_COST, answers: INITIAL_WEIGHT }
     }
 }
 
-impl FillingCost {
+impl LastSlotCost {
     /// Returns the cost of the last slot: the initial estimate, unless answers show clearly that it
     /// is less. Where the cost is high, a request that is queued because of a few quick answers
     /// comes late and makes others late.
-    pub(crate) fn or_first(self) -> f32 {
+    pub(crate) fn estimate(self) -> f32 {
         let doubt = ANSWER_SPREAD / self.answers.sqrt();
-        let is_less = self.cost + 2.0 * doubt < CLEARLY_LESS;
-        if is_less { (self.cost + doubt).max(LEAST_FILLING) } else { FIRST_FILLING }
+        let is_low = self.cost + 2.0 * doubt < CLEARLY_LOW;
+        if is_low { (self.cost + doubt).max(MIN_COST) } else { INITIAL_COST }
     }
 
     /// Whether an upstream has a higher throughput with its last slot left free.
     ///
     /// A request in the last slot slows down everything that runs there. If the slowdown exceeds
     /// one part in the number of the other slots, fewer requests finish in the same time.
-    fn harms(self, slots: f32) -> bool {
-        slots >= HARMED_SLOTS && self.cost * (slots - 1.0) > 1.0
+    fn lowers_throughput(self, slots: f32) -> bool {
+        slots >= MIN_HARMED_SLOTS && self.cost * (slots - 1.0) > 1.0
     }
 
     /// Learns from an answer that took a last slot and `times` usual answer times.
     pub(crate) fn note(&mut self, times: f32) {
-        self.answers = (self.answers + 1.0).min(1.0 / FILLING_WEIGHT);
+        self.answers = (self.answers + 1.0).min(1.0 / ANSWER_WEIGHT);
         let sample = (times - 1.0).clamp(-1.0, 2.0);
         self.cost += (sample - self.cost) / self.answers;
     }
@@ -165,7 +165,7 @@
 /// slowed upstream holds its slot that many times as long. Reports older than such a slow period
 /// are worthless, so upstreams are probed when a request arrives.
 #[expect(clippy::cast_precision_loss, reason = "slots and requests are few")]
-pub(crate) fn expected_cost(slots: f32, report: &LoadReport, filling: FillingCost) -> f32 {
+pub(crate) fn expected_cost(slots: f32, report: &LoadReport, last_slot_cost: LastSlotCost) -> f32 {
     let running = report.in_flight.map_or(report.utilization * slots, |count| count as f32);
     let waiting = report.waiting.unwrap_or(0) as f32;
     let slowdown = report.slowdown.unwrap_or(1.0).max(0.1);
@@ -173,7 +173,7 @@
     let after = (running + 1.0) / slots;
     let fullness = ((after - NEARLY_FULL) / (1.0 - NEARLY_FULL)).clamp(0.0, 1.0);
     let ahead = (running + waiting + 1.0 - slots).max(0.0) / slots;
-    slowdown * (1.0 + filling.or_first() * fullness + ahead)
+    slowdown * (1.0 + last_slot_cost.estimate() * fullness + ahead)
 }
 
 /// Returns how much a request that takes an upstream's last slot, or queues for one, delays the
@@ -185,10 +185,18 @@
 /// them turns a rush that a pool could handle into one that it cannot. The gain of one request is
 /// therefore weighed against the loss of the others.
 #[expect(clippy::cast_precision_loss, reason = "slots and requests are few")]
-pub(crate) fn expected_harm(slots: f32, report: &LoadReport, filling: FillingCost) -> f32 {
+pub(crate) fn expected_delay_to_others(
+    slots: f32,
+    report: &LoadReport,
+    last_slot_cost: LastSlotCost,
+) -> f32 {
     let is_filled = SlotRoom::of(slots, report) != SlotRoom::Free;
     let running = report.in_flight.map_or(0.0, |count| count as f32);
-    if is_filled && filling.harms(slots) { filling.or_first() * running } else { 0.0 }
+    if is_filled && last_slot_cost.lowers_throughput(slots) {
+        last_slot_cost.estimate() * running
+    } else {
+        0.0
+    }
 }
 
 /// The room that a request finds at an upstream.
--- a/crates/pulley_core/src/request/busy_spell.rs
+++ b/crates/pulley_core/src/request/busy_period.rs
@@ -7,11 +7,11 @@
 use crate::process::Moment;
 
 /// Time without a refusal after which a busy period is over.
-const CALM: Duration = Duration::from_secs(1);
+const QUIET_SPAN: Duration = Duration::from_secs(1);
 
 /// Longest retry delay because of a busy period. A longer period may be a lasting lack of capacity
 /// instead of a rush, and some of these callers must be served nevertheless.
-const LONGEST: Duration = Duration::from_millis(2_500);
+const MAX_DELAY: Duration = Duration::from_millis(2_500);
 
 /// How long a pool has been full.
 ///
@@ -21,25 +21,25 @@
 /// last as long again, so the retry delay follows the time it has lasted. The delays are spread
 /// over half of that time, because callers that come back together would cause the next rush.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct BusySpell {
+pub(crate) struct BusyPeriod {
     /// When the period began, and the last refusal in it.
-    spell: Option<(Moment, Moment)>,
+    period: Option<(Moment, Moment)>,
 }
 
-impl BusySpell {
+impl BusyPeriod {
     /// Records that a request found no room. Returns its retry delay, which is at least `soonest`.
-    pub(crate) fn refuse(
+    pub(crate) fn note_refusal(
         &mut self,
         now: Moment,
         soonest: Duration,
         random: &mut impl Rng,
     ) -> Duration {
-        let began = match self.spell {
-            Some((began, last)) if now.since(last) < CALM => began,
+        let began = match self.period {
+            Some((began, last)) if now.since(last) < QUIET_SPAN => began,
             _ => now,
         };
-        self.spell = Some((began, now));
-        let lasts = now.since(began).min(LONGEST);
-        soonest.max(lasts.mul_f32(random.random_range(0.75..1.25)))
+        self.period = Some((began, now));
+        let lasted = now.since(began).min(MAX_DELAY);
+        soonest.max(lasted.mul_f32(random.random_range(0.75..1.25)))
     }
 }
--- a/crates/pulley_core/src/request/cold_guard.rs
+++ b/crates/pulley_core/src/request/cold_rate_limit.rs
@@ -9,7 +9,7 @@
 pub(crate) const COLD_ENTRIES: usize = 3;
 
 /// Most requests an entry may save up for a cold upstream (token bucket size).
-const SAVED_LIMIT: f32 = 1.0;
+const MAX_TOKENS: f32 = 1.0;
 
 /// Rate limit of one entry for one upstream while the upstream is cold.
 ///
@@ -21,51 +21,51 @@
 /// may save up only one request, so it can send two within a second. That keeps the sum bounded
 /// even while entries hold two different lists of live entries.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ColdGuard {
+pub(crate) struct ColdRateLimit {
     /// The end of the cold period, as far as is known.
     until: Moment,
     /// Whether the upstream is only suspected to be cold. Any entry may then probe it.
-    is_doubtful: bool,
+    is_suspected: bool,
     /// Whether this entry is one of those that send to the upstream while it is cold.
     is_assigned: bool,
-    saved: f32,
-    filled: Moment,
+    tokens: f32,
+    refilled_at: Moment,
 }
 
-impl ColdGuard {
+impl ColdRateLimit {
     /// Whether the upstream is cold, as far as is known.
     pub(crate) fn is_cold(&self, now: Moment) -> bool {
         now < self.until
     }
 
     /// Whether this entry may not send to the upstream now.
-    pub(crate) fn is_closed(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
+    pub(crate) fn is_blocked(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
         self.is_cold(now) && !self.has_permit(now, terms)
     }
 
     /// Whether probing the upstream would be useless.
-    pub(crate) fn is_unasked(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
-        !self.is_doubtful && self.is_closed(now, terms)
+    pub(crate) fn skips_probes(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
+        !self.is_suspected && self.is_blocked(now, terms)
     }
 
     /// Whether this entry may send a request even if the upstream is cold. Without warm-up terms
     /// there is no limit, because what a cold upstream handles is unknown.
     pub(crate) fn has_permit(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
-        terms.is_none_or(|terms| self.is_assigned && self.saved_by(now, terms) >= 1.0)
+        terms.is_none_or(|terms| self.is_assigned && self.tokens_at(now, terms) >= 1.0)
     }
 
     /// Records the upstream's own report that it stays cold for `left`.
     pub(crate) fn note_cold(&mut self, now: Moment, left: Duration, is_assigned: bool) {
         self.begin(now, is_assigned);
-        self.is_doubtful = false;
+        self.is_suspected = false;
         self.until = now + left;
     }
 
     /// Records that the upstream may have turned cold, for `span` at most.
-    pub(crate) fn note_doubt(&mut self, now: Moment, span: Duration, is_assigned: bool) {
+    pub(crate) fn note_suspected(&mut self, now: Moment, span: Duration, is_assigned: bool) {
         if !self.is_cold(now) {
             self.begin(now, is_assigned);
-            self.is_doubtful = true;
+            self.is_suspected = true;
             self.until = now + span;
         }
     }
@@ -73,7 +73,7 @@
     /// Records the upstream's own report that it is not cold.
     pub(crate) fn note_warm(&mut self) {
         self.until = Moment::ZERO;
-        self.is_doubtful = false;
+        self.is_suspected = false;
     }
 
     /// Sets whether this entry sends to the upstream while it is cold.
@@ -84,22 +84,22 @@
     /// Charges one sent request to the rate limit.
     pub(crate) fn spend(&mut self, now: Moment, terms: Option<WarmUpTerms>) {
         if let Some(terms) = terms.filter(|_| self.is_cold(now)) {
-            self.saved = self.saved_by(now, terms) - 1.0;
-            self.filled = now;
+            self.tokens = self.tokens_at(now, terms) - 1.0;
+            self.refilled_at = now;
         }
     }
 
     fn begin(&mut self, now: Moment, is_assigned: bool) {
         if !self.is_cold(now) {
-            self.saved = SAVED_LIMIT;
-            self.filled = now;
+            self.tokens = MAX_TOKENS;
+            self.refilled_at = now;
         }
         self.is_assigned = is_assigned;
     }
 
     #[expect(clippy::cast_precision_loss, reason = "a handful of entries")]
-    fn saved_by(&self, now: Moment, terms: WarmUpTerms) -> f32 {
-        let gained = now.since(self.filled).as_secs_f32() * terms.rate.per_second();
-        (self.saved + gained / COLD_ENTRIES as f32).min(SAVED_LIMIT)
+    fn tokens_at(&self, now: Moment, terms: WarmUpTerms) -> f32 {
+        let gained = now.since(self.refilled_at).as_secs_f32() * terms.rate.per_second();
+        (self.tokens + gained / COLD_ENTRIES as f32).min(MAX_TOKENS)
     }
 }
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -8,7 +8,7 @@
 
 /// One in this many starts from the queue goes to the longest-waiting request of the lower
 /// priorities. A steady flood of first-priority kinds delays them but never starves them.
-const FLOOR_EVERY: u32 = 20;
+const FLOOR_INTERVAL: u32 = 20;
 
 /// State of one kind at one entry.
 #[derive(Clone, Debug)]
@@ -21,8 +21,8 @@
     /// This entry's own outstanding requests.
     own: u32,
     /// The other entries' outstanding and waiting requests, as of the newest sum.
-    foreign: u32,
-    foreign_queued: u32,
+    others: u32,
+    others_queued: u32,
     /// Requests this entry may have outstanding while the kind is limited to its lease.
     pub(crate) leased: f32,
     /// Target time of an answer, counted from its request.
@@ -32,7 +32,7 @@
     /// Smoothed time between starts from the queue, in milliseconds.
     pub(crate) start_gap_ms: f32,
     pub(crate) last_start: Option<Moment>,
-    is_held: bool,
+    is_limited: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -73,14 +73,14 @@
 }
 
 /// Factor by which unrequested room is given out in excess.
-const SPARE_GIVEN: f32 = 2.0;
+const SPARE_FACTOR: f32 = 2.0;
 
 impl KindShares {
     /// Reads a pool's kinds from the plan. Counts of kinds that stay are kept.
     pub(crate) fn new(plan: &IndexedPlan, pool: &PoolName, old: &Self) -> Self {
         let mut shares = Self::default();
         let mut services: FastMap<&ServiceName, usize> = FastMap::default();
-        let used = old.kinds.iter().filter(|kind| kind.is_known());
+        let used = old.kinds.iter().filter(|kind| kind.has_state());
         let known_kinds: FastMap<CountKey, &KindState> =
             used.map(|kind| (kind.key, kind)).collect();
         for (row, kind) in plan.rows_of(pool) {
@@ -92,7 +92,7 @@
             let mut state = KindState::new(kind, service);
             if let Some(known) = known_kinds.get(&state.key) {
                 state.own = known.own;
-                state.foreign = known.foreign;
+                state.others = known.others;
                 state.base_ms = known.base_ms;
             }
             shares.rows.push(row);
@@ -101,21 +101,21 @@
         shares.room = f32::INFINITY;
         let keys: Vec<CountKey> = shares.kinds.iter().map(|kind| kind.key).collect();
         shares.digest = digest_of(&keys);
-        shares.add_up();
+        shares.recalculate_sums();
         shares
     }
 
     /// Returns a kind's index among the pool's kinds, by its row in the plan.
-    pub(crate) fn local(&self, row: usize) -> Option<usize> {
+    pub(crate) fn index_of(&self, row: usize) -> Option<usize> {
         self.rows.binary_search(&row).ok()
     }
 
-    pub(crate) fn kind(&self, local: usize) -> &KindState {
-        &self.kinds[local]
+    pub(crate) fn kind(&self, kind_index: usize) -> &KindState {
+        &self.kinds[kind_index]
     }
 
-    pub(crate) fn kind_mut(&mut self, local: usize) -> &mut KindState {
-        &mut self.kinds[local]
+    pub(crate) fn kind_mut(&mut self, kind_index: usize) -> &mut KindState {
+        &mut self.kinds[kind_index]
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -132,20 +132,20 @@
         &self,
         queued: impl Fn(usize) -> usize,
     ) -> impl Iterator<Item = (u32, u32)> {
-        let waiting = move |local| u32::try_from(queued(local)).unwrap_or(u32::MAX);
-        self.kinds.iter().enumerate().map(move |(local, kind)| (kind.own, waiting(local)))
+        let waiting = move |kind_index| u32::try_from(queued(kind_index)).unwrap_or(u32::MAX);
+        self.kinds.iter().enumerate().map(move |(kind_index, kind)| (kind.own, waiting(kind_index)))
     }
 
     /// Applies the running and waiting requests of all entries, less those that this entry reported
     /// itself.
-    pub(crate) fn receive(&mut self, totals: &[(u32, u32)], told: &[(u32, u32)]) {
-        for (local, kind) in self.kinds.iter_mut().enumerate() {
-            let total = totals.get(local).copied().unwrap_or_default();
-            let own = told.get(local).copied().unwrap_or_default();
-            kind.foreign = total.0.saturating_sub(own.0);
-            kind.foreign_queued = total.1.saturating_sub(own.1);
+    pub(crate) fn receive(&mut self, totals: &[(u32, u32)], sent: &[(u32, u32)]) {
+        for (kind_index, kind) in self.kinds.iter_mut().enumerate() {
+            let total = totals.get(kind_index).copied().unwrap_or_default();
+            let own = sent.get(kind_index).copied().unwrap_or_default();
+            kind.others = total.0.saturating_sub(own.0);
+            kind.others_queued = total.1.saturating_sub(own.1);
         }
-        self.add_up();
+        self.recalculate_sums();
     }
 
     /// Divides room for `slots` requests among the kinds, and gives this entry its part of each
@@ -166,17 +166,20 @@
         // Most rows of a large sheet have no request at any one time and take no part in the
         // division.
         let asking: Vec<usize> = (0..self.kinds.len())
-            .filter(|local| self.kinds[*local].is_used() || queued(*local) > 0)
+            .filter(|kind_index| self.kinds[*kind_index].is_used() || queued(*kind_index) > 0)
             .collect();
         let own: Vec<f32> = asking
             .iter()
-            .map(|local| (self.kinds[*local].own as usize + queued(*local)) as f32)
+            .map(|kind_index| (self.kinds[*kind_index].own as usize + queued(*kind_index)) as f32)
+            .collect();
+        let demands: Vec<KindDemand> = asking
+            .iter()
+            .zip(&own)
+            .map(|(kind_index, own)| self.demand(*kind_index, *own))
             .collect();
-        let demands: Vec<KindDemand> =
-            asking.iter().zip(&own).map(|(local, own)| self.demand(*local, *own)).collect();
         let all: f32 = demands.iter().map(|demand| demand.wanted).sum();
         self.is_tight = all > terms.slots;
-        let spare = (terms.slots - all).max(0.0) / terms.entries.max(1.0) * SPARE_GIVEN;
+        let spare = (terms.slots - all).max(0.0) / terms.entries.max(1.0) * SPARE_FACTOR;
         self.room = own.iter().sum::<f32>() + spare + 1.0;
         let given = divide_slots(terms.slots, &demands);
         // Long work does not queue at upstreams: a short request that queues behind a long one
@@ -184,30 +187,30 @@
         let given_long = divide_slots(terms.long_slots, &demands);
         for kind in &mut self.kinds {
             kind.leased = 0.0;
-            kind.is_held = self.is_tight;
+            kind.is_limited = self.is_tight;
         }
-        for (place, local) in asking.into_iter().enumerate() {
-            let kind = &mut self.kinds[local];
+        for (place, kind_index) in asking.into_iter().enumerate() {
+            let kind = &mut self.kinds[kind_index];
             let is_long = kind.length == WorkLength::Long;
             let given = if is_long { given_long[place] } else { given[place] };
             kind.leased = given * own[place] / demands[place].wanted.max(1.0);
-            kind.is_held = self.is_tight || given < demands[place].wanted;
+            kind.is_limited = self.is_tight || given < demands[place].wanted;
         }
     }
 
     /// Limits this entry to an even part of the pool while there are no sums.
-    pub(crate) fn lease_alone(&mut self, room: f32) {
+    pub(crate) fn lease_without_counts(&mut self, room: f32) {
         self.is_tight = false;
         self.room = room;
         for kind in &mut self.kinds {
-            kind.is_held = false;
+            kind.is_limited = false;
         }
     }
 
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
-    fn demand(&self, local: usize, own: f32) -> KindDemand {
-        let kind = &self.kinds[local];
-        let wanted = own + (kind.foreign + kind.foreign_queued) as f32;
+    fn demand(&self, kind_index: usize, own: f32) -> KindDemand {
+        let kind = &self.kinds[kind_index];
+        let wanted = own + (kind.others + kind.others_queued) as f32;
         let share = self.services[kind.service].share;
         KindDemand { service: kind.service, share, priority: kind.priority.0, wanted }
     }
@@ -226,62 +229,62 @@
 
     /// Whether a kind's lease has room for one more request.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
-    pub(crate) fn has_lease(&self, local: usize) -> bool {
-        let kind = &self.kinds[local];
+    pub(crate) fn has_lease(&self, kind_index: usize) -> bool {
+        let kind = &self.kinds[kind_index];
         if kind.priority == FIRST_PRIORITY {
             return true;
         }
-        if kind.is_held {
+        if kind.is_limited {
             return (kind.own as f32) < kind.leased;
         }
         (self.own as f32) < self.room
     }
 
     /// Discards the other entries' running and waiting requests.
-    pub(crate) fn forget_foreign(&mut self) {
+    pub(crate) fn discard_others(&mut self) {
         for kind in &mut self.kinds {
-            kind.foreign = 0;
-            kind.foreign_queued = 0;
+            kind.others = 0;
+            kind.others_queued = 0;
         }
-        self.add_up();
+        self.recalculate_sums();
         self.is_tight = false;
     }
 
     /// Returns how many slots this kind must leave free: reserved for other kinds and not used by
     /// them.
-    pub(crate) fn reserved_from(&self, local: usize) -> u32 {
-        self.unused_reserves - self.kinds[local].unused_reserve()
+    pub(crate) fn reserved_for_others(&self, kind_index: usize) -> u32 {
+        self.unused_reserves - self.kinds[kind_index].unused_reserve()
     }
 
     /// Returns the sort key of a waiting kind; the lowest goes first. It orders by priority, then
     /// by how much of its share the service has used.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
-    pub(crate) fn rank(&self, local: usize) -> (RequestPriority, u32) {
-        let kind = &self.kinds[local];
+    pub(crate) fn rank(&self, kind_index: usize) -> (RequestPriority, u32) {
+        let kind = &self.kinds[kind_index];
         let service = &self.services[kind.service];
         let ratio = service.used as f32 / service.share.max(f32::MIN_POSITIVE);
         (kind.priority, ratio.to_bits())
     }
 
     /// Counts a start from the queue. Returns true if it is the turn of the lower priorities.
-    pub(crate) fn floor_turn(&mut self) -> bool {
-        self.starts = (self.starts + 1) % FLOOR_EVERY;
+    pub(crate) fn advance_floor(&mut self) -> bool {
+        self.starts = (self.starts + 1) % FLOOR_INTERVAL;
         self.starts == 0
     }
 
     /// Counts a new outstanding request of a kind.
-    pub(crate) fn note_start(&mut self, local: usize) {
-        self.change_own(local, |own| own + 1);
+    pub(crate) fn note_start(&mut self, kind_index: usize) {
+        self.change_own(kind_index, |own| own + 1);
     }
 
     /// Counts the end of an outstanding request of a kind.
-    pub(crate) fn note_finish(&mut self, local: usize) {
-        self.change_own(local, |own| own.saturating_sub(1));
+    pub(crate) fn note_finish(&mut self, kind_index: usize) {
+        self.change_own(kind_index, |own| own.saturating_sub(1));
     }
 
     /// Changes one kind's count and, by the same amount, the sums that contain it.
-    fn change_own(&mut self, local: usize, change: impl FnOnce(u32) -> u32) {
-        let kind = &mut self.kinds[local];
+    fn change_own(&mut self, kind_index: usize, change: impl FnOnce(u32) -> u32) {
+        let kind = &mut self.kinds[kind_index];
         let service = &mut self.services[kind.service];
         self.own -= kind.own;
         service.used -= kind.used();
@@ -293,7 +296,7 @@
     }
 
     /// Recalculates the sums, after the counts of many kinds have changed.
-    fn add_up(&mut self) {
+    fn recalculate_sums(&mut self) {
         self.services.iter_mut().for_each(|service| service.used = 0);
         for kind in &self.kinds {
             self.services[kind.service].used += kind.used();
@@ -315,25 +318,25 @@
             length: kind.length,
             service,
             own: 0,
-            foreign: 0,
-            foreign_queued: 0,
+            others: 0,
+            others_queued: 0,
             leased: 0.0,
             target: kind.route.target,
             base_ms: 0.0,
             start_gap_ms: 0.0,
             last_start: None,
-            is_held: false,
+            is_limited: false,
         }
     }
 
     /// Returns the outstanding requests, from all entries.
     fn used(&self) -> u32 {
-        self.own + self.foreign
+        self.own + self.others
     }
 
     /// Whether any entry has a request of this kind.
     fn is_used(&self) -> bool {
-        self.used() + self.foreign_queued > 0
+        self.used() + self.others_queued > 0
     }
 
     /// Returns how many of its reserved slots are not in use.
@@ -342,8 +345,8 @@
     }
 
     /// Whether its state must be kept when the plan changes.
-    fn is_known(&self) -> bool {
-        self.own > 0 || self.foreign > 0 || self.base_ms > 0.0
+    fn has_state(&self) -> bool {
+        self.own > 0 || self.others > 0 || self.base_ms > 0.0
     }
 }
 
--- a/crates/pulley_core/src/request/mod.rs
+++ b/crates/pulley_core/src/request/mod.rs
@@ -1,8 +1,8 @@
 //! Per-request decisions: scheduling, upstream choice, probing and retries.
 
 mod arrival_probes;
-mod busy_spell;
-mod cold_guard;
+mod busy_period;
+mod cold_rate_limit;
 mod kind_shares;
 mod pool_scheduler;
 mod pool_scheduler_counts;
@@ -12,7 +12,7 @@
 mod start_wait;
 mod subset_ranking;
 mod ticket;
-mod upstream_slots;
+mod upstream_state;
 mod upstream_table;
 mod verdict;
 mod wait_queue;
@@ -28,9 +28,9 @@
 };
 pub use verdict::{RefusalCause, RequestVerdict};
 
-pub(crate) use busy_spell::BusySpell;
-pub(crate) use cold_guard::{COLD_ENTRIES, ColdGuard};
+pub(crate) use busy_period::BusyPeriod;
+pub(crate) use cold_rate_limit::{COLD_ENTRIES, ColdRateLimit};
 pub(crate) use kind_shares::{FIRST_PRIORITY, KindShares, LeaseTerms, kind_digest};
-pub(crate) use upstream_slots::UpstreamSlots;
+pub(crate) use upstream_state::UpstreamState;
 pub(crate) use upstream_table::{UpstreamChoice, UpstreamTable};
 pub(crate) use wait_queue::{WaitQueue, WaitingRequest};
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -7,10 +7,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::arrival_probes::{ArrivalBudget, FillingCost, SlotRoom};
-use super::pool_scheduler_counts::ToldCounts;
+use super::arrival_probes::{ArrivalBudget, LastSlotCost, SlotRoom};
+use super::pool_scheduler_counts::SentCounts;
 use super::{
-    AttemptOutcome, BusySpell, FIRST_PRIORITY, KindShares, LeaseTerms, LoadReport, RefusalCause,
+    AttemptOutcome, BusyPeriod, FIRST_PRIORITY, KindShares, LeaseTerms, LoadReport, RefusalCause,
     RequestNumber, RequestTicket, SchedulerEffect, SchedulerEffects, UpstreamChoice, UpstreamTable,
     WaitQueue, WaitingRequest,
 };
@@ -29,50 +29,50 @@
 /// Each entry keeps to its part of this while the demand exceeds it. A request that queues at an
 /// upstream can no longer be overtaken by an urgent one. But with a lower limit, an upstream that
 /// stale counts have passed over would stand idle.
-const SLACK: f32 = 1.5;
+const OVERCOMMIT: f32 = 1.5;
 
 /// Increase of that limit for each usual answer time between two rounds, and its maximum. The rarer
 /// the rounds, the more requests end unseen between them.
-const SLACK_PER_ANSWER: f32 = 0.6;
-const MOST_SLACK: f32 = 10.0;
+const OVERCOMMIT_PER_ANSWER: f32 = 0.6;
+const MAX_OVERCOMMIT: f32 = 10.0;
 
 /// Most outstanding requests per usable slot of one upstream: a constant, plus a multiple of the
 /// limit over the pool. The limit is for an upstream that stale counts make look idle to every
 /// entry at once. Requests that queue there cannot be moved elsewhere when it slows down.
-const UPSTREAM_LEAST: f32 = 2.0;
-const UPSTREAM_PART: f32 = 1.0;
+const UPSTREAM_BASE: f32 = 2.0;
+const UPSTREAM_FACTOR: f32 = 1.0;
 
 /// One entry's own outstanding requests per usable slot of an upstream. Requests beyond the slots
 /// only queue there. The extra half hides the network round trip to the upstream. For long work
 /// that is not worth a place in front of shorter work.
-const OWN_SLACK: f32 = 1.5;
+const OWN_OVERCOMMIT: f32 = 1.5;
 
 /// Long requests outstanding per usable slot, over the pool.
-const LONG_SLACK: f32 = 1.5;
+const LONG_OVERCOMMIT: f32 = 1.5;
 
 /// The largest part of its remaining time that a request may be expected to wait.
 ///
 /// If a queue is filled completely under overload, it holds only requests that start when their
 /// time is almost over. A third of the answers then come too late, and the slots' work is wasted.
-pub(super) const WAIT_PART: f32 = 0.25;
+pub(super) const MAX_WAIT_PART: f32 = 0.25;
 
 /// Usual answer times that must be left when a request starts; 1 answer in 30 takes longer.
-const TIMES_LEFT: f32 = 3.0;
+const MIN_TIMES_LEFT: f32 = 3.0;
 
 /// Finished requests between two recalculations of the sums over the pool.
-const REFRESH_EVERY: u32 = 32;
+const REFRESH_FINISHES: u32 = 32;
 
 /// Weight of one start in the smoothed time between starts.
 const GAP_WEIGHT: f32 = 0.1;
 
 /// Shortest retry delay of a refused caller.
-pub(super) const SHORTEST_RETRY: Duration = Duration::from_millis(50);
+pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Longest retry delay of a refused caller.
-pub(super) const LONGEST_RETRY: Duration = Duration::from_secs(5);
+pub(super) const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Retry delay where no upstream takes work.
-const NO_UPSTREAM_RETRY: Duration = Duration::from_secs(1);
+const NO_UPSTREAM_DELAY: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunningRequest {
@@ -84,7 +84,7 @@
     /// Room that the request found there, according to the same report.
     pub(super) room: Option<SlotRoom>,
     /// Whether one more request was enough to fill the upstream.
-    pub(super) was_near: bool,
+    pub(super) was_nearly_full: bool,
 }
 
 /// One pool's scheduler at one entry.
@@ -101,22 +101,22 @@
     pub(crate) upstreams: UpstreamTable,
     pub(crate) link: Option<CountLink>,
     pub(crate) layout_since: Moment,
-    pub(crate) told: VecDeque<ToldCounts>,
+    pub(crate) sent: VecDeque<SentCounts>,
     pub(crate) counted_at: Option<Moment>,
     pub(crate) queue: WaitQueue,
     pub(super) running: FastMap<RequestNumber, RunningRequest>,
     pub(super) rng: SmallRng,
     finishes: u32,
     /// Limit of outstanding requests per usable slot, over the pool.
-    slack: f32,
+    overcommit: f32,
     /// The upstream where this entry has just seen a slot become free.
     freed: Option<usize>,
     /// Budget of the probes for arriving requests.
     pub(super) probes: ArrivalBudget,
     /// Learned slowdown of work that takes the last slot of one of the pool's upstreams.
-    pub(super) filling: FillingCost,
+    pub(super) last_slot_cost: LastSlotCost,
     /// How long the pool has been full.
-    pub(super) busy_spell: BusySpell,
+    pub(super) busy_period: BusyPeriod,
 }
 
 impl PoolScheduler {
@@ -132,17 +132,17 @@
             shares: KindShares::default(),
             link: None,
             layout_since: Moment::ZERO,
-            told: VecDeque::new(),
+            sent: VecDeque::new(),
             counted_at: None,
             queue: WaitQueue::default(),
             running: FastMap::default(),
             rng: SmallRng::seed_from_u64(seed),
             finishes: 0,
-            slack: SLACK,
+            overcommit: OVERCOMMIT,
             freed: None,
             probes: ArrivalBudget::new(),
-            filling: FillingCost::default(),
-            busy_spell: BusySpell::default(),
+            last_slot_cost: LastSlotCost::default(),
+            busy_period: BusyPeriod::default(),
         }
     }
 
@@ -158,17 +158,17 @@
         self.upstreams.set_warm_up(self.plan.warm_up(&self.pool));
         let old_shares = std::mem::take(&mut self.shares);
         self.shares = KindShares::new(&self.plan, &self.pool, &old_shares);
-        self.told.clear();
+        self.sent.clear();
         self.queue = WaitQueue::new(self.shares.len());
         for mut request in waiting {
             let row = rows.get(&request.ticket.kind).copied();
             let number = request.ticket.number;
-            match row.and_then(|row| Some((row, self.shares.local(row)?))) {
-                Some((row, local)) => {
+            match row.and_then(|row| Some((row, self.shares.index_of(row)?))) {
+                Some((row, kind_index)) => {
                     request.ticket.kind = row;
-                    self.queue.push(local, request);
+                    self.queue.push(kind_index, request);
                 }
-                None => effects.push(refusal(number, RefusalCause::PlanChanged, SHORTEST_RETRY)),
+                None => effects.push(refusal(number, RefusalCause::PlanChanged, MIN_RETRY_DELAY)),
             }
         }
         for running in self.running.values_mut() {
@@ -196,14 +196,14 @@
     /// Applies changes of the pool's upstreams.
     pub fn apply_changes(&mut self, now: Moment, changes: &[UpstreamChange]) -> SchedulerEffects {
         if self.upstreams.apply(now, changes) {
-            self.relist(now);
+            self.reset_layout(now);
             self.link_counts(now);
         }
         let mut effects = Vec::new();
-        if self.upstreams.is_closed() {
+        if self.upstreams.none_available() {
             for request in self.queue.drain() {
                 let number = request.ticket.number;
-                effects.push(refusal(number, RefusalCause::NoUpstream, NO_UPSTREAM_RETRY));
+                effects.push(refusal(number, RefusalCause::NoUpstream, NO_UPSTREAM_DELAY));
             }
         }
         self.dispatch(now, &mut effects);
@@ -213,16 +213,16 @@
     /// Starts a new request, queues it or refuses it.
     pub fn arrive(&mut self, now: Moment, ticket: &RequestTicket) -> SchedulerEffects {
         let number = ticket.number;
-        let Some(local) = self.shares.local(ticket.kind) else {
-            return vec![refusal(number, RefusalCause::PlanChanged, SHORTEST_RETRY)];
+        let Some(kind_index) = self.shares.index_of(ticket.kind) else {
+            return vec![refusal(number, RefusalCause::PlanChanged, MIN_RETRY_DELAY)];
         };
-        if self.upstreams.is_closed() {
-            return vec![refusal(number, RefusalCause::NoUpstream, NO_UPSTREAM_RETRY)];
+        if self.upstreams.none_available() {
+            return vec![refusal(number, RefusalCause::NoUpstream, NO_UPSTREAM_DELAY)];
         }
-        if let Some(cause) = self.refusal_cause(now, local, ticket) {
-            return vec![refusal(number, cause, self.retry_after(local))];
+        if let Some(cause) = self.refusal_cause(now, kind_index, ticket) {
+            return vec![refusal(number, cause, self.retry_after(kind_index))];
         }
-        self.queue.push(local, WaitingRequest { ticket: ticket.clone(), arrived: now });
+        self.queue.push(kind_index, WaitingRequest { ticket: ticket.clone(), arrived: now });
         let mut effects = Vec::new();
         self.dispatch(now, &mut effects);
         effects
@@ -238,21 +238,21 @@
     ) -> SchedulerEffects {
         let Some(running) = self.running.remove(&number) else { return Vec::new() };
         let usual_ms = self.upstreams.usual_ms();
-        let slots = self.upstreams.at_mut(running.upstream);
-        slots.reading = report.map(|report| (now, report)).or(slots.reading);
-        slots.finish(now, outcome, now.since(running.started), usual_ms);
-        if slots.takes_work() {
-            self.upstreams.count(-1.0);
+        let state = self.upstreams.at_mut(running.upstream);
+        state.last_report = report.map(|report| (now, report)).or(state.last_report);
+        state.finish(now, outcome, now.since(running.started), usual_ms);
+        if state.takes_work() {
+            self.upstreams.add_outstanding(-1.0);
         }
-        if let Some(local) = self.shares.local(running.row) {
-            self.shares.note_finish(local);
+        if let Some(kind_index) = self.shares.index_of(running.row) {
+            self.shares.note_finish(kind_index);
             if outcome == AttemptOutcome::Answered {
-                self.note_answer(now, local, &running, report);
+                self.note_answer(now, kind_index, &running, report);
             }
         }
         self.finishes = self.finishes.wrapping_add(1);
         // A failure may remove the last usable upstream, and then the floor must apply at once.
-        let is_due = self.finishes.is_multiple_of(REFRESH_EVERY) || self.upstreams.is_stale(now);
+        let is_due = self.finishes.is_multiple_of(REFRESH_FINISHES) || self.upstreams.is_stale(now);
         if outcome.is_failure() || is_due {
             self.upstreams.refresh(now);
         }
@@ -324,7 +324,7 @@
     fn refusal_cause(
         &self,
         now: Moment,
-        local: usize,
+        kind_index: usize,
         ticket: &RequestTicket,
     ) -> Option<RefusalCause> {
         if self.queue.len() >= QUEUE_LIMIT {
@@ -334,44 +334,45 @@
         if left.is_zero() {
             return Some(RefusalCause::DeadlineTooClose);
         }
-        let wait = self.expected_wait(local, ticket.deadline);
-        let longest = left.mul_f32(WAIT_PART).min(left.saturating_sub(self.needed()));
+        let wait = self.expected_wait(kind_index, ticket.deadline);
+        let longest = left.mul_f32(MAX_WAIT_PART).min(left.saturating_sub(self.min_time_left()));
         (wait > longest).then_some(RefusalCause::DeadlineTooClose)
     }
 
     /// Returns how long a request would wait, from the number of its kind ahead of it and the
     /// recent start rate of the kind. That rate already reflects what priorities and shares leave
     /// it.
-    fn expected_wait(&self, local: usize, deadline: Moment) -> Duration {
-        self.wait_of(local, self.queue.ahead_of(local, deadline))
+    fn expected_wait(&self, kind_index: usize, deadline: Moment) -> Duration {
+        self.wait_behind(kind_index, self.queue.ahead_of(kind_index, deadline))
     }
 
     /// Returns when a refused caller may come back: once the requests that wait now have started.
-    fn retry_after(&self, local: usize) -> Duration {
-        self.wait_of(local, self.queue.len_of(local)).clamp(SHORTEST_RETRY, LONGEST_RETRY)
+    fn retry_after(&self, kind_index: usize) -> Duration {
+        self.wait_behind(kind_index, self.queue.len_of(kind_index))
+            .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
     #[expect(clippy::cast_precision_loss, reason = "the queue is bounded")]
-    fn wait_of(&self, local: usize, ahead: usize) -> Duration {
-        let wait_ms = self.shares.kind(local).start_gap_ms * ahead as f32;
+    fn wait_behind(&self, kind_index: usize, ahead: usize) -> Duration {
+        let wait_ms = self.shares.kind(kind_index).start_gap_ms * ahead as f32;
         Duration::from_secs_f32(wait_ms / 1_000.0)
     }
 
     /// Starts all requests that may start, in order of precedence.
     pub(crate) fn dispatch(&mut self, now: Moment, effects: &mut SchedulerEffects) {
-        while let Some((local, upstream)) = self.next_start(now) {
-            let Some(waiting) = self.queue.pop(local) else { return };
+        while let Some((kind_index, upstream)) = self.next_start(now) {
+            let Some(waiting) = self.queue.pop(kind_index) else { return };
             if waiting.ticket.deadline <= now {
                 let number = waiting.ticket.number;
                 effects.push(refusal(
                     number,
                     RefusalCause::DeadlineTooClose,
-                    self.retry_after(local),
+                    self.retry_after(kind_index),
                 ));
                 continue;
             }
-            self.note_gap(now, local, waiting.arrived);
-            effects.push(self.start(now, local, upstream, &waiting.ticket));
+            self.note_start_gap(now, kind_index, waiting.arrived);
+            effects.push(self.start(now, kind_index, upstream, &waiting.ticket));
         }
     }
 
@@ -381,48 +382,51 @@
         }
         let mut order = self.queue.waiting().to_vec();
         if order.len() > 1 {
-            order.sort_by_key(|local| {
-                let deadline = self.queue.first(*local).map(|first| first.ticket.deadline);
-                (self.shares.rank(*local), deadline)
+            order.sort_by_key(|kind_index| {
+                let deadline = self.queue.first(*kind_index).map(|first| first.ticket.deadline);
+                (self.shares.rank(*kind_index), deadline)
             });
-            self.raise_lowest(&mut order);
+            self.promote_oldest(&mut order);
         }
-        order.into_iter().find_map(|local| Some((local, self.place(now, local)?)))
+        order
+            .into_iter()
+            .find_map(|kind_index| Some((kind_index, self.find_upstream(now, kind_index)?)))
     }
 
     /// Moves the longest-waiting request of the lower kinds to the front when it is the floor's
     /// turn.
-    fn raise_lowest(&mut self, order: &mut Vec<usize>) {
-        if !self.shares.floor_turn() {
+    fn promote_oldest(&mut self, order: &mut Vec<usize>) {
+        if !self.shares.advance_floor() {
             return;
         }
         let lower = order[1..].iter().copied();
-        let oldest = lower.min_by_key(|local| self.queue.first(*local).map(|w| w.arrived));
+        let oldest =
+            lower.min_by_key(|kind_index| self.queue.first(*kind_index).map(|w| w.arrived));
         if let Some(oldest) = oldest {
-            order.retain(|local| *local != oldest);
+            order.retain(|kind_index| *kind_index != oldest);
             order.insert(0, oldest);
         }
     }
 
     /// Finds an upstream for a kind's next request.
-    fn place(&mut self, now: Moment, local: usize) -> Option<usize> {
-        if !self.may_start(local) {
+    fn find_upstream(&mut self, now: Moment, kind_index: usize) -> Option<usize> {
+        if !self.may_start(kind_index) {
             return None;
         }
-        let first = self.queue.first(local)?;
-        let kind = self.shares.kind(local);
+        let first = self.queue.first(kind_index)?;
+        let kind = self.shares.kind(kind_index);
         let mut choice = UpstreamChoice {
             now,
             zone: &self.zone,
             avoid: &first.ticket.avoid,
             age: self.count_age(now),
-            slack: self.slack.mul_add(UPSTREAM_PART, UPSTREAM_LEAST),
-            own_slack: if kind.length == WorkLength::Long { 1.0 } else { OWN_SLACK },
+            overcommit: self.overcommit.mul_add(UPSTREAM_FACTOR, UPSTREAM_BASE),
+            own_overcommit: if kind.length == WorkLength::Long { 1.0 } else { OWN_OVERCOMMIT },
         };
         // The only certain fact is the slot that an answer has just freed. While every slot is in
         // demand, filling that one keeps each upstream's load even, whatever the age of the counts.
         if let Some(freed) = self.freed.take_if(|_| self.shares.is_tight())
-            && self.upstreams.is_usual(&choice, freed)
+            && self.upstreams.is_normally_loaded(&choice, freed)
         {
             return Some(freed);
         }
@@ -438,16 +442,17 @@
 
     /// Whether shares, reservations and the limit on long work leave this kind a slot.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
-    pub(super) fn may_start(&self, local: usize) -> bool {
-        if self.shares.kind(local).priority == FIRST_PRIORITY {
+    pub(super) fn may_start(&self, kind_index: usize) -> bool {
+        if self.shares.kind(kind_index).priority == FIRST_PRIORITY {
             return true;
         }
-        if !self.shares.has_lease(local) {
+        if !self.shares.has_lease(kind_index) {
             return false;
         }
-        let reserved = self.shares.reserved_from(local);
+        let reserved = self.shares.reserved_for_others(kind_index);
         reserved == 0
-            || self.upstreams.busy() + reserved as f32 <= self.upstreams.usable_slots() * self.slack
+            || self.upstreams.outstanding() + reserved as f32
+                <= self.upstreams.usable_slots() * self.overcommit
     }
 
     /// Recalculates how many requests this entry may start until the next sum.
@@ -455,40 +460,40 @@
         let slots = self.upstreams.usable_slots();
         let usual_ms = self.upstreams.usual_ms().max(1.0);
         let answers = interval.as_secs_f32() * 1_000.0 / usual_ms;
-        self.slack = (SLACK + SLACK_PER_ANSWER * answers).min(MOST_SLACK);
+        self.overcommit = (OVERCOMMIT + OVERCOMMIT_PER_ANSWER * answers).min(MAX_OVERCOMMIT);
         let terms = LeaseTerms {
-            slots: slots * self.slack,
-            long_slots: slots * LONG_SLACK,
+            slots: slots * self.overcommit,
+            long_slots: slots * LONG_OVERCOMMIT,
             entries: f32::from(entries),
         };
         let (queue, rng) = (&self.queue, &mut self.rng);
-        self.shares.lease(&terms, |local| queue.len_of(local));
+        self.shares.lease(&terms, |kind_index| queue.len_of(kind_index));
         self.shares.round_leases(|| rng.random());
     }
 
     pub(super) fn start(
         &mut self,
         now: Moment,
-        local: usize,
+        kind_index: usize,
         upstream: usize,
         ticket: &RequestTicket,
     ) -> SchedulerEffect {
-        self.shares.note_start(local);
-        self.upstreams.count(1.0);
+        self.shares.note_start(kind_index);
+        self.upstreams.add_outstanding(1.0);
         let warm_up = self.upstreams.warm_up();
-        let slots = self.upstreams.at_mut(upstream);
-        slots.start(now);
-        slots.cold.spend(now, warm_up);
+        let state = self.upstreams.at_mut(upstream);
+        state.start(now);
+        state.cold.spend(now, warm_up);
         let running = RunningRequest {
             upstream,
             row: ticket.kind,
             started: now,
             cost: None,
             room: None,
-            was_near: false,
+            was_nearly_full: false,
         };
         self.running.insert(ticket.number, running);
-        let announcement = &slots.record.announcement;
+        let announcement = &state.record.announcement;
         SchedulerEffect::Start {
             number: ticket.number,
             upstream: announcement.id.clone(),
@@ -503,8 +508,8 @@
     /// while they can still act, and no slot is spent on an answer that no caller waits for.
     fn refuse_late(&mut self, now: Moment, effects: &mut SchedulerEffects) {
         let usual = self.usual();
-        for local in self.queue.waiting().to_vec() {
-            while let Some(first) = self.queue.first(local) {
+        for kind_index in self.queue.waiting().to_vec() {
+            while let Some(first) = self.queue.first(kind_index) {
                 if first.ticket.deadline - usual > now {
                     break;
                 }
@@ -513,14 +518,14 @@
                 effects.push(refusal(
                     number,
                     RefusalCause::DeadlineTooClose,
-                    self.retry_after(local),
+                    self.retry_after(kind_index),
                 ));
             }
         }
     }
 
-    fn note_gap(&mut self, now: Moment, local: usize, arrived: Moment) {
-        let kind = self.shares.kind_mut(local);
+    fn note_start_gap(&mut self, now: Moment, kind_index: usize, arrived: Moment) {
+        let kind = self.shares.kind_mut(kind_index);
         let since = kind.last_start.map_or(arrived, |last| last.max(arrived));
         kind.last_start = Some(now);
         // A request that starts on arrival says nothing about how fast a queue moves.
@@ -537,8 +542,8 @@
     }
 
     /// Returns the time that must be left when a request starts.
-    fn needed(&self) -> Duration {
-        self.usual().mul_f32(TIMES_LEFT)
+    fn min_time_left(&self) -> Duration {
+        self.usual().mul_f32(MIN_TIMES_LEFT)
     }
 }
 
--- a/crates/pulley_core/src/request/pool_scheduler_counts.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_counts.rs
@@ -11,17 +11,17 @@
 
 /// Number of rounds whose own counts are kept, so that they can be subtracted from the sum that
 /// contains them.
-const REMEMBERED: usize = 8;
+const KEPT_ROUNDS: usize = 8;
 
 /// Requests per usable slot that all entries together may have outstanding without counts.
-const ALONE_SLACK: f32 = 4.0;
+const UNCOUNTED_OVERCOMMIT: f32 = 4.0;
 
 /// Least number of requests that one entry may have outstanding without counts.
-const ALONE_LEAST: f32 = 4.0;
+const UNCOUNTED_MIN: f32 = 4.0;
 
 /// The entry's own counts as sent in the report of one round.
 #[derive(Clone, Debug)]
-pub(crate) struct ToldCounts {
+pub(crate) struct SentCounts {
     round: CountRound,
     in_flight: Vec<u32>,
     kinds: Vec<(u32, u32)>,
@@ -84,7 +84,7 @@
         };
         if let Some(terms) = terms {
             let mut totals = self.own_totals(true);
-            self.remember(terms.round, &totals);
+            self.remember_sent(terms.round, &totals);
             for report in &terms.reports {
                 let added = totals.add(self.upstreams.layout(), self.shares.digest(), &report.rows);
                 if added && report.rows.first == 0 {
@@ -125,33 +125,33 @@
         let Some(link) = self.link.as_mut() else { return };
         link.expire(now);
         if link.age(now).is_none() && self.counted_at.take().is_some() {
-            self.upstreams.forget_foreign();
-            self.shares.forget_foreign();
+            self.upstreams.discard_others();
+            self.shares.discard_others();
             // This entry may use its part of the pool and as much again. Other entries may do the
             // same while nobody counts. The upstreams' queues take the excess.
             let known = f32::from(link.known().max(1));
-            let room = self.upstreams.usable_slots() * ALONE_SLACK / known;
-            self.shares.lease_alone(room.max(ALONE_LEAST));
+            let room = self.upstreams.usable_slots() * UNCOUNTED_OVERCOMMIT / known;
+            self.shares.lease_without_counts(room.max(UNCOUNTED_MIN));
             self.upstreams.refresh(now);
         }
     }
 
     /// Discards counts that were reported for another list of upstreams.
-    pub(crate) fn relist(&mut self, now: Moment) {
+    pub(crate) fn reset_layout(&mut self, now: Moment) {
         self.layout_since = now;
-        self.told.clear();
+        self.sent.clear();
     }
 
     fn apply_rows(&mut self, rows: &CountRows, counted: Option<CountRound>) -> bool {
         let Some(places) = self.upstreams.layout().places(rows) else { return false };
-        let told = self.told.iter().find(|told| Some(told.round) == counted);
+        let sent = self.sent.iter().find(|sent| Some(sent.round) == counted);
         for (row, place) in places.iter().enumerate() {
             let Some(place) = *place else { continue };
-            let own = told.map_or(0, |told| told.in_flight[place]);
-            let slots = self.upstreams.at_place(place);
-            let foreign = u32::from(rows.in_flight[row]).saturating_sub(own);
-            slots.foreign = f32::from(u16::try_from(foreign).unwrap_or(u16::MAX));
-            slots.shared_usable = 1.0;
+            let own = sent.map_or(0, |sent| sent.in_flight[place]);
+            let state = self.upstreams.at_place(place);
+            let others = u32::from(rows.in_flight[row]).saturating_sub(own);
+            state.others = f32::from(u16::try_from(others).unwrap_or(u16::MAX));
+            state.shared_usable = 1.0;
         }
         for (place, usable) in &rows.health {
             let row = usize::from(*place).checked_sub(usize::from(rows.first));
@@ -164,7 +164,7 @@
             let uses = rows.kinds.iter();
             let totals: Vec<_> =
                 uses.map(|kind| (u32::from(kind.in_flight), u32::from(kind.queued))).collect();
-            let own = told.map_or(&[][..], |told| &told.kinds);
+            let own = sent.map_or(&[][..], |sent| &sent.kinds);
             self.shares.receive(&totals, own);
         }
         true
@@ -176,24 +176,24 @@
         let upstreams = self.upstreams.layout().len();
         let mut totals = CountTotals::new(upstreams, self.shares.len());
         for place in 0..upstreams {
-            let slots = self.upstreams.at_place(place);
-            totals.in_flight[place] = slots.own;
+            let state = self.upstreams.at_place(place);
+            totals.in_flight[place] = state.own;
             if with_news {
-                totals.news[place] = std::mem::take(&mut slots.news);
+                totals.news[place] = std::mem::take(&mut state.news);
             }
         }
         let queue = &self.queue;
-        let uses = self.shares.own_uses(|local| queue.len_of(local));
-        totals.kinds.iter_mut().zip(uses).for_each(|(told, used)| *told = used);
+        let uses = self.shares.own_uses(|kind_index| queue.len_of(kind_index));
+        totals.kinds.iter_mut().zip(uses).for_each(|(sent, used)| *sent = used);
         totals.hosts = 1;
         totals
     }
 
-    fn remember(&mut self, round: CountRound, totals: &CountTotals) {
-        if self.told.len() == REMEMBERED {
-            self.told.pop_front();
+    fn remember_sent(&mut self, round: CountRound, totals: &CountTotals) {
+        if self.sent.len() == KEPT_ROUNDS {
+            self.sent.pop_front();
         }
-        self.told.push_back(ToldCounts {
+        self.sent.push_back(SentCounts {
             round,
             in_flight: totals.in_flight.clone(),
             kinds: totals.kinds.clone(),
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -6,55 +6,58 @@
 use rand::seq::SliceRandom;
 
 use super::arrival_probes::{
-    ProbeReading, SlotRoom, expected_cost, expected_harm, expected_queueing, is_nearly_full,
+    ProbeReading, SlotRoom, expected_cost, expected_delay_to_others, expected_queueing,
+    is_nearly_full,
 };
-use super::pool_scheduler::{LONGEST_RETRY, RunningRequest, SHORTEST_RETRY, WAIT_PART, refusal};
-use super::upstream_table::AskableUpstream;
+use super::pool_scheduler::{
+    MAX_RETRY_DELAY, MAX_WAIT_PART, MIN_RETRY_DELAY, RunningRequest, refusal,
+};
+use super::upstream_table::ProbeCandidate;
 use super::{LoadReport, PoolScheduler, RefusalCause, RequestTicket, SchedulerEffects};
 use crate::process::{Moment, UpstreamId};
 
 /// Ranking penalty of another zone, in usual answer times. The round trip takes a few hundredths of
 /// one, and bytes between zones cost the operators more than the rest of the request.
-const ZONE_DISTANCE: f32 = 0.25;
+const ZONE_PENALTY: f32 = 0.25;
 
 /// The longest expected time, in usual answer times, that is worth a slot. A free slot beside a
 /// busy one costs 1.6 with two slots. The usual slowdown of a machine by its neighbours is at most
 /// 5.
-const WORTH_STARTING: f32 = 2.0;
+const MAX_START_COST: f32 = 2.0;
 
 /// The part of its time for which a request runs beside a full set of others, if it found room and
 /// its upstream was full when it ended.
-const FULL_PART: f32 = 0.5;
+const FULL_TIME_PART: f32 = 0.5;
 
 /// Other zones are probed as well unless work that is larger than usual by this factor would still
 /// be in time.
-const LARGE_WORK: f32 = 1.6;
+const LARGE_WORK_FACTOR: f32 = 1.6;
 
 /// Multiple of its promised time after which a request counts as overdue, and the ranking factor
 /// for its upstream. Work of three times the usual size is rarer than one in a thousand. The factor
 /// causes no refusals. Where answers get lost on the network, every upstream soon has an overdue
 /// request, and with all of them excluded, requests would be refused beside free slots.
-const OVERDUE_TIMES: f32 = 3.0;
-const OVERDUE_COST: f32 = 2.0;
+const OVERDUE_FACTOR: f32 = 3.0;
+const OVERDUE_PENALTY: f32 = 2.0;
 
 /// Lower bound of an upstream's usable part in its cost.
-const LEAST_PART: f32 = 0.2;
+const MIN_USABLE_PART: f32 = 0.2;
 
 /// How long a load report is used in place of a new probe. Neighbours change an upstream's speed
 /// about every 150 ms, so one report in five of this age is wrong.
-const FRESH: Duration = Duration::from_millis(30);
+const FRESH_SPAN: Duration = Duration::from_millis(30);
 
 /// How long an upstream that has reported a slowdown or no free slot is probed last. Most slow
 /// periods and most queues last at least this long.
-const BAD_SPAN: Duration = Duration::from_millis(150);
+const BAD_REPORT_SPAN: Duration = Duration::from_millis(150);
 
 /// Upstreams that a request probes at a time once half of the probes are used up. In a rush there
 /// are two and a half probes per request. With three at a time, every third request could probe no
 /// upstream.
-const SCARCE_WANTED: usize = 2;
+const SCARCE_PROBES: usize = 2;
 
 /// How long a report of a free slot is used for requests that cannot probe any upstream.
-const REMEMBERED: Duration = Duration::from_secs(1);
+const RECENT_SPAN: Duration = Duration::from_secs(1);
 
 /// The part of a kind's target that its work is assumed to need before answers have shown it.
 const TARGET_PART: f32 = 0.35;
@@ -62,7 +65,7 @@
 /// Weight of one answer in a kind's smoothed time, and the largest multiple of that time that one
 /// answer may count for. A slowdown that began after the probe says nothing about the work itself.
 const BASE_WEIGHT: f32 = 0.1;
-const BASE_JUMP: f32 = 2.0;
+const MAX_BASE_RATIO: f32 = 2.0;
 
 /// Where a request looks for an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -112,22 +115,22 @@
         ticket: &RequestTicket,
         question: &ProbeQuestion<'_>,
     ) -> Vec<ProbeTarget> {
-        if self.queue.len() > 0 || self.shares.local(ticket.kind).is_none() {
+        if self.queue.len() > 0 || self.shares.index_of(ticket.kind).is_none() {
             return Vec::new();
         }
         let asked = question.asked;
         let passed = |id: &UpstreamId| asked.contains(id) || ticket.avoid.contains(id);
-        let mut open = self.upstreams.askable(now, &self.zone, passed);
-        let stays = question.reach == ProbeReach::OwnZone && self.has_own_zone(now);
+        let mut candidates = self.upstreams.probe_candidates(now, &self.zone, passed);
+        let stays = question.reach == ProbeReach::OwnZone && self.own_zone_responds(now);
         if stays {
-            open.retain(|upstream| !upstream.is_away);
+            candidates.retain(|upstream| !upstream.in_other_zone);
         }
-        open.shuffle(&mut self.rng);
-        let open = self.in_turns(now, open);
-        self.probes.fill(now);
-        let most = if self.probes.is_ample() { question.wanted } else { SCARCE_WANTED };
-        let count = self.probes.take(now, most.min(question.wanted).min(open.len()));
-        let targets = open.into_iter().take(count).map(|upstream| {
+        candidates.shuffle(&mut self.rng);
+        let candidates = self.alternate_zones(now, candidates);
+        self.probes.refill(now);
+        let limit = if self.probes.is_ample() { question.wanted } else { SCARCE_PROBES };
+        let count = self.probes.take(now, limit.min(question.wanted).min(candidates.len()));
+        let targets = candidates.into_iter().take(count).map(|upstream| {
             let announcement = &self.upstreams.at(upstream.index).record.announcement;
             ProbeTarget { upstream: announcement.id.clone(), address: announcement.address }
         });
@@ -142,21 +145,21 @@
     /// upstreams, and were refused while upstreams of other zones stood idle. A request only looks
     /// in other zones once some upstreams of its own zone were probed without success. Half of its
     /// probes still go to its own zone, because bytes to other zones are expensive.
-    fn in_turns(&self, now: Moment, open: Vec<AskableUpstream>) -> Vec<AskableUpstream> {
-        let standing = |upstream: &AskableUpstream| {
-            let was_bad = self.was_bad(now, upstream.index);
-            2 * u8::from(upstream.is_silent) + u8::from(was_bad)
+    fn alternate_zones(&self, now: Moment, candidates: Vec<ProbeCandidate>) -> Vec<ProbeCandidate> {
+        let class = |upstream: &ProbeCandidate| {
+            let has_bad_report = self.has_bad_report(now, upstream.index);
+            2 * u8::from(upstream.is_silent) + u8::from(has_bad_report)
         };
-        let mut ranked: Vec<(u8, AskableUpstream)> =
-            open.into_iter().map(|upstream| (standing(&upstream), upstream)).collect();
+        let mut ranked: Vec<(u8, ProbeCandidate)> =
+            candidates.into_iter().map(|upstream| (class(&upstream), upstream)).collect();
         // The sort is stable, so that the order within the subset stays random.
         ranked
-            .sort_by_key(|(standing, upstream)| (*standing, upstream.is_away, upstream.is_outside));
-        let groups = ranked.chunk_by(|(a, x), (b, y)| (a, x.is_away) == (b, y.is_away));
+            .sort_by_key(|(class, upstream)| (*class, upstream.in_other_zone, upstream.is_outside));
+        let groups = ranked.chunk_by(|(a, x), (b, y)| (a, x.in_other_zone) == (b, y.in_other_zone));
         let turns = groups.flat_map(|group| group.iter().enumerate());
-        let mut turns: Vec<(usize, u8, AskableUpstream)> =
-            turns.map(|(turn, (standing, upstream))| (turn, *standing, *upstream)).collect();
-        turns.sort_by_key(|(turn, standing, upstream)| (*standing, *turn, upstream.is_away));
+        let mut turns: Vec<(usize, u8, ProbeCandidate)> =
+            turns.map(|(turn, (class, upstream))| (turn, *class, *upstream)).collect();
+        turns.sort_by_key(|(turn, class, upstream)| (*class, *turn, upstream.in_other_zone));
         turns.into_iter().map(|(_, _, upstream)| upstream).collect()
     }
 
@@ -173,22 +176,22 @@
     }
 
     /// Whether an upstream has recently reported a slowdown or no free slot.
-    fn was_bad(&self, now: Moment, index: usize) -> bool {
-        let slots = self.upstreams.at(index);
-        slots.reading.is_some_and(|(at, report)| {
-            now.since(at) <= BAD_SPAN
-                && expected_cost(slots.slots(), &report, self.filling)
-                    + expected_harm(slots.slots(), &report, self.filling)
-                    > WORTH_STARTING
+    fn has_bad_report(&self, now: Moment, index: usize) -> bool {
+        let state = self.upstreams.at(index);
+        state.last_report.is_some_and(|(at, report)| {
+            now.since(at) <= BAD_REPORT_SPAN
+                && expected_cost(state.slots(), &report, self.last_slot_cost)
+                    + expected_delay_to_others(state.slots(), &report, self.last_slot_cost)
+                    > MAX_START_COST
         })
     }
 
     /// Whether the own zone has upstreams and is not silent.
-    fn has_own_zone(&self, now: Moment) -> bool {
+    fn own_zone_responds(&self, now: Moment) -> bool {
         if self.upstreams.silent_zones(now).contains(&&self.zone) {
             return false;
         }
-        self.upstreams.open().any(|slots| slots.record.announcement.zone == self.zone)
+        self.upstreams.available().any(|state| state.record.announcement.zone == self.zone)
     }
 
     /// Returns how long a request would take at the best of the probed upstreams, in usual answer
@@ -196,7 +199,7 @@
     #[must_use]
     pub fn best_cost(&self, now: Moment, readings: &[ProbeReading]) -> Option<f32> {
         let costs = readings.iter().filter_map(|reading| self.reading_cost(now, reading));
-        costs.map(|found| found.cost + found.harm).min_by(f32::total_cmp)
+        costs.map(|found| found.cost + found.delay_to_others).min_by(f32::total_cmp)
     }
 
     /// Takes a new request whose upstreams have been probed. It starts at the one that should
@@ -207,46 +210,46 @@
         ticket: &RequestTicket,
         readings: &[ProbeReading],
     ) -> SchedulerEffects {
-        let Some(local) = self.shares.local(ticket.kind) else {
+        let Some(kind_index) = self.shares.index_of(ticket.kind) else {
             return self.arrive(now, ticket);
         };
         let best = readings
             .iter()
             .filter_map(|reading| Some((self.reading_cost(now, reading)?, reading)))
             .min_by(|(a, _), (b, _)| a.rank().total_cmp(&b.rank()));
-        let Some((UpstreamCost { cost, harm, index, .. }, reading)) = best else {
+        let Some((PlacementCost { cost, delay_to_others, index, .. }, reading)) = best else {
             readings.iter().for_each(|reading| self.note_reading(now, reading));
-            return self.arrive_unasked(now, local, ticket);
+            return self.arrive_unprobed(now, kind_index, ticket);
         };
-        if self.queue.len() > 0 || !self.may_start(local) || ticket.deadline <= now {
+        if self.queue.len() > 0 || !self.may_start(kind_index) || ticket.deadline <= now {
             return self.arrive(now, ticket);
         }
         for reading in readings {
             self.note_reading(now, reading);
         }
-        self.probes.fill(now);
-        if self.is_kept(now, local, ticket, (index, reading), cost)
-            || (harm > 0.0 && ticket.target.is_some())
+        self.probes.refill(now);
+        if self.should_hold(now, kind_index, ticket, (index, reading), cost)
+            || (delay_to_others > 0.0 && ticket.target.is_some())
         {
-            if self.probes.is_spent()
-                && let Some(found) = self.remembered(now, ticket)
+            if self.probes.is_exhausted()
+                && let Some(found) = self.best_recent(now, ticket)
             {
-                return vec![self.start(now, local, found, ticket)];
+                return vec![self.start(now, kind_index, found, ticket)];
             }
             let slots = self.upstreams.at(index).slots();
-            let queueing = expected_queueing(slots, &reading.report, self.base(local));
-            let soonest = queueing.clamp(SHORTEST_RETRY, LONGEST_RETRY);
-            let retry_after = self.busy_spell.refuse(now, soonest, &mut self.rng);
+            let queueing = expected_queueing(slots, &reading.report, self.base_time(kind_index));
+            let soonest = queueing.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+            let retry_after = self.busy_period.note_refusal(now, soonest, &mut self.rng);
             return vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)];
         }
         let slots = self.upstreams.at(index).slots();
         let room = SlotRoom::of(slots, &reading.report);
-        let was_near = is_nearly_full(slots, &reading.report);
-        let started = self.start(now, local, index, ticket);
+        let was_nearly_full = is_nearly_full(slots, &reading.report);
+        let started = self.start(now, kind_index, index, ticket);
         if let Some(running) = self.running.get_mut(&ticket.number) {
             running.cost = Some(cost);
             running.room = Some(room);
-            running.was_near = was_near;
+            running.was_nearly_full = was_nearly_full;
         }
         vec![started]
     }
@@ -256,42 +259,42 @@
     /// It uses the load reports of the last second: an upstream that had a free slot is likely to
     /// have one still. If no upstream had one, a request that is placed blindly would only queue,
     /// just when the pool can least afford it. Its caller should retry a little later instead.
-    fn arrive_unasked(
+    fn arrive_unprobed(
         &mut self,
         now: Moment,
-        local: usize,
+        kind_index: usize,
         ticket: &RequestTicket,
     ) -> SchedulerEffects {
         // No probes are made for requests that already wait here, so this one queues behind them.
         let waits = self.queue.len() > 0;
-        if waits || ticket.target.is_none() || self.upstreams.is_closed() {
+        if waits || ticket.target.is_none() || self.upstreams.none_available() {
             return self.arrive(now, ticket);
         }
-        if let Some(found) = self.remembered(now, ticket)
-            && self.may_start(local)
+        if let Some(found) = self.best_recent(now, ticket)
+            && self.may_start(kind_index)
             && ticket.deadline > now
         {
-            return vec![self.start(now, local, found, ticket)];
+            return vec![self.start(now, kind_index, found, ticket)];
         }
-        let soonest = self.base(local).clamp(SHORTEST_RETRY, LONGEST_RETRY);
-        let retry_after = self.busy_spell.refuse(now, soonest, &mut self.rng);
+        let soonest = self.base_time(kind_index).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let retry_after = self.busy_period.note_refusal(now, soonest, &mut self.rng);
         vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)]
     }
 
     /// Returns the best upstream according to the load reports of the last second, or `None` if
     /// none had room.
-    fn remembered(&self, now: Moment, ticket: &RequestTicket) -> Option<usize> {
-        let known = self.readings_since(now, REMEMBERED, ticket);
+    fn best_recent(&self, now: Moment, ticket: &RequestTicket) -> Option<usize> {
+        let known = self.readings_since(now, RECENT_SPAN, ticket);
         let costs = known.iter().filter_map(|reading| self.reading_cost(now, reading));
         let costs = costs.filter(|found| !self.upstreams.at(found.index).is_silent(now));
-        let worth = costs.filter(|found| found.cost + found.harm <= WORTH_STARTING);
-        worth.min_by(|a, b| a.rank().total_cmp(&b.rank())).map(|found| found.index)
+        let acceptable = costs.filter(|found| found.cost + found.delay_to_others <= MAX_START_COST);
+        acceptable.min_by(|a, b| a.rank().total_cmp(&b.rank())).map(|found| found.index)
     }
 
     /// Whether one of the probed upstreams should answer a request by its target.
     #[must_use]
     pub fn is_soon(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
-        self.should_answer(now, ticket, readings, 1.0)
+        self.meets_target(now, ticket, readings, 1.0)
     }
 
     /// Whether a request would start at the best of the probed upstreams, but its answer would come
@@ -305,25 +308,25 @@
     /// otherwise find no upstream at all.
     #[must_use]
     pub fn is_risky(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
-        let starts = self.best_cost(now, readings).is_some_and(|cost| cost <= WORTH_STARTING);
+        let starts = self.best_cost(now, readings).is_some_and(|cost| cost <= MAX_START_COST);
         let may_ask = starts && ticket.target.is_some() && self.probes.is_ample();
-        may_ask && !self.should_answer(now, ticket, readings, LARGE_WORK)
+        may_ask && !self.meets_target(now, ticket, readings, LARGE_WORK_FACTOR)
     }
 
     /// Whether work of `size` times the usual size should be answered by its target.
-    fn should_answer(
+    fn meets_target(
         &self,
         now: Moment,
         ticket: &RequestTicket,
         readings: &[ProbeReading],
         size: f32,
     ) -> bool {
-        let (Some(local), Some(cost)) =
-            (self.shares.local(ticket.kind), self.best_cost(now, readings))
+        let (Some(kind_index), Some(cost)) =
+            (self.shares.index_of(ticket.kind), self.best_cost(now, readings))
         else {
             return false;
         };
-        let takes = self.base(local).mul_f32(cost * size);
+        let takes = self.base_time(kind_index).mul_f32(cost * size);
         now + takes <= ticket.target.unwrap_or(ticket.deadline)
     }
 
@@ -335,36 +338,37 @@
     /// than its load would then be unable to recover for many times as long. A free slot, even
     /// beside a busy one, is below the limit. A slow period or a queue is above it, and both are
     /// over sooner than the work would be.
-    fn is_kept(
+    fn should_hold(
         &self,
         now: Moment,
-        local: usize,
+        kind_index: usize,
         ticket: &RequestTicket,
         (index, reading): (usize, &ProbeReading),
         cost: f32,
     ) -> bool {
         if ticket.target.is_some() {
-            return cost > WORTH_STARTING;
+            return cost > MAX_START_COST;
         }
         let slots = self.upstreams.at(index).slots();
-        let queueing = expected_queueing(slots, &reading.report, self.base(local));
-        queueing > ticket.deadline.since(now).mul_f32(WAIT_PART)
+        let queueing = expected_queueing(slots, &reading.report, self.base_time(kind_index));
+        queueing > ticket.deadline.since(now).mul_f32(MAX_WAIT_PART)
     }
 
     /// Returns until when a request may look for an upstream. After that its answer would miss its
     /// target, and its caller should be refused.
     #[must_use]
     pub fn patience(&self, now: Moment, ticket: &RequestTicket) -> Moment {
-        let (Some(local), Some(target)) = (self.shares.local(ticket.kind), ticket.target) else {
+        let (Some(kind_index), Some(target)) = (self.shares.index_of(ticket.kind), ticket.target)
+        else {
             return now;
         };
-        (target - self.base(local)).min(ticket.deadline)
+        (target - self.base_time(kind_index)).min(ticket.deadline)
     }
 
     /// Returns the most recent load reports, so that these upstreams need not be probed again.
     #[must_use]
     pub fn fresh_readings(&self, now: Moment, ticket: &RequestTicket) -> Vec<ProbeReading> {
-        self.readings_since(now, FRESH, ticket)
+        self.readings_since(now, FRESH_SPAN, ticket)
     }
 
     fn readings_since(
@@ -373,9 +377,9 @@
         span: Duration,
         ticket: &RequestTicket,
     ) -> Vec<ProbeReading> {
-        let known = self.upstreams.open().filter_map(|slots| {
-            let (at, report) = slots.reading?;
-            let upstream = &slots.record.announcement.id;
+        let known = self.upstreams.available().filter_map(|state| {
+            let (at, report) = state.last_report?;
+            let upstream = &state.record.announcement.id;
             let is_usable = now.since(at) <= span && !ticket.avoid.contains(upstream);
             is_usable.then(|| ProbeReading { upstream: upstream.clone(), report })
         });
@@ -385,13 +389,13 @@
     /// Whether any upstream has reported its load within the last second.
     #[must_use]
     pub fn has_heard(&self, now: Moment) -> bool {
-        let mut readings = self.upstreams.open().filter_map(|slots| slots.reading);
-        readings.any(|(at, _)| now.since(at) <= REMEMBERED)
+        let mut readings = self.upstreams.available().filter_map(|state| state.last_report);
+        readings.any(|(at, _)| now.since(at) <= RECENT_SPAN)
     }
 
     /// Returns how long a kind's work takes at an upstream that nothing slows down.
-    fn base(&self, local: usize) -> Duration {
-        let kind = self.shares.kind(local);
+    fn base_time(&self, kind_index: usize) -> Duration {
+        let kind = self.shares.kind(kind_index);
         if kind.base_ms > 0.0 {
             return Duration::from_secs_f32(kind.base_ms / 1_000.0);
         }
@@ -399,14 +403,14 @@
     }
 
     /// Learns from an answer how long a kind's work takes where nothing slows it down.
-    fn note_base(&mut self, local: usize, cost: f32, took: Duration) {
-        let kind = self.shares.kind_mut(local);
+    fn note_base(&mut self, kind_index: usize, cost: f32, took: Duration) {
+        let kind = self.shares.kind_mut(kind_index);
         let sample = took.as_secs_f32() * 1_000.0 / cost;
         if kind.base_ms <= 0.0 {
             kind.base_ms =
                 kind.target.map_or(sample, |target| target.as_secs_f32() * 1_000.0 * TARGET_PART);
         }
-        kind.base_ms += BASE_WEIGHT * (sample.min(kind.base_ms * BASE_JUMP) - kind.base_ms);
+        kind.base_ms += BASE_WEIGHT * (sample.min(kind.base_ms * MAX_BASE_RATIO) - kind.base_ms);
     }
 
     fn note_reading(&mut self, now: Moment, reading: &ProbeReading) {
@@ -417,10 +421,10 @@
             // The reported cold time counts from now and holds until the next report, so it is not
             // stored.
             let report = LoadReport { cold_left: None, ..reading.report };
-            let slots = self.upstreams.at_mut(index);
+            let state = self.upstreams.at_mut(index);
             // A load report that was returned from this store is no newer than the stored one.
-            if slots.reading.is_none_or(|(_, known)| known != report) {
-                slots.reading = Some((now, report));
+            if state.last_report.is_none_or(|(_, known)| known != report) {
+                state.last_report = Some((now, report));
             }
         }
     }
@@ -430,8 +434,8 @@
     fn is_overdue(&self, now: Moment, upstream: usize) -> bool {
         self.running.values().filter(|running| running.upstream == upstream).any(|running| {
             let Some(cost) = running.cost else { return false };
-            let Some(local) = self.shares.local(running.row) else { return false };
-            now.since(running.started) > self.base(local).mul_f32(cost * OVERDUE_TIMES)
+            let Some(kind_index) = self.shares.index_of(running.row) else { return false };
+            now.since(running.started) > self.base_time(kind_index).mul_f32(cost * OVERDUE_FACTOR)
         })
     }
 
@@ -440,29 +444,36 @@
     ///
     /// Recently observed failures and answer times count as well, because an upstream may fail or
     /// take long while its own report is good.
-    fn reading_cost(&self, now: Moment, reading: &ProbeReading) -> Option<UpstreamCost> {
+    fn reading_cost(&self, now: Moment, reading: &ProbeReading) -> Option<PlacementCost> {
         let index = self.upstreams.index_of(&reading.upstream)?;
-        let slots = self.upstreams.at(index);
-        if !slots.takes_work() || self.is_too_cold(now, index, reading) {
+        let state = self.upstreams.at(index);
+        if !state.takes_work() || self.is_cold_blocked(now, index, reading) {
             return None;
         }
-        let away = if slots.record.announcement.zone == self.zone { 0.0 } else { ZONE_DISTANCE };
-        let own_word = expected_cost(slots.slots(), &reading.report, self.filling);
-        let part = (slots.usable_part(now) / self.upstreams.usual_part()).clamp(LEAST_PART, 1.0);
-        let late = if self.is_overdue(now, index) { OVERDUE_COST } else { 1.0 };
-        let cost = own_word * slots.pace(now);
-        let harm = expected_harm(slots.slots(), &reading.report, self.filling);
-        Some(UpstreamCost { cost, harm, handicap: cost * late / part - cost + away, index })
+        let away = if state.record.announcement.zone == self.zone { 0.0 } else { ZONE_PENALTY };
+        let reported_cost = expected_cost(state.slots(), &reading.report, self.last_slot_cost);
+        let part =
+            (state.usable_part(now) / self.upstreams.usual_part()).clamp(MIN_USABLE_PART, 1.0);
+        let late = if self.is_overdue(now, index) { OVERDUE_PENALTY } else { 1.0 };
+        let cost = reported_cost * state.latency_ratio(now);
+        let delay_to_others =
+            expected_delay_to_others(state.slots(), &reading.report, self.last_slot_cost);
+        Some(PlacementCost {
+            cost,
+            delay_to_others,
+            handicap: cost * late / part - cost + away,
+            index,
+        })
     }
 
     /// Whether an upstream is cold and this entry may not send to it now. A new report takes
     /// precedence over earlier information.
-    fn is_too_cold(&self, now: Moment, index: usize, reading: &ProbeReading) -> bool {
+    fn is_cold_blocked(&self, now: Moment, index: usize, reading: &ProbeReading) -> bool {
         let (cold, terms) = (&self.upstreams.at(index).cold, self.upstreams.warm_up());
         match reading.report.cold_left {
             Some(left) if left.is_zero() => false,
             Some(_) => !cold.has_permit(now, terms),
-            None => cold.is_closed(now, terms),
+            None => cold.is_blocked(now, terms),
         }
     }
 
@@ -477,30 +488,30 @@
     pub(super) fn note_answer(
         &mut self,
         now: Moment,
-        local: usize,
+        kind_index: usize,
         running: &RunningRequest,
         report: Option<LoadReport>,
     ) {
         let Some(cost) = running.cost else { return };
         let took = now.since(running.started);
-        let promised = self.base(local).as_secs_f32() * cost;
-        let slots = self.upstreams.at_mut(running.upstream);
-        slots.note_pace(now, took.as_secs_f32() / promised);
+        let expected = self.base_time(kind_index).as_secs_f32() * cost;
+        let state = self.upstreams.at_mut(running.upstream);
+        state.note_latency_ratio(now, took.as_secs_f32() / expected);
         // The two estimates are learned from different answers. Learned from the same answers, one
         // would compensate for the error of the other.
         match running.room {
             // The cost of a last slot can be learned without taking one, from other requests that
             // do by chance.
             Some(SlotRoom::Free)
-                if running.was_near && self.was_filled(running.upstream, report) =>
+                if running.was_nearly_full && self.was_filled(running.upstream, report) =>
             {
-                let longer = (took.as_secs_f32() / promised - 1.0) / FULL_PART;
-                self.filling.note(1.0 + longer);
+                let longer = (took.as_secs_f32() / expected - 1.0) / FULL_TIME_PART;
+                self.last_slot_cost.note(1.0 + longer);
             }
-            Some(SlotRoom::Free) => self.note_base(local, cost, took),
+            Some(SlotRoom::Free) => self.note_base(kind_index, cost, took),
             Some(SlotRoom::Last) => {
-                let usual = promised / (1.0 + self.filling.or_first());
-                self.filling.note(took.as_secs_f32() / usual);
+                let usual = expected / (1.0 + self.last_slot_cost.estimate());
+                self.last_slot_cost.note(took.as_secs_f32() / usual);
             }
             Some(SlotRoom::Full) | None => {}
         }
@@ -509,18 +520,18 @@
 
 /// The cost of a request at one upstream, in usual answer times.
 #[derive(Clone, Copy, Debug)]
-struct UpstreamCost {
+struct PlacementCost {
     cost: f32,
     /// The delay that it would cause for the requests running there.
-    harm: f32,
+    delay_to_others: f32,
     /// Other disadvantages, such as another zone or recent failures. It ranks upstreams and causes
     /// no refusals, because waiting a moment would not change it.
     handicap: f32,
     index: usize,
 }
 
-impl UpstreamCost {
+impl PlacementCost {
     fn rank(&self) -> f32 {
-        self.cost + self.harm + self.handicap
+        self.cost + self.delay_to_others + self.handicap
     }
 }
--- a/crates/pulley_core/src/request/retry_budget.rs
+++ b/crates/pulley_core/src/request/retry_budget.rs
@@ -14,14 +14,14 @@
 const RETRY_COST: u32 = 1_000;
 
 /// Most retries that may be saved up, in the same unit.
-const MOST_SAVED: u32 = 10 * RETRY_COST;
+const MAX_SAVED: u32 = 10 * RETRY_COST;
 
 /// Retries saved at the start, in the same unit.
-const FIRST_SAVED: u32 = 3 * RETRY_COST;
+const INITIAL_SAVED: u32 = 3 * RETRY_COST;
 
 /// Divisor of an allowance over all entries that gives the part which may be saved up: one in two.
 /// The other half is for entries that restart, or that do not know yet how many entries there are.
-const ALLOWANCE_PARTS: u32 = 2;
+const ALLOWANCE_DIVISOR: u32 = 2;
 
 /// Limits one entry's retries in one pool in proportion to its first attempts.
 ///
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     saved: u32,
-    most_saved: u32,
+    max_saved: u32,
     deposit: u32,
 }
 
@@ -97,7 +97,7 @@
     /// Creates a budget with a few retries saved.
     #[must_use]
     pub const fn new() -> Self {
-        Self { saved: FIRST_SAVED, most_saved: MOST_SAVED, deposit: DEPOSIT }
+        Self { saved: INITIAL_SAVED, max_saved: MAX_SAVED, deposit: DEPOSIT }
     }
 
     /// Creates a budget for one entry's part of an allowance. In any window all entries together
@@ -108,22 +108,22 @@
     #[must_use]
     pub fn within(allowance: RetryAllowance, entries: u32) -> Self {
         let deposit = allowance.percent.saturating_mul(RETRY_COST / 100);
-        let mut budget = Self { saved: RETRY_COST, most_saved: RETRY_COST, deposit };
+        let mut budget = Self { saved: RETRY_COST, max_saved: RETRY_COST, deposit };
         budget.share(allowance, entries);
         budget
     }
 
     /// Limits the saved retries to this entry's part of an allowance shared by `entries` entries.
     pub fn share(&mut self, allowance: RetryAllowance, entries: u32) {
-        let saved = allowance.extra.saturating_mul(RETRY_COST) / ALLOWANCE_PARTS / entries.max(1);
-        self.most_saved = saved.clamp(RETRY_COST, MOST_SAVED);
-        self.saved = self.saved.min(self.most_saved);
+        let saved = allowance.extra.saturating_mul(RETRY_COST) / ALLOWANCE_DIVISOR / entries.max(1);
+        self.max_saved = saved.clamp(RETRY_COST, MAX_SAVED);
+        self.saved = self.saved.min(self.max_saved);
     }
 
     /// Counts a first attempt.
     pub const fn note_request(&mut self) {
         let saved = self.saved + self.deposit;
-        self.saved = if saved < self.most_saved { saved } else { self.most_saved };
+        self.saved = if saved < self.max_saved { saved } else { self.max_saved };
     }
 
     /// Decides whether to retry, and charges the budget for a retry.
--- a/crates/pulley_core/src/request/share_leases.rs
+++ b/crates/pulley_core/src/request/share_leases.rs
@@ -26,7 +26,7 @@
         wanted[kind.service] += kind.wanted;
         share[kind.service] = kind.share;
     }
-    let mut left = fill(slots, &wanted, &share);
+    let mut left = fill_services(slots, &wanted, &share);
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|kind| demands[*kind].priority);
     let mut given = vec![0.0; demands.len()];
@@ -39,13 +39,13 @@
 }
 
 /// Gives each service up to its demand, in proportion to the shares.
-fn fill(slots: f32, wanted: &[f32], share: &[f32]) -> Vec<f32> {
+fn fill_services(slots: f32, wanted: &[f32], share: &[f32]) -> Vec<f32> {
     let mut given = vec![0.0_f32; wanted.len()];
     let mut left = slots.max(0.0);
     // Each iteration either satisfies a service completely or uses up the remaining room.
     for _ in 0..=wanted.len() {
         let open: Vec<usize> = (0..wanted.len()).filter(|s| given[*s] < wanted[*s]).collect();
-        let weight = |service: usize| share[service].max(LEAST_SHARE);
+        let weight = |service: usize| share[service].max(MIN_SHARE);
         let weights: f32 = open.iter().map(|service| weight(*service)).sum();
         if open.is_empty() || left <= 0.0 {
             break;
@@ -62,4 +62,4 @@
 }
 
 /// Weight of a service without a share, which still gets what no other service wants.
-const LEAST_SHARE: f32 = 0.001;
+const MIN_SHARE: f32 = 0.001;
--- a/crates/pulley_core/src/request/upstream_slots.rs
+++ b/crates/pulley_core/src/request/upstream_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{AttemptOutcome, ColdGuard, LoadReport};
+use super::{AttemptOutcome, ColdRateLimit, LoadReport};
 use crate::process::{
     CountKey, Moment, UpstreamHealth, UpstreamNews, UpstreamPhase, UpstreamRecord,
 };
@@ -11,28 +11,28 @@
 ///
 /// A cold upstream answers its first requests many times slower. If all its slots were used at
 /// once, it would collect a queue that outlasts the warm-up.
-const COLD_PART: f32 = 0.25;
-const WARMING: Duration = Duration::from_secs(4);
+const INITIAL_PART: f32 = 0.25;
+const WARM_UP_RAMP: Duration = Duration::from_secs(4);
 
 /// Usable part of the slots below which an upstream gets only a trickle of requests.
-const IMPAIRED: f32 = 0.3;
+const IMPAIRED_PART: f32 = 0.3;
 
 /// Interval between the requests that one entry sends to an impaired upstream. Each of them may
 /// fail or take long. 25 entries send six a second, which is enough to notice a recovery.
-const TRICKLE_EVERY: Duration = Duration::from_secs(4);
+const TRICKLE_INTERVAL: Duration = Duration::from_secs(4);
 
 /// How long an upstream that left a probe unanswered counts as silent.
 const SILENT_SPAN: Duration = Duration::from_secs(1);
 
-/// Half-life in seconds of the pace (measured against promised answer time), the weight of one
-/// answer, and the largest ratio that one answer may count for.
-const PACE_MEMORY_S: f32 = 2.0;
-const PACE_WEIGHT: f32 = 0.3;
-const PACE_LIMIT: f32 = 10.0;
+/// Half-life of the latency ratio in seconds, the weight of one answer, and the largest ratio that
+/// one answer may count for.
+const RATIO_HALF_LIFE_S: f32 = 2.0;
+const RATIO_WEIGHT: f32 = 0.3;
+const MAX_RATIO: f32 = 10.0;
 
 /// One upstream as one entry sees it.
 #[derive(Clone, Debug)]
-pub(crate) struct UpstreamSlots {
+pub(crate) struct UpstreamState {
     pub(crate) key: CountKey,
     pub(crate) record: UpstreamRecord,
     /// False once the upstream is no longer announced. It is kept until its last request ends.
@@ -42,27 +42,27 @@
     /// This entry's own outstanding requests.
     pub(crate) own: u32,
     /// The other entries' outstanding requests, as of the newest sum.
-    pub(crate) foreign: f32,
+    pub(crate) others: f32,
     /// Answers and failures since the last report.
     pub(crate) news: UpstreamNews,
     health: UpstreamHealth,
     /// The usable part according to all entries together.
     pub(crate) shared_usable: f32,
     /// The upstream's last load report and when it arrived.
-    pub(crate) reading: Option<(Moment, LoadReport)>,
+    pub(crate) last_report: Option<(Moment, LoadReport)>,
     /// When the upstream last left a probe unanswered.
-    unanswered: Option<Moment>,
+    unanswered_at: Option<Moment>,
     /// Ratio of its answer times to those that its load reports promise, and when it was last
     /// updated.
-    pace: f32,
-    paced_at: Moment,
+    latency_ratio: f32,
+    ratio_updated: Moment,
     warming_since: Option<Moment>,
     /// Rate limit while the upstream is cold.
-    pub(crate) cold: ColdGuard,
-    trickle_at: Moment,
+    pub(crate) cold: ColdRateLimit,
+    next_trickle_at: Moment,
 }
 
-impl UpstreamSlots {
+impl UpstreamState {
     pub(crate) fn new(now: Moment, record: &UpstreamRecord) -> Self {
         let cold = record.announcement.phase == UpstreamPhase::Warming;
         Self {
@@ -71,17 +71,17 @@
             listed: true,
             in_subset: false,
             own: 0,
-            foreign: 0.0,
+            others: 0.0,
             news: UpstreamNews::default(),
             health: UpstreamHealth::new(now),
             shared_usable: 1.0,
-            reading: None,
-            unanswered: None,
-            pace: 1.0,
-            paced_at: now,
+            last_report: None,
+            unanswered_at: None,
+            latency_ratio: 1.0,
+            ratio_updated: now,
             warming_since: cold.then_some(now),
-            cold: ColdGuard::default(),
-            trickle_at: now,
+            cold: ColdRateLimit::default(),
+            next_trickle_at: now,
         }
     }
 
@@ -93,10 +93,10 @@
             self.warming_since = cold.then_some(now);
             self.health = UpstreamHealth::new(now);
             self.shared_usable = 1.0;
-            self.reading = None;
-            self.unanswered = None;
-            self.pace = 1.0;
-            self.cold = ColdGuard::default();
+            self.last_report = None;
+            self.unanswered_at = None;
+            self.latency_ratio = 1.0;
+            self.cold = ColdRateLimit::default();
         }
         self.record = record.clone();
         self.listed = true;
@@ -105,7 +105,7 @@
 
     /// Disables the assumed warm-up ramp, for pools where the rate to a cold upstream is limited in
     /// another way.
-    pub(crate) fn skip_warming(&mut self) {
+    pub(crate) fn skip_ramp(&mut self) {
         self.warming_since = None;
     }
 
@@ -118,9 +118,9 @@
     pub(crate) fn usable_part(&self, now: Moment) -> f32 {
         let part = self.health.usable(now).min(self.shared_usable);
         match self.warming_since {
-            Some(since) if now.since(since) < WARMING => {
-                let warmed = now.since(since).as_secs_f32() / WARMING.as_secs_f32();
-                part.min(COLD_PART + (1.0 - COLD_PART) * warmed)
+            Some(since) if now.since(since) < WARM_UP_RAMP => {
+                let warmed = now.since(since).as_secs_f32() / WARM_UP_RAMP.as_secs_f32();
+                part.min(INITIAL_PART + (1.0 - INITIAL_PART) * warmed)
             }
             _ => part,
         }
@@ -131,43 +131,44 @@
     /// Some upstreams turn slow without reporting it. A single late answer weighs little, as its
     /// work may just have been long. Several late answers keep away work that another upstream can
     /// do. The ratio decays by half every few seconds, so that a recovery is noticed.
-    pub(crate) fn pace(&self, now: Moment) -> f32 {
-        let passed = now.since(self.paced_at).as_secs_f32();
-        1.0 + (self.pace - 1.0) * (-passed / PACE_MEMORY_S).exp2()
+    pub(crate) fn latency_ratio(&self, now: Moment) -> f32 {
+        let passed = now.since(self.ratio_updated).as_secs_f32();
+        1.0 + (self.latency_ratio - 1.0) * (-passed / RATIO_HALF_LIFE_S).exp2()
     }
 
     /// Learns from an answer that took `ratio` times as long as the load report promised.
-    pub(crate) fn note_pace(&mut self, now: Moment, ratio: f32) {
-        let pace = self.pace(now);
-        self.pace = pace + PACE_WEIGHT * (ratio.clamp(1.0, PACE_LIMIT) - pace);
-        self.paced_at = now;
+    pub(crate) fn note_latency_ratio(&mut self, now: Moment, ratio: f32) {
+        let latency_ratio = self.latency_ratio(now);
+        self.latency_ratio =
+            latency_ratio + RATIO_WEIGHT * (ratio.clamp(1.0, MAX_RATIO) - latency_ratio);
+        self.ratio_updated = now;
     }
 
     /// Records that the upstream has left a probe unanswered.
     pub(crate) fn note_unanswered(&mut self, now: Moment) {
-        self.unanswered = Some(now);
+        self.unanswered_at = Some(now);
     }
 
     /// Whether the upstream left a probe unanswered recently and has reported nothing since.
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
-        let Some(unanswered) = self.unanswered else { return false };
-        let has_spoken = self.reading.is_some_and(|(at, _)| at >= unanswered);
-        !has_spoken && now.since(unanswered) < SILENT_SPAN
+        let Some(unanswered_at) = self.unanswered_at else { return false };
+        let has_reported = self.last_report.is_some_and(|(at, _)| at >= unanswered_at);
+        !has_reported && now.since(unanswered_at) < SILENT_SPAN
     }
 
     /// Whether the upstream should get no request for now.
-    pub(crate) fn rests(&self, now: Moment, usable_part: f32) -> bool {
-        usable_part < IMPAIRED && now < self.trickle_at
+    pub(crate) fn is_paused(&self, now: Moment, usable_part: f32) -> bool {
+        usable_part < IMPAIRED_PART && now < self.next_trickle_at
     }
 
     /// Counts a request that starts.
     pub(crate) fn start(&mut self, now: Moment) {
         self.own += 1;
-        if let Some((_, report)) = &mut self.reading {
+        if let Some((_, report)) = &mut self.last_report {
             report.in_flight = report.in_flight.map(|count| count + 1);
         }
-        if self.usable_part(now) < IMPAIRED {
-            self.trickle_at = now + TRICKLE_EVERY;
+        if self.usable_part(now) < IMPAIRED_PART {
+            self.next_trickle_at = now + TRICKLE_INTERVAL;
         }
     }
 
--- a/crates/pulley_core/src/request/wait_queue.rs
+++ b/crates/pulley_core/src/request/wait_queue.rs
@@ -29,29 +29,29 @@
         Self { kinds: vec![BTreeMap::new(); kinds], ..Self::default() }
     }
 
-    /// Adds a request of the kind with index `local`.
-    pub(crate) fn push(&mut self, local: usize, waiting: WaitingRequest) {
+    /// Adds a request of the kind with index `kind_index`.
+    pub(crate) fn push(&mut self, kind_index: usize, waiting: WaitingRequest) {
         let key = (waiting.ticket.deadline, waiting.ticket.number);
-        self.places.insert(waiting.ticket.number, (local, waiting.ticket.deadline));
-        self.kinds[local].insert(key, waiting);
-        if let Err(place) = self.waiting.binary_search(&local) {
-            self.waiting.insert(place, local);
+        self.places.insert(waiting.ticket.number, (kind_index, waiting.ticket.deadline));
+        self.kinds[kind_index].insert(key, waiting);
+        if let Err(place) = self.waiting.binary_search(&kind_index) {
+            self.waiting.insert(place, kind_index);
         }
     }
 
     /// Removes and returns a kind's request with the earliest deadline.
-    pub(crate) fn pop(&mut self, local: usize) -> Option<WaitingRequest> {
-        let (_, waiting) = self.kinds[local].pop_first()?;
+    pub(crate) fn pop(&mut self, kind_index: usize) -> Option<WaitingRequest> {
+        let (_, waiting) = self.kinds[kind_index].pop_first()?;
         self.places.remove(&waiting.ticket.number);
-        self.note_taken(local);
+        self.note_taken(kind_index);
         Some(waiting)
     }
 
     /// Removes a request, whatever its kind and position.
     pub(crate) fn remove(&mut self, number: RequestNumber) -> Option<WaitingRequest> {
-        let (local, deadline) = self.places.remove(&number)?;
-        let waiting = self.kinds[local].remove(&(deadline, number));
-        self.note_taken(local);
+        let (kind_index, deadline) = self.places.remove(&number)?;
+        let waiting = self.kinds[kind_index].remove(&(deadline, number));
+        self.note_taken(kind_index);
         waiting
     }
 
@@ -59,7 +59,9 @@
     pub(crate) fn drain(&mut self) -> Vec<WaitingRequest> {
         self.places.clear();
         let waiting = std::mem::take(&mut self.waiting).into_iter();
-        waiting.flat_map(|local| std::mem::take(&mut self.kinds[local]).into_values()).collect()
+        waiting
+            .flat_map(|kind_index| std::mem::take(&mut self.kinds[kind_index]).into_values())
+            .collect()
     }
 
     /// Returns the kinds that have waiting requests, in ascending order.
@@ -68,18 +70,18 @@
     }
 
     /// Returns a kind's request with the earliest deadline.
-    pub(crate) fn first(&self, local: usize) -> Option<&WaitingRequest> {
-        self.kinds[local].first_key_value().map(|(_, waiting)| waiting)
+    pub(crate) fn first(&self, kind_index: usize) -> Option<&WaitingRequest> {
+        self.kinds[kind_index].first_key_value().map(|(_, waiting)| waiting)
     }
 
     /// Returns how many requests of a kind wait.
-    pub(crate) fn len_of(&self, local: usize) -> usize {
-        self.kinds[local].len()
+    pub(crate) fn len_of(&self, kind_index: usize) -> usize {
+        self.kinds[kind_index].len()
     }
 
     /// Returns how many requests of a kind wait with a deadline no later than this one.
-    pub(crate) fn ahead_of(&self, local: usize, deadline: Moment) -> usize {
-        let kind = &self.kinds[local];
+    pub(crate) fn ahead_of(&self, kind_index: usize, deadline: Moment) -> usize {
+        let kind = &self.kinds[kind_index];
         // Deadlines of one kind mostly come in order of arrival, so a new request usually goes
         // last. The requests ahead are only counted one by one for a request that overtakes others.
         match kind.last_key_value() {
@@ -97,13 +99,13 @@
 
     /// Returns the earliest deadline in the queue.
     pub(crate) fn earliest(&self) -> Option<Moment> {
-        let firsts = self.waiting.iter().filter_map(|local| self.first(*local));
+        let firsts = self.waiting.iter().filter_map(|kind_index| self.first(*kind_index));
         firsts.map(|first| first.ticket.deadline).min()
     }
 
-    fn note_taken(&mut self, local: usize) {
-        if self.kinds[local].is_empty()
-            && let Ok(place) = self.waiting.binary_search(&local)
+    fn note_taken(&mut self, kind_index: usize) {
+        if self.kinds[kind_index].is_empty()
+            && let Ok(place) = self.waiting.binary_search(&kind_index)
         {
             self.waiting.remove(place);
         }
