--- a/crates/pulley_core/tests/arrival_probes/main.rs
+++ b/crates/pulley_core/tests/arrival_probes/main.rs
@@ -17,7 +17,7 @@
 use pulley_core::version::{KindPlan, MethodMatch, RequestPriority, RouteTerms, WorkLength};
 use pulley_core::{IndexedPlan, Moment, PolicyPlan, RefusalCause};
 
-use noisy_pool::{NoisyPool, PoolShape, SecondFigures};
+use noisy_pool::{NoisyPool, PoolShape, SecondCounts};
 
 pub(crate) const MS: Duration = Duration::from_millis(1);
 const TARGET: Duration = Duration::from_millis(400);
@@ -111,7 +111,7 @@
 // free slot beside a busy one, and one has a queue. If the idle one were chosen by its counts, the
 // request would take two seconds. The free slot beside the busy one answers it in time.
 #[test]
-fn a_slowed_machine_is_passed_over_though_it_is_idle() {
+fn an_idle_upstream_on_a_slowed_machine_is_avoided() {
     let records: Vec<_> = (0..3).map(|index| upstream(index, "a", 2)).collect();
     let mut scheduler = entry(1, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
@@ -123,7 +123,7 @@
 // queues are over sooner than work that is sent into them. Once its target can no longer be met,
 // its caller must be refused at once, with a retry delay.
 #[test]
-fn a_request_is_kept_while_all_are_slow_or_full() {
+fn a_request_is_held_back_while_all_are_slow_or_full() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 2)).collect();
     let mut scheduler = entry(2, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
@@ -140,7 +140,7 @@
 // a little later and saves the bytes between zones. A full own zone must send the request to the
 // other.
 #[test]
-fn the_own_zone_goes_first_and_refuses_nobody() {
+fn the_own_zone_goes_first_and_causes_no_refusals() {
     let records = [upstream(0, "a", 6), upstream(1, "b", 6)];
     let mut scheduler = entry(3, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
@@ -161,7 +161,7 @@
 // so the other zone is probed as well. It is not probed where all upstreams are idle, during a slow
 // period that is over sooner, or once half of the probes are used up.
 #[test]
-fn other_zones_are_asked_where_the_target_is_at_risk() {
+fn other_zones_are_probed_where_the_target_is_at_risk() {
     let records = [upstream(0, "a", 2), upstream(1, "b", 2), upstream(2, "b", 2)];
     let mut scheduler = entry(7, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
@@ -186,7 +186,7 @@
 // to the other upstream and took a second. Once no upstream has answered for longer, only the
 // counts are left.
 #[test]
-fn those_that_answer_nobody_are_passed_over_while_others_do() {
+fn recent_reports_decide_while_no_probe_is_answered() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 6)).collect();
     let mut scheduler = entry(8, &records);
     let mut now = Moment::ZERO + Duration::from_secs(1);
@@ -242,7 +242,7 @@
 // An upstream takes ten times as long as its own load reports promise. After a few answers the
 // entry must go by the observed answer times, and some seconds later try the upstream again.
 #[test]
-fn what_callers_see_counts_besides_an_upstreams_word() {
+fn observed_answer_times_count_besides_load_reports() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 2)).collect();
     let mut scheduler = entry(5, &records);
     let mut now = Moment::ZERO + Duration::from_secs(1);
@@ -261,9 +261,9 @@
     assert_eq!(chosen(&scheduler.arrive_probed(later, &ticket(10, later), &readings)), Some("u0"));
 }
 
-fn share(figures: &[SecondFigures]) -> f64 {
+fn share_in_time(counts: &[SecondCounts]) -> f64 {
     let (asked, in_time) =
-        figures.iter().fold((0, 0), |sum, next| (sum.0 + next.asked, sum.1 + next.in_time));
+        counts.iter().fold((0, 0), |sum, next| (sum.0 + next.asked, sum.1 + next.in_time));
     f64::from(in_time) / f64::from(asked)
 }
 
@@ -274,15 +274,16 @@
 // late, and the pool does not recover from the rush. Measured by this test: 0.25 of the answers in
 // time by own counts, 0.97 with probes; after the rush 0.32 and 0.97.
 #[test]
-fn asking_at_arrival_brings_answers_in_time_and_gets_over_a_rush() {
-    let blind = NoisyPool::new(PoolShape::SLOWING, false).play(40.0, 1.7);
-    let asked = NoisyPool::new(PoolShape::SLOWING, true).play(40.0, 1.7);
+fn arrival_probes_bring_answers_in_time_and_recovery_from_a_rush() {
+    let without_probes = NoisyPool::new(PoolShape::SLOWING, false).run(40.0, 1.7);
+    let with_probes = NoisyPool::new(PoolShape::SLOWING, true).run(40.0, 1.7);
     let after = 12..30;
-    let (before, now) = (share(&blind[..30]), share(&asked[..30]));
-    let (stuck, over) = (share(&blind[after.clone()]), share(&asked[after]));
-    assert!(now >= 0.90, "{now:.3} of the answers in time, {before:.3} by own counts");
-    assert!(over >= 0.93, "{over:.3} after the rush, {stuck:.3} by own counts");
-    assert!(before <= 0.75 * now, "{before:.3} by own counts, {now:.3} by asking");
+    let (before, now) = (share_in_time(&without_probes[..30]), share_in_time(&with_probes[..30]));
+    let (stuck, over) =
+        (share_in_time(&without_probes[after.clone()]), share_in_time(&with_probes[after]));
+    assert!(now >= 0.90, "{now:.3} of the answers in time with probes, {before:.3} by own counts");
+    assert!(over >= 0.93, "{over:.3} in time after the rush, {stuck:.3} by own counts");
+    assert!(before <= 0.75 * now, "{before:.3} by own counts, {now:.3} with probes");
 }
 
 // Twelve upstreams of three slots do not slow down when they are full. They run on machines whose
@@ -293,11 +294,11 @@
 // They were then passed over, and callers were refused beside them. Measured by this test: 0.862 of
 // the answers of the rush in time before, 0.954 since.
 #[test]
-fn a_rush_on_upstreams_that_bear_it_is_answered_in_time() {
-    let figures = NoisyPool::new(PoolShape::STEADY, true).play(105.0, 2.6);
-    let (rush, after) = (share(&figures[5..8]), share(&figures[9..30]));
+fn a_rush_that_upstreams_can_handle_is_answered_in_time() {
+    let counts = NoisyPool::new(PoolShape::STEADY, true).run(105.0, 2.6);
+    let (rush, after) = (share_in_time(&counts[5..8]), share_in_time(&counts[9..30]));
     assert!(rush >= 0.90, "{rush:.3} of the answers in time in the rush");
-    assert!(after >= 0.97, "{after:.3} after it");
+    assert!(after >= 0.97, "{after:.3} in time after the rush");
 }
 
 // Forty upstreams of two slots are in the callers' zone and forty in another that gets no other
@@ -306,11 +307,11 @@
 // upstreams. Measured by this test: 0.435 of the answers of the rush in time before, 0.938 since.
 #[test]
 fn a_rush_in_one_zone_is_answered_by_others_too() {
-    let shape = PoolShape { upstreams: 40, away: 40, entries: 40, ..PoolShape::SLOWING };
-    let figures = NoisyPool::new(shape, true).play(150.0, 2.2);
-    let (rush, after) = (share(&figures[5..8]), share(&figures[9..30]));
+    let shape = PoolShape { upstreams: 40, other_zone: 40, entries: 40, ..PoolShape::SLOWING };
+    let counts = NoisyPool::new(shape, true).run(150.0, 2.2);
+    let (rush, after) = (share_in_time(&counts[5..8]), share_in_time(&counts[9..30]));
     assert!(rush >= 0.85, "{rush:.3} of the answers in time in the rush, {after:.3} after it");
-    assert!(after >= 0.90, "{after:.3} after it");
+    assert!(after >= 0.90, "{after:.3} in time after the rush");
 }
 
 // Upstreams of three slots take no longer when their last slot is taken. Once answers have shown
@@ -340,7 +341,7 @@
 // half a second ago that it has room. The request must go there; it was once refused, because one
 // bad report counted for more than none.
 #[test]
-fn with_the_probes_used_up_one_bad_word_does_not_refuse_a_request() {
+fn one_bad_report_without_probes_left_does_not_refuse_a_request() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 3)).collect();
     let mut scheduler = entry(10, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
@@ -350,7 +351,7 @@
     let question = ProbeQuestion { asked: &[], wanted: 3, reach: ProbeReach::EveryZone };
     let slowed = [reading(1, 0, 0, 7.0)];
     let kept = scheduler.arrive_probed(later, &ticket(1, later), &slowed);
-    assert_eq!(chosen(&kept), None, "another can still be asked");
+    assert_eq!(chosen(&kept), None, "another upstream can still be probed");
     while !scheduler.probe_targets(later, &ticket(2, later), &question).is_empty() {}
     let sent = scheduler.arrive_probed(later, &ticket(3, later), &slowed);
     assert_eq!(chosen(&sent), Some("u0"));
@@ -360,7 +361,7 @@
 // request must probe the two others. When three random upstreams were probed at a time, every third
 // request of a rush found no probes left.
 #[test]
-fn scarce_probes_go_to_those_that_may_have_room() {
+fn scarce_probes_go_to_upstreams_that_may_have_room() {
     let records: Vec<_> = (0..3).map(|index| upstream(index, "a", 3)).collect();
     let mut scheduler = entry(11, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
@@ -385,7 +386,7 @@
 // seconds. A request that goes on probing them, each until a timeout, comes late. The next one must
 // turn to the other zone at once, and no upstream may be given up for good.
 #[test]
-fn a_zone_that_has_fallen_silent_is_asked_after_the_others() {
+fn a_silent_zone_is_probed_after_the_others() {
     let records: Vec<_> =
         (0..40).map(|index| upstream(index, if index < 20 { "a" } else { "b" }, 4)).collect();
     let mut scheduler = entry(3, &records);
--- a/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
+++ b/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
@@ -28,27 +28,27 @@
     events: BinaryHeap<Reverse<(u64, u64, PoolEvent)>>,
     sequence: u64,
     rng: SmallRng,
-    asks: bool,
+    uses_probes: bool,
     /// When each request was first sent, in microseconds.
     first: Vec<u64>,
-    figures: Vec<SecondFigures>,
+    counts: Vec<SecondCounts>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PoolEvent {
     Arrive { number: u64, tries: u32 },
-    Ask { entry: usize, number: u64, tries: u32, begun: u64 },
+    Ask { entry: usize, number: u64, tries: u32, first_sent: u64 },
     End { upstream: usize, entry: usize, number: u64 },
 }
 
-const QUEUE: usize = 4;
+const QUEUE_LIMIT: usize = 4;
 
 /// A pool, its machines and its callers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolShape {
     pub(crate) upstreams: u16,
     /// Number of upstreams in another zone than the entries', which gets no other load.
-    pub(crate) away: u16,
+    pub(crate) other_zone: u16,
     pub(crate) slots: u32,
     pub(crate) entries: usize,
     /// The usual duration of the work.
@@ -56,58 +56,58 @@
     /// The time within which an answer is in time.
     pub(crate) target: Duration,
     /// Slowdown of work that takes an upstream's last slot.
-    pub(crate) filling: f32,
+    pub(crate) last_slot_slowdown: f32,
     /// Slowdown of work in a quarter of all periods, and the length of a period.
-    pub(crate) slowed: f32,
-    pub(crate) spell: Duration,
+    pub(crate) slow_factor: f32,
+    pub(crate) slow_span: Duration,
     /// Probes per second of one upstream by all entries together.
     pub(crate) probes: f32,
     /// Whether answers carry the load report of their upstream, taken after they have ended.
-    pub(crate) tells: bool,
+    pub(crate) reports_load: bool,
 }
 
 impl PoolShape {
     /// Upstreams of two slots that slow down when they are full.
     pub(crate) const SLOWING: Self = Self {
         upstreams: 14,
-        away: 0,
+        other_zone: 0,
         slots: 2,
         entries: 29,
         work: Duration::from_millis(153),
         target: Duration::from_millis(400),
-        filling: 1.7,
-        slowed: 5.0,
-        spell: Duration::from_millis(150),
+        last_slot_slowdown: 1.7,
+        slow_factor: 5.0,
+        slow_span: Duration::from_millis(150),
         probes: 62.0,
-        tells: false,
+        reports_load: false,
     };
 
     /// Upstreams of three slots that do not slow down when they are full.
     pub(crate) const STEADY: Self = Self {
         upstreams: 12,
-        away: 0,
+        other_zone: 0,
         slots: 3,
         entries: 22,
         work: Duration::from_millis(88),
         target: Duration::from_millis(250),
-        filling: 1.0,
-        slowed: 7.0,
-        spell: Duration::from_millis(500),
+        last_slot_slowdown: 1.0,
+        slow_factor: 7.0,
+        slow_span: Duration::from_millis(500),
         probes: 60.0,
-        tells: true,
+        reports_load: true,
     };
 }
 
 /// Requests and answers in time, by the second in which the request was first sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SecondFigures {
+pub(crate) struct SecondCounts {
     pub(crate) asked: u32,
     pub(crate) in_time: u32,
 }
 
 impl NoisyPool {
-    pub(crate) fn new(shape: PoolShape, asks: bool) -> Self {
-        let all = shape.upstreams + shape.away;
+    pub(crate) fn new(shape: PoolShape, uses_probes: bool) -> Self {
+        let all = shape.upstreams + shape.other_zone;
         let count = usize::from(all);
         let zone = |index| if index < shape.upstreams { "a" } else { "b" };
         let records: Vec<_> =
@@ -126,19 +126,19 @@
             events: BinaryHeap::new(),
             sequence: 0,
             rng: SmallRng::seed_from_u64(11),
-            asks,
+            uses_probes,
             first: Vec::new(),
-            figures: vec![SecondFigures::default(); 31],
+            counts: vec![SecondCounts::default(); 31],
             shape,
         }
     }
 
     /// Returns the slowdown of an upstream's machine, which applies in a quarter of its periods.
     fn slowdown(&self, upstream: usize, at: u64) -> f32 {
-        let spell = self.shape.spell.as_micros() as u64;
-        let spell = (at + upstream as u64 * 37_000) / spell;
-        let mixed = (spell * 31 + upstream as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        if mixed >> 62 == 0 { self.shape.slowed } else { 1.0 }
+        let period = self.shape.slow_span.as_micros() as u64;
+        let period = (at + upstream as u64 * 37_000) / period;
+        let mixed = (period * 31 + upstream as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        if mixed >> 62 == 0 { self.shape.slow_factor } else { 1.0 }
     }
 
     fn push(&mut self, at: u64, event: PoolEvent) {
@@ -147,11 +147,11 @@
     }
 
     fn readings(&self, at: u64, ids: &[UpstreamId]) -> Vec<ProbeReading> {
-        let told = ids.iter().map(|id| ProbeReading {
+        let readings = ids.iter().map(|id| ProbeReading {
             upstream: id.clone(),
             report: self.report(at, self.place(id)),
         });
-        told.collect()
+        readings.collect()
     }
 
     fn report(&self, at: u64, upstream: usize) -> LoadReport {
@@ -166,9 +166,9 @@
         self.records.iter().position(|record| record.announcement.id == *id).expect("known")
     }
 
-    fn begin(&mut self, at: u64, upstream: usize, entry: usize, number: u64, work: Duration) {
+    fn start_work(&mut self, at: u64, upstream: usize, entry: usize, number: u64, work: Duration) {
         let is_last = self.running[upstream] + 1 == self.slots();
-        let full = if is_last { self.shape.filling } else { 1.0 };
+        let full = if is_last { self.shape.last_slot_slowdown } else { 1.0 };
         self.running[upstream] += 1;
         let took = work.mul_f32(full * self.slowdown(upstream, at));
         let end = at + u64::try_from(took.as_micros()).expect("short");
@@ -180,7 +180,7 @@
     }
 
     /// Simulates 30 s at `rate` requests a second, and `rush` times that from second 5 to 8.
-    pub(crate) fn play(mut self, rate: f64, rush: f64) -> Vec<SecondFigures> {
+    pub(crate) fn run(mut self, rate: f64, rush: f64) -> Vec<SecondCounts> {
         let mut at = 0.0;
         while at < 30.0 {
             let times = if (5.0..8.0).contains(&at) { rush } else { 1.0 };
@@ -188,30 +188,30 @@
             let micros = (at * 1e6) as u64;
             let number = self.first.len() as u64;
             self.push(micros, PoolEvent::Arrive { number, tries: 0 });
-            self.figures[at.min(30.0) as usize].asked += 1;
+            self.counts[at.min(30.0) as usize].asked += 1;
             self.first.push(micros);
         }
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             match event {
                 PoolEvent::Arrive { number, tries } => {
                     let entry = self.rng.random_range(0..self.shape.entries);
-                    self.push(at, PoolEvent::Ask { entry, number, tries, begun: at });
+                    self.push(at, PoolEvent::Ask { entry, number, tries, first_sent: at });
                 }
-                PoolEvent::Ask { entry, number, tries, begun } => {
-                    self.ask(at, entry, (number, tries), begun);
+                PoolEvent::Ask { entry, number, tries, first_sent } => {
+                    self.ask(at, entry, (number, tries), first_sent);
                 }
                 PoolEvent::End { upstream, entry, number } => self.end(at, upstream, entry, number),
             }
         }
-        self.figures
+        self.counts
     }
 
-    fn ask(&mut self, at: u64, entry: usize, (number, tries): (u64, u32), begun: u64) {
+    fn ask(&mut self, at: u64, entry: usize, (number, tries): (u64, u32), first_sent: u64) {
         let now = moment(at);
-        let ticket = ticket_for(number, moment(begun), self.shape.target);
-        let effects = if self.asks {
+        let ticket = ticket_for(number, moment(first_sent), self.shape.target);
+        let effects = if self.uses_probes {
             // A request looks in its own zone first, and in all zones when it probes again.
-            let is_first = self.shape.away > 0 && at == begun;
+            let is_first = self.shape.other_zone > 0 && at == first_sent;
             let reach = if is_first { ProbeReach::OwnZone } else { ProbeReach::EveryZone };
             let wanted = ProbeQuestion { asked: &[], wanted: 4, reach };
             let targets = self.entries[entry].probe_targets(now, &ticket, &wanted);
@@ -227,11 +227,11 @@
                 SchedulerEffect::Start { upstream, .. } => {
                     self.send(at, entry, (number, tries), &upstream);
                 }
-                SchedulerEffect::Refuse { .. } if self.asks && now + 30 * MS < patience => {
-                    self.push(at + 30_000, PoolEvent::Ask { entry, number, tries, begun });
+                SchedulerEffect::Refuse { .. } if self.uses_probes && now + 30 * MS < patience => {
+                    self.push(at + 30_000, PoolEvent::Ask { entry, number, tries, first_sent });
                 }
                 SchedulerEffect::Refuse { retry_after, .. } => {
-                    self.come_back(at, (number, tries), retry_after);
+                    self.schedule_retry(at, (number, tries), retry_after);
                 }
             }
         }
@@ -243,18 +243,18 @@
             LogNormal::new(self.shape.work.as_secs_f64().ln(), 0.3).expect("parameters");
         let work = Duration::from_secs_f64(spread.sample(&mut self.rng));
         if self.running[place] < self.slots() {
-            self.begin(at, place, entry, number, work);
-        } else if self.queues[place].len() < QUEUE {
+            self.start_work(at, place, entry, number, work);
+        } else if self.queues[place].len() < QUEUE_LIMIT {
             self.queues[place].push((entry, number, work));
         } else {
             let shed = AttemptOutcome::Shed;
             self.entries[entry].finish(moment(at), RequestNumber(number), shed, None);
-            self.come_back(at, (number, tries), 100 * MS);
+            self.schedule_retry(at, (number, tries), 100 * MS);
         }
     }
 
     /// Sends a refused request again, at most twice.
-    fn come_back(&mut self, at: u64, (number, tries): (u64, u32), after: Duration) {
+    fn schedule_retry(&mut self, at: u64, (number, tries): (u64, u32), after: Duration) {
         if tries < 2 {
             let back = at + u64::try_from(after.as_micros()).expect("short");
             self.push(back, PoolEvent::Arrive { number, tries: tries + 1 });
@@ -263,17 +263,17 @@
 
     fn end(&mut self, at: u64, upstream: usize, entry: usize, number: u64) {
         let answered = AttemptOutcome::Answered;
-        let report = self.shape.tells.then(|| self.report(at, upstream).less_one());
+        let report = self.shape.reports_load.then(|| self.report(at, upstream).less_one());
         self.entries[entry].finish(moment(at), RequestNumber(number), answered, report);
-        let begun = self.first[usize::try_from(number).expect("few")];
-        if at - begun <= self.shape.target.as_micros() as u64 {
-            let second = usize::try_from(begun / 1_000_000).expect("few").min(30);
-            self.figures[second].in_time += 1;
+        let first_sent = self.first[usize::try_from(number).expect("few")];
+        if at - first_sent <= self.shape.target.as_micros() as u64 {
+            let second = usize::try_from(first_sent / 1_000_000).expect("few").min(30);
+            self.counts[second].in_time += 1;
         }
         self.running[upstream] -= 1;
         if !self.queues[upstream].is_empty() {
             let (entry, number, work) = self.queues[upstream].remove(0);
-            self.begin(at, upstream, entry, number, work);
+            self.start_work(at, upstream, entry, number, work);
         }
     }
 }
--- a/crates/pulley_core/tests/arrival_probes/subset_tests.rs
+++ b/crates/pulley_core/tests/arrival_probes/subset_tests.rs
@@ -21,7 +21,7 @@
 /// Requests of one entry, half a second apart.
 const REQUESTS: u64 = 80;
 
-fn ask(
+fn probe(
     scheduler: &mut PoolScheduler,
     now: Moment,
     asked: &[UpstreamId],
@@ -33,12 +33,12 @@
 }
 
 /// Returns how often one entry probes each upstream, if the first three are always good enough.
-fn asked_by(seed: u64, records: &[UpstreamRecord]) -> BTreeMap<UpstreamId, u64> {
+fn probed_by(seed: u64, records: &[UpstreamRecord]) -> BTreeMap<UpstreamId, u64> {
     let mut scheduler = entry(seed, records);
     let mut counts = BTreeMap::new();
     for number in 0..REQUESTS {
         let now = Moment::ZERO + Duration::from_millis(1_000 + number * 500);
-        for upstream in ask(&mut scheduler, now, &[], ProbeReach::OwnZone) {
+        for upstream in probe(&mut scheduler, now, &[], ProbeReach::OwnZone) {
             *counts.entry(upstream).or_default() += 1;
         }
     }
@@ -51,26 +51,26 @@
 // by an entry without a subset, 8 with it. Over sixty entries no upstream may be left out or probed
 // more than twice as often as the mean.
 #[test]
-fn an_entry_asks_the_same_few_and_all_entries_ask_every_upstream() {
+fn an_entry_probes_a_subset_and_all_subsets_cover_every_upstream() {
     let records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
     let mut sums: BTreeMap<UpstreamId, u64> = BTreeMap::new();
     for seed in 1..=ENTRIES {
-        let counts = asked_by(seed, &records);
-        assert!(counts.len() <= 8, "entry {seed} asks {} upstreams", counts.len());
+        let counts = probed_by(seed, &records);
+        assert!(counts.len() <= 8, "entry {seed} probes {} upstreams", counts.len());
         for (upstream, count) in counts {
             *sums.entry(upstream).or_default() += count;
         }
     }
-    assert_eq!(sums.len(), usize::from(UPSTREAMS), "some upstream is asked by nobody");
+    assert_eq!(sums.len(), usize::from(UPSTREAMS), "some upstream is in no subset");
     let mean = ENTRIES * REQUESTS * 3 / u64::from(UPSTREAMS);
     let most = sums.values().copied().max().unwrap_or_default();
-    assert!(most <= 2 * mean, "{most} questions to one upstream, {mean} in the mean");
+    assert!(most <= 2 * mean, "{most} probes of one upstream, {mean} on average");
 }
 
 // Three upstreams of the subset are slowed down or full, and the next few as well. The request must
 // look beyond them instead of being refused beside free upstreams.
 #[test]
-fn a_request_looks_beyond_the_usual_few_when_those_are_asked() {
+fn a_request_looks_beyond_the_subset_once_it_is_probed() {
     let records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
     let mut scheduler = entry(1, &records);
     // High enough that none of its probes makes the budget scarce.
@@ -78,7 +78,7 @@
     let now = Moment::ZERO + Duration::from_secs(1);
     let mut asked = Vec::new();
     for _ in 0..4 {
-        let more = ask(&mut scheduler, now, &asked, ProbeReach::OwnZone);
+        let more = probe(&mut scheduler, now, &asked, ProbeReach::OwnZone);
         assert_eq!(more.len(), 3);
         asked.extend(more);
     }
@@ -89,12 +89,12 @@
 // An upstream ends and another takes its place, as on every release. If the subset were chosen anew
 // with each change, an entry would open all its connections again with each change.
 #[test]
-fn one_upstream_that_leaves_changes_one_of_the_few() {
+fn one_leaving_upstream_changes_one_place_of_the_subset() {
     let mut records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
-    let before: BTreeSet<_> = asked_by(1, &records).into_keys().collect();
+    let before: BTreeSet<_> = probed_by(1, &records).into_keys().collect();
     let gone = before.first().expect("some").clone();
     records.retain(|record| record.announcement.id != gone);
-    let after: BTreeSet<_> = asked_by(1, &records).into_keys().collect();
+    let after: BTreeSet<_> = probed_by(1, &records).into_keys().collect();
     assert_eq!(after.len(), before.len());
     assert_eq!(before.difference(&after).collect::<Vec<_>>(), [&gone]);
 }
@@ -116,7 +116,7 @@
 // one. It must end with the same ranking as an entry that has just started. An upstream that it
 // keeps probing after it left costs callers time, and one that it has lost stands idle.
 #[test]
-fn changes_one_by_one_end_where_a_fresh_start_does() {
+fn incremental_changes_end_in_the_state_of_a_fresh_start() {
     for seed in 1..=20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut scheduler = entry(seed, &[]);
@@ -167,9 +167,9 @@
     let is_away = |id: &UpstreamId| {
         records.iter().any(|r| r.announcement.id == *id && r.announcement.zone.as_str() == "b")
     };
-    let first = ask(&mut scheduler, now, &[], ProbeReach::OwnZone);
+    let first = probe(&mut scheduler, now, &[], ProbeReach::OwnZone);
     assert_eq!(first.iter().filter(|id| is_away(id)).count(), 0, "its own zone goes first");
-    let further = ask(&mut scheduler, now, &first, ProbeReach::EveryZone);
+    let further = probe(&mut scheduler, now, &first, ProbeReach::EveryZone);
     let away = further.iter().filter(|id| is_away(id)).count();
     assert!((1..=2).contains(&away), "{away} of {} in another zone", further.len());
 }
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -89,7 +89,7 @@
     entries: Vec<PoolScheduler>,
     coordinator: PoolCoordinator,
     coordinator_host: usize,
-    wires: BTreeMap<(Moment, u64), (usize, usize, CountFrame)>,
+    in_transit: BTreeMap<(Moment, u64), (usize, usize, CountFrame)>,
     sent: u64,
     rng: StdRng,
     loss: f64,
@@ -118,7 +118,7 @@
             entries: (0..entries).map(make).collect(),
             coordinator: coordinator(0, Moment::ZERO),
             coordinator_host: 0,
-            wires: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             rng: StdRng::seed_from_u64(seed),
             loss,
@@ -135,9 +135,9 @@
             }
             let late = self.rng.random::<f64>() < self.loss;
             let most = if late { 80_000 } else { 600 };
-            let way = Duration::from_micros(self.rng.random_range(100..most));
+            let transit_time = Duration::from_micros(self.rng.random_range(100..most));
             self.sent += 1;
-            self.wires.insert((now + way, self.sent), (from, to, frame.clone()));
+            self.in_transit.insert((now + transit_time, self.sent), (from, to, frame.clone()));
         }
     }
 
@@ -147,10 +147,10 @@
         let mut now = begin;
         while now < end {
             now = now + MS / 4;
-            while let Some(((at, _), _)) = self.wires.first_key_value()
+            while let Some(((at, _), _)) = self.in_transit.first_key_value()
                 && *at <= now
             {
-                let (_, (from, to, frame)) = self.wires.pop_first().expect("just seen");
+                let (_, (from, to, frame)) = self.in_transit.pop_first().expect("just seen");
                 self.deliver(now, from, to, frame, &mut effects);
             }
             for entry in 0..self.entries.len() {
@@ -222,7 +222,7 @@
 // The configuration is applied again with each change of an upstream, many times between two
 // rounds. Reports received since the last round must not be lost by that.
 #[test]
-fn a_view_without_a_new_plan_loses_no_report() {
+fn reapplying_the_same_plan_loses_no_report() {
     let (now, plan) = (Moment::ZERO, plan());
     let (pool, zone) = ("cover".parse().expect("name"), "a".parse().expect("name"));
     let mut coordinator = PoolCoordinator::new(pool, zone, host(9), now);
@@ -276,7 +276,7 @@
 #[test]
 fn leased_parts_add_up_to_the_room_and_no_more() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
-    fn law(slots: u16, wanted: Vec<(u8, u16, u16)>) -> bool {
+    fn property(slots: u16, wanted: Vec<(u8, u16, u16)>) -> bool {
         let demands: Vec<KindDemand> = wanted
             .iter()
             .enumerate()
@@ -297,17 +297,17 @@
             .all(|(given, demand)| (0.0..=demand.wanted + 0.01).contains(given));
         each && all <= slots + 0.1 && all >= slots.min(asked) * 0.99 - 0.1
     }
-    check(law as fn(u16, Vec<(u8, u16, u16)>) -> bool);
+    check(property as fn(u16, Vec<(u8, u16, u16)>) -> bool);
 }
 
 // Datagrams are lost, duplicated and reordered while requests come and go. Once the network has
 // recovered, the published counts must equal the requests that are really outstanding.
 #[test]
-fn counts_converge_to_the_truth() {
-    fn law(seed: u64, entries: u8) -> bool {
+fn counts_converge_to_the_outstanding_requests() {
+    fn property(seed: u64, entries: u8) -> bool {
         let entries = usize::from(entries % 12) + 2;
         let mut network = CountNetwork::new(entries, seed, 0.2);
-        let mut truth: BTreeMap<String, u16> = BTreeMap::new();
+        let mut outstanding: BTreeMap<String, u16> = BTreeMap::new();
         let mut effects = Vec::new();
         network.run(Moment::ZERO, Moment::ZERO + 400 * MS);
         let now = Moment::ZERO + 400 * MS;
@@ -321,25 +321,25 @@
         effects.extend(network.run(now + 300 * MS, now + 1_500 * MS));
         for effect in effects {
             if let SchedulerEffect::Start { upstream, .. } = effect {
-                *truth.entry(upstream.to_string()).or_default() += 1;
+                *outstanding.entry(upstream.to_string()).or_default() += 1;
             }
         }
         let (_, last) = network.published.last().expect("rounds went on");
-        let mut told = last.clone();
-        let mut real: Vec<u16> = truth.into_values().collect();
-        real.resize(told.len(), 0);
-        told.sort_unstable();
+        let mut published = last.clone();
+        let mut real: Vec<u16> = outstanding.into_values().collect();
+        real.resize(published.len(), 0);
+        published.sort_unstable();
         real.sort_unstable();
-        told == real
+        published == real
     }
-    check(law as fn(u64, u8) -> bool);
+    check(property as fn(u64, u8) -> bool);
 }
 
 // Requests arrive in bursts, upstreams fail, messages between hosts get lost, callers leave.
 // Whatever happens, each request must get exactly one outcome, and none may be forgotten.
 #[test]
 fn every_request_ends_in_exactly_one_outcome() {
-    fn law(seed: u64) -> bool {
+    fn property(seed: u64) -> bool {
         let mut network = CountNetwork::new(4, seed, 0.1);
         let mut rng = StdRng::seed_from_u64(seed ^ 1);
         let mut outcomes: BTreeMap<u64, u32> = BTreeMap::new();
@@ -389,7 +389,7 @@
             *outcomes.get_mut(&number.0).expect("it arrived") += 1;
         }
     }
-    check(law as fn(u64) -> bool);
+    check(property as fn(u64) -> bool);
 }
 
 // A coordinator is lost and its successor begins to probe. Both together must stay within the probe
@@ -403,18 +403,18 @@
     network.coordinator_host = 1;
     network.run(lost_at, lost_at + 8_000 * MS);
     // Three kinds with two probes a second each make six.
-    assert!(network.probes.len() > 10, "nothing else tells of idle upstreams");
+    assert!(network.probes.len() > 10, "idle upstreams are only found by probes");
     for (first, begin) in network.probes.iter().enumerate() {
         for (extra, end) in network.probes[first..].iter().enumerate() {
             let allowed = 6.0 * end.since(*begin).as_secs_f64() + 1.01;
-            assert!(extra as f64 <= allowed, "{extra} after {begin} until {end}");
+            assert!(extra as f64 <= allowed, "{extra} more probes from {begin} to {end}");
         }
     }
 }
 
 #[test]
 fn probe_bucket_never_gives_more_than_its_rate() {
-    fn law(rate: u16, steps: Vec<u16>) -> bool {
+    fn property(rate: u16, steps: Vec<u16>) -> bool {
         let mut budget = ProbeBudget::new(Moment::ZERO, ProbeRate(u32::from(rate)));
         let mut now = Moment::ZERO;
         let mut taken = 0_u64;
@@ -427,7 +427,7 @@
         }
         true
     }
-    check(law as fn(u16, Vec<u16>) -> bool);
+    check(property as fn(u16, Vec<u16>) -> bool);
 }
 
 // First-priority kinds keep coming as fast as they are answered. A caller of a low kind must still
@@ -491,7 +491,7 @@
             ends.insert((now + took, number.0), ());
         }
     }
-    assert!(slow[1] <= 20, "2,000 calls later it still got {} of 2,000", slow[1]);
+    assert!(slow[1] <= 20, "the slow upstream still got {} of the last 2,000 requests", slow[1]);
 }
 
 fn failed_once() -> RetryQuestion {
@@ -518,7 +518,7 @@
         budget.note_request();
         retries += u32::from(budget.decide(&question) == RetryDecision::Retry);
     }
-    assert!((100..=103).contains(&retries), "{retries} retries of 1,000 calls");
+    assert!((100..=103).contains(&retries), "{retries} retries of 1,000 requests");
     for above in [
         RetryQuestion { retried_below: true, ..question },
         RetryQuestion { idempotent: false, ..question },
@@ -557,8 +557,14 @@
         for window in seconds.windows(10) {
             let (requests, retries) =
                 window.iter().fold((0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1));
-            assert!(retries <= requests / 5 + 75, "{retries} for {requests}, {entries} entries");
-            assert!(retries >= requests / 10, "{retries} for {requests}, {entries} entries");
+            assert!(
+                retries <= requests / 5 + 75,
+                "{retries} retries, {requests} requests, {entries} entries"
+            );
+            assert!(
+                retries >= requests / 10,
+                "{retries} retries, {requests} requests, {entries} entries"
+            );
         }
     }
 }
@@ -577,5 +583,5 @@
         moved += u32::from(before != after);
         assert!(before == after || *before == hosts[0]);
     }
-    assert!((1..30).contains(&moved), "{moved} of 200 pools were the lost host's");
+    assert!((1..30).contains(&moved), "the lost host coordinated {moved} of 200 pools");
 }
--- a/crates/pulley_core/tests/many_entries/entry_fleet.rs
+++ b/crates/pulley_core/tests/many_entries/entry_fleet.rs
@@ -27,14 +27,14 @@
 const WORK_MS: f64 = 120.0;
 pub(crate) const TARGET: Duration = Duration::from_millis(300);
 /// Slowdown of work at a cold upstream.
-const COLD_TIMES: f64 = 2.0;
+const COLD_SLOWDOWN: f64 = 2.0;
 pub(crate) const COLD_SPAN: Duration = Duration::from_secs(3);
 /// Rate of requests that a cold upstream can handle according to the sheet, in thousandths of a
 /// request per second.
 const COLD_RATE: u32 = 4_300;
 /// The limit agreed with the upstreams' owners for one second: half as much again as the rate, plus
 /// eight.
-pub(crate) const COLD_MOST: usize = 14;
+pub(crate) const COLD_LIMIT: usize = 14;
 
 pub(crate) fn warm_up() -> WarmUpTerms {
     WarmUpTerms { span: COLD_SPAN, rate: StartRate(COLD_RATE) }
@@ -86,10 +86,10 @@
 
 /// The actual state of an upstream, whatever entries know of it.
 #[derive(Default)]
-pub(crate) struct RealUpstream {
+pub(crate) struct SimulatedUpstream {
     cold_until: Duration,
     /// The upstream answers no requests, and what is sent to it is lost.
-    is_dark: bool,
+    is_down: bool,
     /// Remaining work of each request, in milliseconds when it runs alone, with its entry and
     /// number.
     pub(crate) running: Vec<(f64, usize, u64)>,
@@ -98,7 +98,7 @@
     pub(crate) cold_arrivals: Vec<Duration>,
 }
 
-impl RealUpstream {
+impl SimulatedUpstream {
     fn report(&self, at: Duration) -> LoadReport {
         LoadReport {
             utilization: 0.0,
@@ -120,43 +120,43 @@
 }
 
 /// Probe timeout, pause before a request probes again, and number of probe rounds without a pause.
-const PROBE_WAIT: Duration = Duration::from_millis(40);
-const FULL_PAUSE: Duration = Duration::from_millis(30);
-const STAGES: u32 = 2;
+const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
+const PROBE_PAUSE: Duration = Duration::from_millis(30);
+const PROBE_ROUNDS: u32 = 2;
 
 /// A request that looks for an upstream.
-struct AskingRequest {
+struct ProbingRequest {
     entry: usize,
-    begun: Duration,
+    first_sent: Duration,
     /// How often its caller has come back.
     returns: u32,
-    stage: u32,
+    round: u32,
     is_first: bool,
-    asked: Vec<UpstreamId>,
+    probed: Vec<UpstreamId>,
     readings: Vec<ProbeReading>,
 }
 
 /// Hundreds of entries with one pool.
 pub(crate) struct EntryFleet {
     entries: Vec<PoolScheduler>,
-    pub(crate) upstreams: Vec<RealUpstream>,
+    pub(crate) upstreams: Vec<SimulatedUpstream>,
     random: StdRng,
     now: Duration,
     number: u64,
-    asked_at: FastMap<u64, Duration>,
+    sent_at: FastMap<u64, Duration>,
     /// Requests that probe upstreams, by the time at which they continue.
-    asking: BTreeMap<(Duration, u64), AskingRequest>,
+    probing: BTreeMap<(Duration, u64), ProbingRequest>,
     /// Upstream records on their way to entries, by arrival time.
-    news: BTreeMap<(Duration, u64), (usize, Vec<UpstreamRecord>)>,
+    announcements: BTreeMap<(Duration, u64), (usize, Vec<UpstreamRecord>)>,
     /// Slowdown of work while an upstream is full.
-    pub(crate) full_times: f64,
+    pub(crate) full_slowdown: f64,
     /// How often refused callers come back, and whether they respect the retry delay.
-    pub(crate) caller_returns: u32,
-    pub(crate) are_patient: bool,
+    pub(crate) max_returns: u32,
+    pub(crate) respects_retry_delay: bool,
     /// The time from which requests are counted.
     counted_from: Duration,
     in_time: u64,
-    asked: u64,
+    sent: u64,
 }
 
 impl EntryFleet {
@@ -181,27 +181,27 @@
         });
         let mut pool = Self {
             entries: entries.collect(),
-            upstreams: (0..upstreams).map(|_| RealUpstream::default()).collect(),
+            upstreams: (0..upstreams).map(|_| SimulatedUpstream::default()).collect(),
             random: StdRng::seed_from_u64(seed),
             now: Duration::ZERO,
             number: 0,
-            asked_at: FastMap::default(),
-            asking: BTreeMap::new(),
-            news: BTreeMap::new(),
-            full_times: 1.0,
-            caller_returns: 0,
-            are_patient: true,
+            sent_at: FastMap::default(),
+            probing: BTreeMap::new(),
+            announcements: BTreeMap::new(),
+            full_slowdown: 1.0,
+            max_returns: 0,
+            respects_retry_delay: true,
             counted_from: Duration::ZERO,
             in_time: 0,
-            asked: 0,
+            sent: 0,
         };
         let all: Vec<usize> = (0..pool.entries.len()).collect();
-        pool.believe(&all, &all);
+        pool.set_live_entries(&all, &all);
         pool
     }
 
     /// Sets the list of live entries that some entries hold.
-    pub(crate) fn believe(&mut self, who: &[usize], alive: &[usize]) {
+    pub(crate) fn set_live_entries(&mut self, who: &[usize], alive: &[usize]) {
         let named = alive.iter().map(|index| {
             (ZONES[index % 3].parse().unwrap(), format!("host{index}").parse().unwrap())
         });
@@ -213,24 +213,26 @@
     }
 
     /// Sends records to every entry, each with its own random delay.
-    pub(crate) fn tell(&mut self, records: &[UpstreamRecord], slowest_ms: u64) {
+    pub(crate) fn announce(&mut self, records: &[UpstreamRecord], slowest_ms: u64) {
         for index in 0..self.entries.len() {
             self.number += 1;
             let delay =
                 MILLISECOND * u32::try_from(self.random.random_range(0..=slowest_ms)).unwrap();
-            self.news.insert((self.now + delay, self.number), (index, records.to_vec()));
+            self.announcements.insert((self.now + delay, self.number), (index, records.to_vec()));
         }
     }
 
-    /// Turns a zone's upstreams cold. Entries learn of it only if `is_new_start` is set.
-    pub(crate) fn chill(&mut self, zone: usize, is_new_start: bool) {
+    /// Turns a zone's upstreams cold. Entries learn of it only if `is_restart` is set.
+    pub(crate) fn make_cold(&mut self, zone: usize, is_restart: bool) {
         let members = (0..self.upstreams.len()).filter(|index| index % 3 == zone);
         let members: Vec<usize> = members.collect();
         for index in &members {
-            self.upstreams[*index] =
-                RealUpstream { cold_until: self.now + COLD_SPAN, ..RealUpstream::default() };
+            self.upstreams[*index] = SimulatedUpstream {
+                cold_until: self.now + COLD_SPAN,
+                ..SimulatedUpstream::default()
+            };
         }
-        if is_new_start {
+        if is_restart {
             let all = 0..self.upstreams.len();
             let records: Vec<_> = all
                 .map(|index| match members.contains(&index) {
@@ -238,30 +240,31 @@
                     false => record(index, 1, UpstreamPhase::Ready),
                 })
                 .collect();
-            self.tell(&records, 300);
+            self.announce(&records, 300);
         }
     }
 
     /// Restarts the counting of requests.
-    pub(crate) fn count_anew(&mut self) {
-        (self.counted_from, self.in_time, self.asked) = (self.now, 0, 0);
+    pub(crate) fn reset_counts(&mut self) {
+        (self.counted_from, self.in_time, self.sent) = (self.now, 0, 0);
     }
 
     /// Makes a zone's upstreams vanish without notice. What they work on is lost.
-    pub(crate) fn darken(&mut self, zone: usize) {
+    pub(crate) fn make_unreachable(&mut self, zone: usize) {
         for index in (0..self.upstreams.len()).filter(|index| index % 3 == zone) {
-            self.upstreams[index] = RealUpstream { is_dark: true, ..RealUpstream::default() };
+            self.upstreams[index] =
+                SimulatedUpstream { is_down: true, ..SimulatedUpstream::default() };
         }
     }
 
-    pub(crate) fn run(&mut self, time: Duration, a_second: f64) {
+    pub(crate) fn run(&mut self, time: Duration, per_second: f64) {
         let end = self.now + time;
         while self.now < end {
             self.now += MILLISECOND;
-            self.hear();
+            self.deliver_announcements();
             self.finish_work();
-            self.go_on();
-            let mut due = a_second / 1_000.0;
+            self.resume_requests();
+            let mut due = per_second / 1_000.0;
             while due > 0.0 {
                 if self.random.random_bool(due.min(1.0)) {
                     let entry = self.random.random_range(0..self.entries.len());
@@ -272,15 +275,17 @@
         }
     }
 
-    fn hear(&mut self) {
-        while let Some(((at, number), _)) = self.news.first_key_value().map(|(k, v)| (*k, v)) {
+    fn deliver_announcements(&mut self) {
+        while let Some(((at, number), _)) =
+            self.announcements.first_key_value().map(|(k, v)| (*k, v))
+        {
             if at > self.now {
                 return;
             }
-            let (entry, records) = self.news.remove(&(at, number)).unwrap();
+            let (entry, records) = self.announcements.remove(&(at, number)).unwrap();
             let now = Moment::ZERO + self.now;
             let effects = self.entries[entry].apply_upstreams(now, &records);
-            self.carry_out(entry, effects);
+            self.apply_effects(entry, effects);
         }
     }
 
@@ -288,14 +293,14 @@
         for index in 0..self.upstreams.len() {
             let is_cold = self.upstreams[index].cold_until > self.now;
             let is_full = self.upstreams[index].running.len() >= SLOTS as usize;
-            let cold = if is_cold { COLD_TIMES } else { 1.0 };
-            let full = if is_full { self.full_times } else { 1.0 };
+            let cold = if is_cold { COLD_SLOWDOWN } else { 1.0 };
+            let full = if is_full { self.full_slowdown } else { 1.0 };
             let running = &mut self.upstreams[index].running;
             running.iter_mut().for_each(|(left, _, _)| *left -= 1.0 / (cold * full));
             let done: Vec<_> = running.extract_if(.., |(left, _, _)| *left <= 0.0).collect();
             for (_, entry, number) in done {
                 if let Some((entry, number)) = self.upstreams[index].queue.pop_front() {
-                    self.work(index, entry, number);
+                    self.start_work(index, entry, number);
                 }
                 let report = self.upstreams[index].report(self.now);
                 self.end(entry, number, AttemptOutcome::Answered, Some(report));
@@ -303,7 +308,7 @@
         }
     }
 
-    fn work(&mut self, index: usize, entry: usize, number: u64) {
+    fn start_work(&mut self, index: usize, entry: usize, number: u64) {
         let left = WORK_MS * self.random.random_range(0.7..1.3);
         self.upstreams[index].running.push((left, entry, number));
     }
@@ -316,70 +321,70 @@
         report: Option<LoadReport>,
     ) {
         let now = Moment::ZERO + self.now;
-        let asked_at = self.asked_at.remove(&number);
+        let sent_at = self.sent_at.remove(&number);
         let is_in_time =
-            asked_at.is_some_and(|at| at >= self.counted_from && self.now - at <= TARGET);
+            sent_at.is_some_and(|at| at >= self.counted_from && self.now - at <= TARGET);
         self.in_time += u64::from(is_in_time && outcome == AttemptOutcome::Answered);
         let effects = self.entries[entry].finish(now, RequestNumber(number), outcome, report);
-        self.carry_out(entry, effects);
+        self.apply_effects(entry, effects);
     }
 
     fn arrive(&mut self, entry: usize) {
-        self.asked += 1;
-        let request = AskingRequest {
+        self.sent += 1;
+        let request = ProbingRequest {
             entry,
-            begun: self.now,
+            first_sent: self.now,
             returns: 0,
-            stage: 0,
+            round: 0,
             is_first: true,
-            asked: Vec::new(),
+            probed: Vec::new(),
             readings: Vec::new(),
         };
         self.ask(request);
     }
 
-    fn go_on(&mut self) {
-        while let Some(((at, number), _)) = self.asking.first_key_value().map(|(k, _)| (*k, ())) {
+    fn resume_requests(&mut self) {
+        while let Some(((at, number), _)) = self.probing.first_key_value().map(|(k, _)| (*k, ())) {
             if at > self.now {
                 return;
             }
-            let request = self.asking.remove(&(at, number)).unwrap();
+            let request = self.probing.remove(&(at, number)).unwrap();
             self.ask(request);
         }
     }
 
-    fn later(&mut self, wait: Duration, request: AskingRequest) {
+    fn resume_after(&mut self, wait: Duration, request: ProbingRequest) {
         self.number += 1;
-        self.asking.insert((self.now + wait, self.number), request);
+        self.probing.insert((self.now + wait, self.number), request);
     }
 
-    fn ticket(&mut self, begun: Duration) -> RequestTicket {
+    fn ticket(&mut self, first_sent: Duration) -> RequestTicket {
         self.number += 1;
         RequestTicket {
             number: RequestNumber(self.number),
             kind: 0,
-            deadline: Moment::ZERO + begun + Duration::from_secs(4),
-            target: Some(Moment::ZERO + begun + TARGET),
+            deadline: Moment::ZERO + first_sent + Duration::from_secs(4),
+            target: Some(Moment::ZERO + first_sent + TARGET),
             attempt: 0,
             avoid: Vec::new(),
         }
     }
 
     /// Probes as requests do: in rounds, each of which waits for upstreams that don't answer.
-    fn ask(&mut self, mut request: AskingRequest) {
+    fn ask(&mut self, mut request: ProbingRequest) {
         let now = Moment::ZERO + self.now;
-        let ticket = self.ticket(request.begun);
+        let ticket = self.ticket(request.first_sent);
         let entry = request.entry;
         let best = self.entries[entry].best_cost(now, &request.readings);
-        if request.stage < STAGES && best.is_none_or(|cost| cost >= 1.9) {
-            request.stage += 1;
+        if request.round < PROBE_ROUNDS && best.is_none_or(|cost| cost >= 1.9) {
+            request.round += 1;
             let reach = if request.is_first { ProbeReach::OwnZone } else { ProbeReach::EveryZone };
-            let question = ProbeQuestion { asked: &request.asked, wanted: 3, reach };
+            let question = ProbeQuestion { asked: &request.probed, wanted: 3, reach };
             let targets = self.entries[entry].probe_targets(now, &ticket, &question);
             let mut silent = Vec::new();
             for target in targets {
                 let real = &self.upstreams[place_of(&target.upstream)];
-                if real.is_dark {
+                if real.is_down {
                     silent.push(target.upstream.clone());
                 } else {
                     let report = real.report(self.now);
@@ -387,17 +392,17 @@
                         .readings
                         .push(ProbeReading { upstream: target.upstream.clone(), report });
                 }
-                request.asked.push(target.upstream);
+                request.probed.push(target.upstream);
             }
-            let is_good = |fleet: &Self, request: &AskingRequest| {
+            let has_good_reading = |fleet: &Self, request: &ProbingRequest| {
                 let best = fleet.entries[entry].best_cost(now, &request.readings);
                 best.is_some_and(|cost| cost < 1.9)
             };
-            if !silent.is_empty() && !is_good(self, &request) {
+            if !silent.is_empty() && !has_good_reading(self, &request) {
                 for upstream in &silent {
-                    self.entries[entry].note_unanswered(now + PROBE_WAIT, upstream);
+                    self.entries[entry].note_unanswered(now + PROBE_TIMEOUT, upstream);
                 }
-                self.later(PROBE_WAIT, request);
+                self.resume_after(PROBE_TIMEOUT, request);
                 return;
             }
             self.ask(request);
@@ -406,38 +411,38 @@
         self.place(&ticket, &request);
     }
 
-    fn place(&mut self, ticket: &RequestTicket, request: &AskingRequest) {
+    fn place(&mut self, ticket: &RequestTicket, request: &ProbingRequest) {
         let now = Moment::ZERO + self.now;
-        let AskingRequest { entry, begun, returns, .. } = *request;
+        let ProbingRequest { entry, first_sent, returns, .. } = *request;
         let patience = self.entries[entry].patience(now, ticket);
         let effects = self.entries[entry].arrive_probed(now, ticket, &request.readings);
-        self.asked_at.insert(ticket.number.0, begun);
+        self.sent_at.insert(ticket.number.0, first_sent);
         let refused = match effects.as_slice() {
             [SchedulerEffect::Refuse { retry_after, .. }] => Some(*retry_after),
             _ => None,
         };
-        self.carry_out(entry, effects);
+        self.apply_effects(entry, effects);
         let Some(retry_after) = refused else { return };
-        let asked_again = |returns, is_first| {
-            let (asked, readings) = (Vec::new(), Vec::new());
-            AskingRequest { entry, begun, returns, stage: 0, is_first, asked, readings }
+        let probe_again = |returns, is_first| {
+            let (probed, readings) = (Vec::new(), Vec::new());
+            ProbingRequest { entry, first_sent, returns, round: 0, is_first, probed, readings }
         };
-        if now + FULL_PAUSE < patience {
-            self.later(FULL_PAUSE, asked_again(returns, false));
-        } else if returns < self.caller_returns {
-            let wait = if self.are_patient { retry_after } else { FULL_PAUSE };
-            self.later(wait, asked_again(returns + 1, true));
+        if now + PROBE_PAUSE < patience {
+            self.resume_after(PROBE_PAUSE, probe_again(returns, false));
+        } else if returns < self.max_returns {
+            let wait = if self.respects_retry_delay { retry_after } else { PROBE_PAUSE };
+            self.resume_after(wait, probe_again(returns + 1, true));
         }
     }
 
-    fn carry_out(&mut self, entry: usize, effects: Vec<SchedulerEffect>) {
+    fn apply_effects(&mut self, entry: usize, effects: Vec<SchedulerEffect>) {
         for effect in effects {
             match effect {
                 SchedulerEffect::Start { number, upstream, .. } => {
                     self.start(entry, number.0, &upstream);
                 }
                 SchedulerEffect::Refuse { number, .. } => {
-                    self.asked_at.remove(&number.0);
+                    self.sent_at.remove(&number.0);
                 }
             }
         }
@@ -447,14 +452,14 @@
         let index = place_of(upstream);
         let now = self.now;
         let real = &mut self.upstreams[index];
-        if real.is_dark {
+        if real.is_down {
             return;
         }
         if real.cold_until > now {
             real.cold_arrivals.push(now);
         }
         if real.running.len() < SLOTS as usize {
-            self.work(index, entry, number);
+            self.start_work(index, entry, number);
         } else if real.queue.len() < QUEUE {
             real.queue.push_back((entry, number));
         } else {
@@ -463,11 +468,11 @@
     }
 
     pub(crate) fn busiest_second(&self) -> usize {
-        self.upstreams.iter().map(RealUpstream::busiest_second).max().unwrap_or(0)
+        self.upstreams.iter().map(SimulatedUpstream::busiest_second).max().unwrap_or(0)
     }
 
     pub(crate) fn in_time(&self) -> f64 {
-        self.in_time as f64 / self.asked as f64
+        self.in_time as f64 / self.sent as f64
     }
 }
 
--- a/crates/pulley_core/tests/many_entries/last_slots.rs
+++ b/crates/pulley_core/tests/many_entries/last_slots.rs
@@ -6,12 +6,12 @@
 
 /// Returns the part of a rush's requests that are answered in time, after some seconds at a lower
 /// rate.
-fn in_time_in_a_rush(full_times: f64, before: f64, a_second: f64) -> f64 {
+fn in_time_in_a_rush(full_slowdown: f64, before: f64, per_second: f64) -> f64 {
     let mut fleet = EntryFleet::new(60, 60, None, 9);
-    fleet.full_times = full_times;
+    fleet.full_slowdown = full_slowdown;
     fleet.run(Duration::from_secs(5), before);
-    fleet.count_anew();
-    fleet.run(Duration::from_secs(3), a_second);
+    fleet.reset_counts();
+    fleet.run(Duration::from_secs(3), per_second);
     fleet.in_time()
 }
 
@@ -19,7 +19,7 @@
 // throughput is higher with three. A rush that three slots of each can handle must be handled.
 // Filling the fourth must not turn it into one that makes most callers late.
 #[test]
-fn a_rush_that_upstreams_bear_with_a_slot_free_is_borne() {
+fn a_rush_is_handled_by_leaving_last_slots_free() {
     let in_time = in_time_in_a_rush(1.7, 600.0, 1_200.0);
     assert!(in_time > 0.9, "in time: {in_time}");
 }
@@ -27,7 +27,7 @@
 // The same upstreams are as fast with all four slots taken. That cost must be learned from answers,
 // and the fourth slot used, which the rush needs.
 #[test]
-fn a_rush_that_needs_every_slot_gets_it_where_that_does_no_harm() {
+fn a_rush_gets_every_slot_where_last_slots_cost_nothing() {
     let in_time = in_time_in_a_rush(1.0, 1_500.0, 1_850.0);
     assert!(in_time > 0.9, "in time: {in_time}");
 }
--- a/crates/pulley_core/tests/many_entries/returning_callers.rs
+++ b/crates/pulley_core/tests/many_entries/returning_callers.rs
@@ -6,13 +6,13 @@
 
 /// Returns the part of a rush's requests, and of those in the seconds after it, that are answered
 /// in time.
-fn in_time_around_a_rush(seed: u64, are_patient: bool) -> f64 {
+fn in_time_around_a_rush(seed: u64, respects_retry_delay: bool) -> f64 {
     let mut fleet = EntryFleet::new(60, 60, None, seed);
-    fleet.caller_returns = 2;
-    fleet.are_patient = are_patient;
-    fleet.full_times = 1.7;
+    fleet.max_returns = 2;
+    fleet.respects_retry_delay = respects_retry_delay;
+    fleet.full_slowdown = 1.7;
     fleet.run(Duration::from_secs(2), 600.0);
-    fleet.count_anew();
+    fleet.reset_counts();
     fleet.run(Duration::from_secs(3), 1_800.0);
     fleet.run(Duration::from_secs(3), 600.0);
     fleet.in_time()
@@ -22,10 +22,10 @@
 // back twice. Callers that come back at once are already late and take the slots of requests that
 // could be answered in time. Respecting the retry delay must leave more answers in time.
 #[test]
-fn callers_that_come_back_when_told_leave_more_in_time() {
+fn respecting_the_retry_delay_leaves_more_answers_in_time() {
     for seed in [6, 7, 8] {
         let (told, at_once) =
             (in_time_around_a_rush(seed, true), in_time_around_a_rush(seed, false));
-        assert!(told > at_once, "seed {seed}: {told} as told, {at_once} at once");
+        assert!(told > at_once, "seed {seed}: {told} with retry delay, {at_once} without");
     }
 }
--- a/crates/pulley_core/tests/many_entries/silent_zone.rs
+++ b/crates/pulley_core/tests/many_entries/silent_zone.rs
@@ -8,11 +8,11 @@
 // seconds. From the first second on, the callers of that zone must be answered in time by the other
 // zones, which have room for them.
 #[test]
-fn callers_of_a_zone_that_went_dark_are_answered_in_time_by_others() {
+fn callers_of_an_unreachable_zone_are_answered_in_time_by_others() {
     let mut fleet = EntryFleet::new(60, 60, None, 5);
     fleet.run(Duration::from_secs(2), 600.0);
-    fleet.darken(0);
-    fleet.count_anew();
+    fleet.make_unreachable(0);
+    fleet.reset_counts();
     fleet.run(Duration::from_secs(3), 600.0);
     assert!(fleet.in_time() > 0.9, "in time: {}", fleet.in_time());
 }
--- a/crates/pulley_core/tests/pool_scheduler.rs
+++ b/crates/pulley_core/tests/pool_scheduler.rs
@@ -88,7 +88,7 @@
     for number in 0..6 {
         running.extend(started(&scheduler.arrive(Moment::ZERO, &ticket(number, 0, deadline))));
     }
-    assert_eq!(running, [0, 1, 2], "two slots and one ahead");
+    assert_eq!(running, [0, 1, 2], "two slots and one request queued at the upstream");
     assert!(started(&scheduler.arrive(Moment::ZERO, &ticket(99, 1, deadline))).is_empty());
     let now = Moment::ZERO + 5 * MS;
     let next = scheduler.finish(now, RequestNumber(0), AttemptOutcome::Answered, None);
@@ -126,12 +126,12 @@
     for number in 0..6 {
         running.extend(started(&scheduler.arrive(now, &ticket(number, 0, deadline))));
     }
-    assert_eq!(running, Vec::<u64>::new(), "the other entry's calls were there before");
+    assert_eq!(running, Vec::<u64>::new(), "the other entry's requests came first");
     assert_eq!(started(&scheduler.arrive(now, &ticket(9, 1, deadline))), [9]);
     let later = now + 20 * MS;
     let others = vec![KindUse { in_flight: 0, queued: 0 }, KindUse { in_flight: 0, queued: 0 }];
     let next = scheduler.receive_sum(later, &sum_for(&delta, 2, vec![0], others));
-    assert!(started(&next).contains(&0), "what nobody else wants is lent at once");
+    assert!(started(&next).contains(&0), "slots without other demand are lent at once");
 }
 
 // The pool has lost all of its upstreams. A caller must be refused at once, not at its deadline.
@@ -176,7 +176,7 @@
 // Datagrams are duplicated and reordered on the network. An old sum must not bring back counts of
 // requests that have long ended.
 #[test]
-fn old_and_doubled_sums_change_nothing() {
+fn stale_and_duplicate_sums_change_nothing() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000)], 1, 1);
     let (_, delta) = scheduler.take_deltas(Moment::ZERO).remove(0);
     let waiting = |in_flight, queued| vec![KindUse { in_flight, queued }];
@@ -194,12 +194,12 @@
 // The only upstream of a pool closes connections so often that a third of all requests fail. There
 // is no other: callers must not be held back until their deadlines while it could answer.
 #[test]
-fn failing_upstream_that_is_the_only_one_keeps_its_work() {
+fn the_only_upstream_keeps_its_work_while_it_fails() {
     let mut scheduler = scheduler(vec![row("low", 5, 10_000)], 1, 64);
     for number in 0..200 {
         let now = Moment::ZERO + number as u32 * MS;
         let effects = scheduler.arrive(now, &ticket(number, 0, now + 100 * MS));
-        assert_eq!(started(&effects), [number], "it waits for nothing");
+        assert_eq!(started(&effects), [number], "the request starts at once");
         let fails = number % 3 == 0;
         let outcome = if fails { AttemptOutcome::Broken } else { AttemptOutcome::Answered };
         scheduler.finish(now, RequestNumber(number), outcome, None);
--- a/crates/pulley_core/tests/start_wait.rs
+++ b/crates/pulley_core/tests/start_wait.rs
@@ -22,7 +22,7 @@
 // A host that is cut off from the others never gets ready. Its callers must be refused at once, so
 // that they spend their time elsewhere.
 #[test]
-fn nobody_waits_at_a_host_that_has_had_its_time() {
+fn no_request_waits_after_the_start_timeout() {
     for uptime in [800, 900, 60_000] {
         assert_eq!(start_wait(ms(uptime), Some(ms(10_000))), None);
         assert_eq!(not_ready_retry(ms(uptime)), ms(1_000));
