--- a/crates/pulley_core/src/request/pool_scheduler_counts.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_counts.rs
@@ -1,4 +1,4 @@
-//! The scheduler's part in sharing counts between entries.
+//! Exchange of request counts between entries, on the scheduler's side.
 
 use std::time::Duration;
 
@@ -9,25 +9,26 @@
 };
 use crate::request::SchedulerEffects;
 
-/// Rounds whose own counts are remembered, so that they can be taken off the sum that holds them.
-const REMEMBERED: usize = 8;
+/// Number of rounds whose own counts are kept, so that they can be subtracted from the sum that
+/// contains them.
+const KEPT_ROUNDS: usize = 8;
 
-/// Requests for each usable slot that all entries together may have outstanding without counts.
-const ALONE_SLACK: f32 = 4.0;
+/// Requests per usable slot that all entries together may have outstanding without counts.
+const UNCOUNTED_OVERCOMMIT: f32 = 4.0;
 
-/// Requests that one entry may have outstanding without counts, at least.
-const ALONE_LEAST: f32 = 4.0;
+/// Least number of requests that one entry may have outstanding without counts.
+const UNCOUNTED_MIN: f32 = 4.0;
 
-/// Own counts as they went into one round's report.
+/// The entry's own counts as sent in the report of one round.
 #[derive(Clone, Debug)]
-pub(crate) struct ToldCounts {
+pub(crate) struct SentCounts {
     round: CountRound,
     in_flight: Vec<u32>,
     kinds: Vec<(u32, u32)>,
 }
 
 impl PoolScheduler {
-    /// Takes in the entries' counts as the coordinator has added them up.
+    /// Applies the sum of all entries' counts that the coordinator has published.
     pub fn receive_sum(&mut self, now: Moment, sum: &CountSum) -> SchedulerEffects {
         let mut effects = Vec::new();
         let fits = sum.pool == self.pool;
@@ -48,20 +49,20 @@
         effects
     }
 
-    /// The copies of sums that this entry passes on, each with the host it goes to.
+    /// Returns the copies of sums that this entry forwards, each with its destination host.
     pub fn take_relays(&mut self) -> Vec<(HostId, CountSum)> {
         self.link.as_mut().map(CountLink::take_relays).unwrap_or_default()
     }
 
-    /// Takes in another entry's report, to be added to this entry's own.
+    /// Keeps another entry's report, to be added to this entry's own.
     pub fn receive_report(&mut self, from: &HostId, delta: &CountDelta) {
         if let Some(link) = self.link.as_mut().filter(|_| delta.pool == self.pool) {
             link.keep_report(from, delta);
         }
     }
 
-    /// The reports that are due, each for the host in its `to`, or else for the coordinator of
-    /// the zone named with it.
+    /// Returns the reports that are due. Each goes to the host in its `to`, or to the coordinator
+    /// of the zone returned with it if there is none.
     pub fn take_deltas(&mut self, now: Moment) -> Vec<(ZoneName, CountDelta)> {
         let mut deltas = Vec::new();
         let Some(link) = self.link.as_mut() else { return deltas };
@@ -83,7 +84,7 @@
         };
         if let Some(terms) = terms {
             let mut totals = self.own_totals(true);
-            self.remember(terms.round, &totals);
+            self.remember_sent(terms.round, &totals);
             for report in &terms.reports {
                 let added = totals.add(self.upstreams.layout(), self.shares.digest(), &report.rows);
                 if added && report.rows.first == 0 {
@@ -105,52 +106,52 @@
         deltas
     }
 
-    /// When [`Self::take_deltas`] next has something, if ever.
+    /// Returns when [`Self::take_deltas`] next has a report, if ever.
     #[must_use]
     pub fn next_delta_at(&self) -> Option<Moment> {
         self.link.as_ref().map(CountLink::next_at)
     }
 
-    /// How old the counts of the other entries are; none without any.
+    /// Returns the age of the other entries' counts, or `None` if there are none.
     #[must_use]
     pub fn count_age(&self, now: Moment) -> Option<Duration> {
         self.link.as_ref()?.age(now)?;
         Some(now.since(self.counted_at?))
     }
 
-    /// Without a coordinator the other entries' counts mean nothing any more; kept, they would
-    /// hold slots occupied that were freed long ago.
+    /// Discards the other entries' counts once the coordinator is lost. If they were kept, slots
+    /// that were freed long ago would still count as occupied.
     pub(crate) fn expire_counts(&mut self, now: Moment) {
         let Some(link) = self.link.as_mut() else { return };
         link.expire(now);
         if link.age(now).is_none() && self.counted_at.take().is_some() {
-            self.upstreams.forget_foreign();
-            self.shares.forget_foreign();
-            // Its part of the pool and as much again: nobody counts, so others may do the same,
-            // and the upstreams' queues take what is too much.
+            self.upstreams.discard_others();
+            self.shares.discard_others();
+            // This entry may use its part of the pool and as much again. Other entries may do the
+            // same while nobody counts. The upstreams' queues take the excess.
             let known = f32::from(link.known().max(1));
-            let room = self.upstreams.usable_slots() * ALONE_SLACK / known;
-            self.shares.lease_alone(room.max(ALONE_LEAST));
+            let room = self.upstreams.usable_slots() * UNCOUNTED_OVERCOMMIT / known;
+            self.shares.lease_without_counts(room.max(UNCOUNTED_MIN));
             self.upstreams.refresh(now);
         }
     }
 
-    /// Forgets counts that were told for another list of upstreams.
-    pub(crate) fn relist(&mut self, now: Moment) {
+    /// Discards counts that were reported for another list of upstreams.
+    pub(crate) fn reset_layout(&mut self, now: Moment) {
         self.layout_since = now;
-        self.told.clear();
+        self.sent.clear();
     }
 
     fn apply_rows(&mut self, rows: &CountRows, counted: Option<CountRound>) -> bool {
         let Some(places) = self.upstreams.layout().places(rows) else { return false };
-        let told = self.told.iter().find(|told| Some(told.round) == counted);
+        let sent = self.sent.iter().find(|sent| Some(sent.round) == counted);
         for (row, place) in places.iter().enumerate() {
             let Some(place) = *place else { continue };
-            let own = told.map_or(0, |told| told.in_flight[place]);
-            let slots = self.upstreams.at_place(place);
-            let foreign = u32::from(rows.in_flight[row]).saturating_sub(own);
-            slots.foreign = f32::from(u16::try_from(foreign).unwrap_or(u16::MAX));
-            slots.shared_usable = 1.0;
+            let own = sent.map_or(0, |sent| sent.in_flight[place]);
+            let state = self.upstreams.at_place(place);
+            let others = u32::from(rows.in_flight[row]).saturating_sub(own);
+            state.others = f32::from(u16::try_from(others).unwrap_or(u16::MAX));
+            state.shared_usable = 1.0;
         }
         for (place, usable) in &rows.health {
             let row = usize::from(*place).checked_sub(usize::from(rows.first));
@@ -163,35 +164,36 @@
             let uses = rows.kinds.iter();
             let totals: Vec<_> =
                 uses.map(|kind| (u32::from(kind.in_flight), u32::from(kind.queued))).collect();
-            let own = told.map_or(&[][..], |told| &told.kinds);
+            let own = sent.map_or(&[][..], |sent| &sent.kinds);
             self.shares.receive(&totals, own);
         }
         true
     }
 
-    /// Own counts, with the news since the last report if it is to travel.
+    /// Returns the entry's own counts, with the answers since the last report if `with_news` is
+    /// set.
     fn own_totals(&mut self, with_news: bool) -> CountTotals {
         let upstreams = self.upstreams.layout().len();
         let mut totals = CountTotals::new(upstreams, self.shares.len());
         for place in 0..upstreams {
-            let slots = self.upstreams.at_place(place);
-            totals.in_flight[place] = slots.own;
+            let state = self.upstreams.at_place(place);
+            totals.in_flight[place] = state.own;
             if with_news {
-                totals.news[place] = std::mem::take(&mut slots.news);
+                totals.news[place] = std::mem::take(&mut state.news);
             }
         }
         let queue = &self.queue;
-        let uses = self.shares.own_uses(|local| queue.len_of(local));
-        totals.kinds.iter_mut().zip(uses).for_each(|(told, used)| *told = used);
+        let uses = self.shares.own_uses(|kind_index| queue.len_of(kind_index));
+        totals.kinds.iter_mut().zip(uses).for_each(|(sent, used)| *sent = used);
         totals.hosts = 1;
         totals
     }
 
-    fn remember(&mut self, round: CountRound, totals: &CountTotals) {
-        if self.told.len() == REMEMBERED {
-            self.told.pop_front();
+    fn remember_sent(&mut self, round: CountRound, totals: &CountTotals) {
+        if self.sent.len() == KEPT_ROUNDS {
+            self.sent.pop_front();
         }
-        self.told.push_back(ToldCounts {
+        self.sent.push_back(SentCounts {
             round,
             in_flight: totals.in_flight.clone(),
             kinds: totals.kinds.clone(),
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -1,4 +1,4 @@
-//! Laws of the decisions, over many random schedules with fixed seeds.
+//! Properties of the scheduling decisions, checked over many random schedules with fixed seeds.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -84,12 +84,12 @@
     }
 }
 
-/// Entries, their coordinator and a network that loses, doubles and delays.
+/// Entries, their coordinator and a network that loses, duplicates and delays messages.
 struct CountNetwork {
     entries: Vec<PoolScheduler>,
     coordinator: PoolCoordinator,
     coordinator_host: usize,
-    wires: BTreeMap<(Moment, u64), (usize, usize, CountFrame)>,
+    in_transit: BTreeMap<(Moment, u64), (usize, usize, CountFrame)>,
     sent: u64,
     rng: StdRng,
     loss: f64,
@@ -118,7 +118,7 @@
             entries: (0..entries).map(make).collect(),
             coordinator: coordinator(0, Moment::ZERO),
             coordinator_host: 0,
-            wires: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             rng: StdRng::seed_from_u64(seed),
             loss,
@@ -135,22 +135,22 @@
             }
             let late = self.rng.random::<f64>() < self.loss;
             let most = if late { 80_000 } else { 600 };
-            let way = Duration::from_micros(self.rng.random_range(100..most));
+            let transit_time = Duration::from_micros(self.rng.random_range(100..most));
             self.sent += 1;
-            self.wires.insert((now + way, self.sent), (from, to, frame.clone()));
+            self.in_transit.insert((now + transit_time, self.sent), (from, to, frame.clone()));
         }
     }
 
-    /// Lets everything happen until `end`, in steps of a quarter of a millisecond.
+    /// Runs the simulation until `end`, in steps of a quarter of a millisecond.
     fn run(&mut self, begin: Moment, end: Moment) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         let mut now = begin;
         while now < end {
             now = now + MS / 4;
-            while let Some(((at, _), _)) = self.wires.first_key_value()
+            while let Some(((at, _), _)) = self.in_transit.first_key_value()
                 && *at <= now
             {
-                let (_, (from, to, frame)) = self.wires.pop_first().expect("just seen");
+                let (_, (from, to, frame)) = self.in_transit.pop_first().expect("just seen");
                 self.deliver(now, from, to, frame, &mut effects);
             }
             for entry in 0..self.entries.len() {
@@ -219,9 +219,10 @@
     coordinator
 }
 
-// Views come with each change of an upstream, many times between two rounds.
+// The configuration is applied again with each change of an upstream, many times between two
+// rounds. Reports received since the last round must not be lost by that.
 #[test]
-fn a_view_without_a_new_plan_loses_no_report() {
+fn reapplying_the_same_plan_loses_no_report() {
     let (now, plan) = (Moment::ZERO, plan());
     let (pool, zone) = ("cover".parse().expect("name"), "a".parse().expect("name"));
     let mut coordinator = PoolCoordinator::new(pool, zone, host(9), now);
@@ -247,7 +248,8 @@
     assert_eq!(counted.collect::<Vec<_>>(), [3]);
 }
 
-// A message tells of a bounded number of kinds, however many the configuration has.
+// A message holds a bounded number of kinds, however many the configuration has. A large plan must
+// not make the rounds rarer.
 #[test]
 fn rounds_are_no_rarer_for_a_large_plan() {
     let interval_of = |rows: usize| {
@@ -268,12 +270,13 @@
     assert_eq!(interval_of(1_400), interval_of(100));
 }
 
-// Every service asks for more than there is. If the parts added up to more than the pool, the
-// upstreams would queue what nobody can overtake any more; if to less, slots would stand idle.
+// Every service wants more than there is. If the parts added up to more than the pool, requests
+// would queue at the upstreams, where they can no longer be overtaken. If they added up to less,
+// slots would stand idle.
 #[test]
 fn leased_parts_add_up_to_the_room_and_no_more() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
-    fn law(slots: u16, wanted: Vec<(u8, u16, u16)>) -> bool {
+    fn property(slots: u16, wanted: Vec<(u8, u16, u16)>) -> bool {
         let demands: Vec<KindDemand> = wanted
             .iter()
             .enumerate()
@@ -294,17 +297,17 @@
             .all(|(given, demand)| (0.0..=demand.wanted + 0.01).contains(given));
         each && all <= slots + 0.1 && all >= slots.min(asked) * 0.99 - 0.1
     }
-    check(law as fn(u16, Vec<(u8, u16, u16)>) -> bool);
+    check(property as fn(u16, Vec<(u8, u16, u16)>) -> bool);
 }
 
-// Datagrams are lost, doubled and overtake each other while calls come and go. Once the network is
-// well again, the published counts must be what is really outstanding.
+// Datagrams are lost, duplicated and reordered while requests come and go. Once the network has
+// recovered, the published counts must equal the requests that are really outstanding.
 #[test]
-fn counts_converge_to_the_truth() {
-    fn law(seed: u64, entries: u8) -> bool {
+fn counts_converge_to_the_outstanding_requests() {
+    fn property(seed: u64, entries: u8) -> bool {
         let entries = usize::from(entries % 12) + 2;
         let mut network = CountNetwork::new(entries, seed, 0.2);
-        let mut truth: BTreeMap<String, u16> = BTreeMap::new();
+        let mut outstanding: BTreeMap<String, u16> = BTreeMap::new();
         let mut effects = Vec::new();
         network.run(Moment::ZERO, Moment::ZERO + 400 * MS);
         let now = Moment::ZERO + 400 * MS;
@@ -318,25 +321,25 @@
         effects.extend(network.run(now + 300 * MS, now + 1_500 * MS));
         for effect in effects {
             if let SchedulerEffect::Start { upstream, .. } = effect {
-                *truth.entry(upstream.to_string()).or_default() += 1;
+                *outstanding.entry(upstream.to_string()).or_default() += 1;
             }
         }
         let (_, last) = network.published.last().expect("rounds went on");
-        let mut told = last.clone();
-        let mut real: Vec<u16> = truth.into_values().collect();
-        real.resize(told.len(), 0);
-        told.sort_unstable();
+        let mut published = last.clone();
+        let mut real: Vec<u16> = outstanding.into_values().collect();
+        real.resize(published.len(), 0);
+        published.sort_unstable();
         real.sort_unstable();
-        told == real
+        published == real
     }
-    check(law as fn(u64, u8) -> bool);
+    check(property as fn(u64, u8) -> bool);
 }
 
-// Calls arrive in bursts, upstreams fail, hosts' messages get lost, callers leave. Whatever
-// happens, a caller must get exactly one outcome, and none may be forgotten.
+// Requests arrive in bursts, upstreams fail, messages between hosts get lost, callers leave.
+// Whatever happens, each request must get exactly one outcome, and none may be forgotten.
 #[test]
 fn every_request_ends_in_exactly_one_outcome() {
-    fn law(seed: u64) -> bool {
+    fn property(seed: u64) -> bool {
         let mut network = CountNetwork::new(4, seed, 0.1);
         let mut rng = StdRng::seed_from_u64(seed ^ 1);
         let mut outcomes: BTreeMap<u64, u32> = BTreeMap::new();
@@ -386,11 +389,11 @@
             *outcomes.get_mut(&number.0).expect("it arrived") += 1;
         }
     }
-    check(law as fn(u64) -> bool);
+    check(property as fn(u64) -> bool);
 }
 
-// A coordinator is lost and its successor begins to probe. Both together must stay within the
-// budget of the sheet: upstreams have no slot to spare for more.
+// A coordinator is lost and its successor begins to probe. Both together must stay within the probe
+// budget of the sheet, because upstreams have no slots to spare for more.
 #[test]
 fn probes_stay_within_the_budget_over_a_takeover() {
     let mut network = CountNetwork::new(6, 3, 0.0);
@@ -399,19 +402,19 @@
     network.coordinator = coordinator(1, lost_at);
     network.coordinator_host = 1;
     network.run(lost_at, lost_at + 8_000 * MS);
-    // Three kinds of two probes a second each make six.
-    assert!(network.probes.len() > 10, "nothing else tells of idle upstreams");
+    // Three kinds with two probes a second each make six.
+    assert!(network.probes.len() > 10, "idle upstreams are only found by probes");
     for (first, begin) in network.probes.iter().enumerate() {
         for (extra, end) in network.probes[first..].iter().enumerate() {
             let allowed = 6.0 * end.since(*begin).as_secs_f64() + 1.01;
-            assert!(extra as f64 <= allowed, "{extra} after {begin} until {end}");
+            assert!(extra as f64 <= allowed, "{extra} more probes from {begin} to {end}");
         }
     }
 }
 
 #[test]
 fn probe_bucket_never_gives_more_than_its_rate() {
-    fn law(rate: u16, steps: Vec<u16>) -> bool {
+    fn property(rate: u16, steps: Vec<u16>) -> bool {
         let mut budget = ProbeBudget::new(Moment::ZERO, ProbeRate(u32::from(rate)));
         let mut now = Moment::ZERO;
         let mut taken = 0_u64;
@@ -424,11 +427,11 @@
         }
         true
     }
-    check(law as fn(u16, Vec<u16>) -> bool);
+    check(property as fn(u16, Vec<u16>) -> bool);
 }
 
-// First kinds keep coming as fast as they are answered. A caller of a low kind must still get its
-// answer: one start in twenty from the queue belongs to whoever has waited longest.
+// First-priority kinds keep coming as fast as they are answered. A caller of a low kind must still
+// get its answer: one start in twenty from the queue goes to the longest-waiting request.
 #[test]
 fn low_kinds_do_not_starve_below_the_floor() {
     let zone = "a".parse().expect("name");
@@ -461,8 +464,8 @@
     assert!(low_starts >= 400 / 20 - 3, "only {low_starts} low requests were started");
 }
 
-// One upstream answers ten times slower than the rest. Callers must notice little of it, so it may
-// get only a trickle once that is known.
+// One upstream answers ten times slower than the rest. To limit the effect on callers, it may get
+// only a trickle once that is known.
 #[test]
 fn slow_upstream_gets_less_work() {
     let zone = "a".parse().expect("name");
@@ -488,7 +491,7 @@
             ends.insert((now + took, number.0), ());
         }
     }
-    assert!(slow[1] <= 20, "2,000 calls later it still got {} of 2,000", slow[1]);
+    assert!(slow[1] <= 20, "the slow upstream still got {} of the last 2,000 requests", slow[1]);
 }
 
 fn failed_once() -> RetryQuestion {
@@ -504,8 +507,8 @@
     }
 }
 
-// An upstream at the bottom of calls seven deep fails. If each layer tried three times, it would
-// be called 2,187 times for one request at the top.
+// An upstream at the bottom of calls seven layers deep fails. If each layer tried three times, it
+// would be called 2,187 times for one request at the top.
 #[test]
 fn one_layer_retries_within_its_budget() {
     let mut budget = RetryBudget::new();
@@ -515,7 +518,7 @@
         budget.note_request();
         retries += u32::from(budget.decide(&question) == RetryDecision::Retry);
     }
-    assert!((100..=103).contains(&retries), "{retries} retries of 1,000 calls");
+    assert!((100..=103).contains(&retries), "{retries} retries of 1,000 requests");
     for above in [
         RetryQuestion { retried_below: true, ..question },
         RetryQuestion { idempotent: false, ..question },
@@ -527,8 +530,8 @@
 }
 
 // Upstreams fail for half a minute, and all entries restart in the middle of it. However the
-// requests are spread over entries that tell each other nothing, the retries of any ten seconds stay
-// within what the operator allows for all of them together.
+// requests are spread over entries that exchange nothing, the retries of any ten seconds must stay
+// within the operator's allowance for all of them together.
 #[test]
 fn entries_keep_to_a_retry_allowance_without_agreeing() {
     let allowance = RetryAllowance { percent: 17, extra: 75 };
@@ -554,14 +557,20 @@
         for window in seconds.windows(10) {
             let (requests, retries) =
                 window.iter().fold((0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1));
-            assert!(retries <= requests / 5 + 75, "{retries} for {requests}, {entries} entries");
-            assert!(retries >= requests / 10, "{retries} for {requests}, {entries} entries");
+            assert!(
+                retries <= requests / 5 + 75,
+                "{retries} retries, {requests} requests, {entries} entries"
+            );
+            assert!(
+                retries >= requests / 10,
+                "{retries} retries, {requests} requests, {entries} entries"
+            );
         }
     }
 }
 
-// A host dies. What the others coordinate must stay where it is, or every pool would lose its
-// counts at once.
+// A host dies. The pools that other hosts coordinate must stay where they are, or every pool would
+// lose its counts at once.
 #[test]
 fn lost_host_moves_only_what_it_coordinated() {
     let hosts: Vec<HostId> = (0..25).map(host).collect();
@@ -574,5 +583,5 @@
         moved += u32::from(before != after);
         assert!(before == after || *before == hosts[0]);
     }
-    assert!((1..30).contains(&moved), "{moved} of 200 pools were the lost host's");
+    assert!((1..30).contains(&moved), "the lost host coordinated {moved} of 200 pools");
 }
