--- a/crates/pulley_core/src/process/counts/count_key.rs
+++ b/crates/pulley_core/src/process/counts/count_key.rs
@@ -1,12 +1,12 @@
-//! Short stable keys that stand for names in count messages.
+//! Short, stable keys that replace names in count messages.
 
 use serde::{Deserialize, Serialize};
 
-/// A 32-bit hash of a name, the same in every process and version.
+/// A 32-bit hash of a name that is the same in every process and version.
 ///
-/// Counts travel many times a second, so names are too long for them. Two names with one key
-/// would be counted together, which makes both look busier and harms nothing else; among the
-/// 200 upstreams of a large pool that has a chance of about 1 in 200,000.
+/// Counts are sent many times a second, so full names would take too much bandwidth. Two names
+/// whose keys collide are counted together. Both then look busier than they are, with no other
+/// harm. Among the 200 upstreams of a large pool the probability is about 1 in 200,000.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -26,10 +26,10 @@
     }
 }
 
-/// Hashes parts to 64 bits, the same in every process: FNV-1a, then a mix of the bits.
+/// Hashes parts to 64 bits, the same in every process: FNV-1a followed by a bit mixer.
 ///
-/// FNV alone leaves the high bits of short texts alike, and rendezvous hashing compares whole
-/// numbers; the finalizer of `SplitMix64` spreads them.
+/// FNV alone gives short texts similar high bits, and rendezvous hashing compares whole numbers.
+/// The finalizer of `SplitMix64` spreads the bits.
 #[must_use]
 pub(crate) fn stable_hash(parts: impl IntoIterator<Item: AsRef<[u8]>>) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/pulley_core/src/process/counts/count_link.rs
+++ b/crates/pulley_core/src/process/counts/count_link.rs
@@ -1,4 +1,4 @@
-//! An entry's place in the tree by which counts are shared.
+//! An entry's position in the tree through which counts are shared.
 
 use std::time::Duration;
 
@@ -7,37 +7,38 @@
     CountDelta, CountEpoch, CountKey, CountRound, CountSum, FastMap, HostId, Moment, ZoneName,
 };
 
-/// How long counts hold without news.
+/// How long counts stay valid without a new sum.
 ///
-/// What other entries have outstanding changes within one time of an answer. Kept for longer, old
-/// counts would hold slots occupied that were freed long ago; the term is several rounds, so a
-/// lost datagram or two does no harm.
-pub const COUNT_TERM: Duration = Duration::from_millis(800);
+/// Other entries' outstanding requests change within the time of one answer. Counts kept for longer
+/// would show slots as occupied that were freed long ago. The time covers several rounds, so that
+/// one or two lost datagrams do no harm.
+pub const COUNT_TTL: Duration = Duration::from_millis(800);
 
-/// The unit of the time that a sum allows for one step.
+/// The unit of the time that a sum allows for one hop of the tree.
 pub(crate) const STEP_UNIT: Duration = Duration::from_micros(250);
 
-/// Time between reports straight to the coordinator while no sum comes.
-const LOST_PACE: Duration = Duration::from_millis(100);
+/// The interval of direct reports to the coordinator while no sum arrives.
+const DIRECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// No sum for this long means that nobody coordinates.
-const LOST_AFTER: Duration = Duration::from_millis(250);
+/// Without a sum for this long, the pool is assumed to have no coordinator.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between reports straight to the coordinator while sums come, for each entry that shares the
-/// pool, and its bounds. The reports keep this entry on the list; all together they cost the
-/// coordinator the same at every size.
-const KEPT_PACE: Duration = Duration::from_millis(40);
-const SHORTEST_KEPT_PACE: Duration = Duration::from_secs(1);
-const LONGEST_KEPT_PACE: Duration = Duration::from_secs(10);
+/// The interval of direct reports to the coordinator while sums arrive, for each entry that shares
+/// the pool, and the bounds of the product. Direct reports keep this entry on the coordinator's
+/// list. As the interval grows with the number of entries, their total cost for the coordinator is
+/// the same at every size.
+const DIRECT_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(40);
+const MIN_DIRECT_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_DIRECT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long the largest number of entries is remembered. It divides the probe budget between the
-/// sides of a partition, and partitions between regions last for minutes.
-const KNOWN_FOR: Duration = Duration::from_secs(600);
+/// How long the largest number of entries is remembered. The number divides the probe budget
+/// between the sides of a network partition, and partitions between regions last for minutes.
+const KNOWN_RETENTION: Duration = Duration::from_secs(600);
 
-/// The shortest time between a sum and the report that answers it.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+/// The shortest delay between a sum and the report that answers it.
+const MIN_REPORT_DELAY: Duration = Duration::from_millis(1);
 
-/// What an entry knows of the coordinator of its pool.
+/// An entry's link to the coordinator of its pool.
 #[derive(Clone, Debug)]
 pub(crate) struct CountLink {
     pub(crate) zone: ZoneName,
@@ -45,22 +46,22 @@
     coordinator: CountKey,
     round: CountRound,
     depth: u8,
-    heard: Option<Moment>,
+    last_sum_at: Option<Moment>,
     interval: Duration,
     hosts: u16,
-    known: u16,
-    known_at: Moment,
+    largest_known: u16,
+    largest_known_at: Moment,
     parent: Option<HostId>,
     report_at: Option<Moment>,
-    /// When the last straight report was sent, or the first is due.
-    straight_at: Moment,
-    sent: bool,
+    /// When the last direct report was sent, or when the first one is due.
+    direct_at: Moment,
+    direct_sent: bool,
     reports: FastMap<HostId, Vec<CountDelta>>,
     relays: Vec<(HostId, CountSum)>,
 }
 
 impl CountLink {
-    /// Makes a link that has heard nothing.
+    /// Makes a link that has received no sum yet.
     pub(crate) fn new(zone: ZoneName, now: Moment) -> Self {
         Self {
             zone,
@@ -68,24 +69,25 @@
             coordinator: CountKey::default(),
             round: CountRound(0),
             depth: 0,
-            heard: None,
+            last_sum_at: None,
             interval: Duration::ZERO,
             hosts: 1,
-            known: 0,
-            known_at: now,
+            largest_known: 0,
+            largest_known_at: now,
             parent: None,
             report_at: None,
-            straight_at: now,
-            sent: false,
+            direct_at: now,
+            direct_sent: false,
             reports: FastMap::default(),
             relays: Vec::new(),
         }
     }
 
-    /// Whether a sum is news; if so, notes it and what is to be passed on.
+    /// Takes in a sum if it is not outdated and prepares the copies to forward; returns whether it
+    /// was taken in.
     pub(crate) fn accept(&mut self, now: Moment, host: &HostId, sum: &CountSum) -> bool {
         let same = sum.coordinator == self.coordinator && sum.epoch == self.epoch;
-        // The parts of one round are taken in one by one, whichever comes first.
+        // The parts of one round are accepted in any order.
         let newer = if same { sum.round >= self.round } else { sum.epoch > self.epoch };
         if !newer {
             return false;
@@ -97,17 +99,17 @@
         self.coordinator = sum.coordinator;
         self.round = sum.round;
         self.depth = sum.depth;
-        self.heard = Some(now);
+        self.last_sum_at = Some(now);
         self.parent = Some(sum.sender.clone());
         let interval = Duration::from_millis(u64::from(sum.interval_ms));
         self.interval = interval;
         self.hosts = sum.hosts;
-        if sum.hosts >= self.known || now.since(self.known_at) > KNOWN_FOR {
-            self.known = sum.hosts;
-            self.known_at = now;
+        if sum.hosts >= self.largest_known || now.since(self.largest_known_at) > KNOWN_RETENTION {
+            self.largest_known = sum.hosts;
+            self.largest_known_at = now;
         }
         let steps = STEP_UNIT * u32::from(sum.step) * u32::from(sum.depth);
-        self.report_at = Some(now + interval.saturating_sub(steps).max(SHORTEST_WAIT));
+        self.report_at = Some(now + interval.saturating_sub(steps).max(MIN_REPORT_DELAY));
         for (hop, route) in split_route(&sum.route, FAN_OUT) {
             let sender = host.clone();
             let depth = sum.depth.saturating_add(1);
@@ -116,12 +118,12 @@
         true
     }
 
-    /// The copies to pass on.
+    /// Takes the copies to forward.
     pub(crate) fn take_relays(&mut self) -> Vec<(HostId, CountSum)> {
         std::mem::take(&mut self.relays)
     }
 
-    /// Keeps a report of the present round until this entry's own is due.
+    /// Keeps another entry's report for the current round until this entry's own report is due.
     pub(crate) fn keep_report(&mut self, from: &HostId, delta: &CountDelta) {
         let answers = delta.epoch == self.epoch
             && delta.coordinator == self.coordinator
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Takes the kept reports, if this entry's own is due now.
-    pub(crate) fn start_report(&mut self, now: Moment) -> Option<ReportTerms> {
+    /// Takes the kept reports if this entry's own report is due.
+    pub(crate) fn start_report(&mut self, now: Moment) -> Option<ReportDraft> {
         if self.report_at.is_none_or(|at| at > now) {
             return None;
         }
@@ -146,77 +148,79 @@
         reports.sort_by(|a, b| a.0.cmp(&b.0));
         let reports = reports.into_iter().flat_map(|(_, parts)| parts).collect();
         let (round, depth) = (self.round, self.depth);
-        Some(ReportTerms { to: self.parent.clone(), round, depth, reports })
+        Some(ReportDraft { to: self.parent.clone(), round, depth, reports })
     }
 
-    /// Whether a report straight to the coordinator is due; notes that it is sent.
+    /// Whether a direct report to the coordinator is due; if so, records that it is sent.
     pub(crate) fn start_straight(&mut self, now: Moment) -> bool {
-        if now < self.straight_due() {
+        if now < self.direct_due() {
             return false;
         }
-        self.straight_at = now;
-        self.sent = true;
+        self.direct_at = now;
+        self.direct_sent = true;
         true
     }
 
-    /// When the next report is due.
+    /// Returns when the next report is due.
     pub(crate) fn next_at(&self) -> Moment {
-        let straight = self.straight_due();
+        let straight = self.direct_due();
         self.report_at.map_or(straight, |at| at.min(straight))
     }
 
-    /// How old the newest sum is; none without one within the term.
+    /// Returns the age of the newest sum; `None` if there is no valid one.
     pub(crate) fn age(&self, now: Moment) -> Option<Duration> {
-        let age = now.since(self.heard?);
+        let age = now.since(self.last_sum_at?);
         (age < self.term()).then_some(age)
     }
 
-    /// When the newest sum stops counting; none if it has already been dropped.
+    /// Returns when the newest sum expires; `None` if it has already been dropped.
     pub(crate) fn expires_at(&self) -> Option<Moment> {
-        Some(self.heard? + self.term())
+        Some(self.last_sum_at? + self.term())
     }
 
-    /// Drops a sum whose term is over.
+    /// Drops the newest sum if it has expired.
     pub(crate) fn expire(&mut self, now: Moment) {
         if self.age(now).is_none() {
-            self.heard = None;
+            self.last_sum_at = None;
         }
     }
 
-    /// The highest epoch seen, and whose it was.
+    /// Returns the highest epoch seen and its coordinator.
     pub(crate) fn epoch(&self) -> (CountEpoch, CountKey) {
         (self.epoch, self.coordinator)
     }
 
-    /// The most entries that sums have lately counted.
+    /// Returns the largest number of entries that recent sums have reported.
     pub(crate) fn known(&self) -> u16 {
-        self.known
+        self.largest_known
     }
 
-    /// When the next straight report is due: seldom while sums come, often once they stay away.
-    fn straight_due(&self) -> Moment {
-        let Some(sent) = self.sent_straight() else { return self.straight_at };
-        let lost_at = self.heard.map_or(sent, |heard| heard + LOST_AFTER.max(self.interval * 3));
-        (sent + kept_pace(self.hosts)).min(lost_at.max(sent + LOST_PACE))
+    /// Returns when the next direct report is due. Direct reports are rare while sums arrive and
+    /// frequent once they are missing.
+    fn direct_due(&self) -> Moment {
+        let Some(sent) = self.last_direct_at() else { return self.direct_at };
+        let lost_at =
+            self.last_sum_at.map_or(sent, |at| at + COORDINATOR_TIMEOUT.max(self.interval * 3));
+        (sent + direct_report_interval(self.hosts)).min(lost_at.max(sent + DIRECT_RETRY_INTERVAL))
     }
 
-    fn sent_straight(&self) -> Option<Moment> {
-        self.sent.then_some(self.straight_at)
+    fn last_direct_at(&self) -> Option<Moment> {
+        self.direct_sent.then_some(self.direct_at)
     }
 
     fn term(&self) -> Duration {
-        COUNT_TERM.max(self.interval * 3)
+        COUNT_TTL.max(self.interval * 3)
     }
 }
 
-/// Time between straight reports where so many entries share a pool.
-pub(crate) fn kept_pace(hosts: u16) -> Duration {
-    (KEPT_PACE * u32::from(hosts)).clamp(SHORTEST_KEPT_PACE, LONGEST_KEPT_PACE)
+/// Returns the interval of direct reports for a pool that `hosts` entries share.
+pub(crate) fn direct_report_interval(hosts: u16) -> Duration {
+    (DIRECT_INTERVAL_PER_ENTRY * u32::from(hosts)).clamp(MIN_DIRECT_INTERVAL, MAX_DIRECT_INTERVAL)
 }
 
-/// What an entry's report of one round is made from.
+/// The input for an entry's report on one round.
 #[derive(Clone, Debug)]
-pub(crate) struct ReportTerms {
+pub(crate) struct ReportDraft {
     pub(crate) to: Option<HostId>,
     pub(crate) round: CountRound,
     pub(crate) depth: u8,
--- a/crates/pulley_core/src/process/counts/count_message.rs
+++ b/crates/pulley_core/src/process/counts/count_message.rs
@@ -1,144 +1,146 @@
-//! The messages by which entries share counts: reports up a tree, sums down it.
+//! The messages entries share counts with: reports travel up a tree, sums travel down it.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use super::{CountKey, CountRows, HostId, PoolName, ZoneName};
 
-/// Entries that each entry passes a sum on to.
+/// The number of entries to which each entry forwards a sum.
 pub(crate) const FAN_OUT: usize = 3;
 
-/// The largest encoding of one count message, in bytes; with headers it fits one datagram on
-/// every usual network, so that no fragment can be lost on its own.
+/// The largest encoding of one count message, in bytes.
+///
+/// With headers it fits one unfragmented datagram on every usual network, so that the loss of a
+/// single fragment cannot destroy a message.
 pub const COUNT_MESSAGE_LIMIT: usize = 1_200;
 
-/// Why bytes are no count message.
+/// Why bytes cannot be encoded or decoded as a count message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CountFault {
     /// The bytes do not decode.
     #[error("a count message does not decode")]
     Undecodable,
-    /// The message is larger than one datagram may be.
+    /// The message is larger than [`COUNT_MESSAGE_LIMIT`].
     #[error("a count message of {0} bytes is over the limit")]
     TooLong(usize),
 }
 
-/// What an encoding or decoding gives.
+/// The result of encoding or decoding a count message.
 pub(crate) type Result<T, E = CountFault> = std::result::Result<T, E>;
 
-/// Orders the coordinators of one pool and zone; a successor takes a higher one.
+/// Orders the coordinators of one pool and zone; each successor takes a higher epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct CountEpoch(pub u32);
 
-/// Numbers one round of one epoch: a sum down the tree and the reports that answer it.
+/// Numbers the rounds of an epoch; a round is one sum down the tree and the reports that answer it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct CountRound(pub u32);
 
-/// Counts of one entry, or of several added up, on their way to the coordinator.
+/// A report to the coordinator: the counts of one entry, or the sum of several entries' counts.
 ///
-/// All numbers are absolute and belong to one round, so a message that is lost, doubled or late
-/// leaves nothing wrong in the next round.
+/// All numbers are absolute and belong to one round, so a lost, duplicated or late message causes
+/// no error in the next round.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountDelta {
-    /// The host it goes to; none for the coordinator of the zone. It does not travel.
+    /// The destination host; `None` for the zone's coordinator. It is not sent.
     #[serde(skip)]
     pub to: Option<HostId>,
     /// The pool.
     pub pool: PoolName,
-    /// The zone whose coordinator it is for; none in an answer to a round.
+    /// The zone whose coordinator should receive it; `None` in an answer to a round.
     pub zone: Option<ZoneName>,
-    /// The epoch answered; without a round, the highest epoch seen, which a new coordinator goes
-    /// above.
+    /// The epoch of the answered sum. Without a round it is the highest epoch seen, and a new
+    /// coordinator chooses a higher one.
     pub epoch: CountEpoch,
-    /// Whose epoch that is.
+    /// The coordinator of that epoch.
     pub coordinator: CountKey,
-    /// The round answered; none for a report that goes straight to the coordinator and keeps the
-    /// sender among the entries.
+    /// The round answered. `None` for a direct report, which goes to the coordinator without
+    /// relays and keeps the sender on its list of entries.
     pub round: Option<CountRound>,
-    /// The sender's steps from the coordinator in that round. The coordinator's host may be a
-    /// relay too; only this tells a report to the one from a report to the other.
+    /// The sender's number of hops from the coordinator in that round. The coordinator's host may
+    /// also be a relay, and only the depth tells the reports for the two roles apart.
     pub depth: u8,
-    /// Entries added up in it.
+    /// The number of entries whose counts are included.
     pub hosts: u16,
-    /// The most entries that sums have lately counted, as the sender knows.
+    /// The largest number of entries that recent sums have reported to the sender.
     pub known: u16,
     /// The counts.
     pub rows: CountRows,
 }
 
-/// All entries' counts, as a coordinator publishes them down a tree of entries.
+/// The counts of all entries, as a coordinator publishes them down a tree of entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountSum {
     /// The pool.
     pub pool: PoolName,
-    /// Whose epoch it is.
+    /// The coordinator that publishes it.
     pub coordinator: CountKey,
-    /// Which coordinator's reign.
+    /// The coordinator's epoch.
     pub epoch: CountEpoch,
-    /// The round it opens.
+    /// The round that it starts.
     pub round: CountRound,
-    /// The round whose reports are in the counts, if any are.
+    /// The round whose reports are included in the counts, if any.
     pub counted: Option<CountRound>,
-    /// Entries that this coordinator hears.
+    /// The number of entries on this coordinator's list.
     pub hosts: u16,
     /// Milliseconds until the next round.
     pub interval_ms: u16,
-    /// Steps from the coordinator.
+    /// The receiver's number of hops from the coordinator.
     pub depth: u8,
-    /// Time allowed for one step down the tree and up again, in units of 0.25 ms.
+    /// Time allowed for one hop down the tree and up again, in units of 0.25 ms.
     pub step: u8,
-    /// Who sent this copy; the receiver's report goes there.
+    /// The host that sent this copy; the receiver sends its report there.
     pub sender: HostId,
-    /// Entries that the receiver passes it on to.
+    /// The entries to which the receiver forwards it, directly or through others.
     pub route: Vec<HostId>,
     /// The counts.
     pub rows: CountRows,
 }
 
 impl CountDelta {
-    /// Encodes it for the wire.
+    /// Encodes the message for the network.
     ///
     /// # Errors
-    /// Gives a fault if it is too long for one datagram.
+    /// Returns a fault if it is too long for one datagram.
     pub fn encode(&self) -> Result<Vec<u8>> {
         encode(self)
     }
 
-    /// Reads one off the wire.
+    /// Decodes a received message.
     ///
     /// # Errors
-    /// Gives a fault if the bytes are no delta or too many.
+    /// Returns a fault if the bytes do not decode or exceed the limit.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         decode(bytes)
     }
 }
 
 impl CountSum {
-    /// Encodes it for the wire.
+    /// Encodes the message for the network.
     ///
     /// # Errors
-    /// Gives a fault if it is too long for one datagram.
+    /// Returns a fault if it is too long for one datagram.
     pub fn encode(&self) -> Result<Vec<u8>> {
         encode(self)
     }
 
-    /// Reads one off the wire.
+    /// Decodes a received message.
     ///
     /// # Errors
-    /// Gives a fault if the bytes are no sum or too many.
+    /// Returns a fault if the bytes do not decode or exceed the limit.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         decode(bytes)
     }
 }
 
-/// Splits a route among the first hops: each gets its own name's copy and the rest of its part.
+/// Splits a route into subtrees: returns each first hop with the hosts that it forwards to.
 ///
-/// The order is the coordinator's, drawn anew each round, so a dead host on the way leaves other
-/// entries without news each time, and none for long.
+/// The coordinator shuffles the route every round. A dead host on the way therefore cuts off
+/// different entries each time, and none of them for long.
 #[must_use]
 pub(crate) fn split_route(route: &[HostId], fan_out: usize) -> Vec<(HostId, Vec<HostId>)> {
     let hops = route.len().min(fan_out.max(1));
@@ -150,8 +152,8 @@
     parts.collect()
 }
 
-/// Steps from the coordinator to the deepest of so many entries: one to the first, which spreads
-/// the sum by [`FAN_OUT`].
+/// Returns the number of hops from the coordinator to the deepest of `entries` entries: one to the
+/// first entry, which forwards the sum with a fan-out of [`FAN_OUT`].
 #[must_use]
 pub(crate) fn tree_depth(entries: usize) -> u32 {
     let (mut depth, mut level, mut reached) = (1, 1, 1);
--- a/crates/pulley_core/src/process/counts/count_rows.rs
+++ b/crates/pulley_core/src/process/counts/count_rows.rs
@@ -1,64 +1,65 @@
-//! The counts themselves, by place in a list that all hosts derive from what they know.
+//! The counts, indexed by position in a list that every host derives from the upstreams it knows.
 
 use serde::{Deserialize, Serialize};
 
 use super::CountKey;
 use super::count_key::stable_hash;
 
-/// Upstreams in one message at most: 13 bytes each with key, count and news.
+/// The largest number of upstreams in one message; each takes 13 bytes for key, count and answers.
 pub(crate) const ROWS_PER_MESSAGE: usize = 48;
 
-/// Kinds in one message at most: 6 bytes each.
+/// The largest number of kinds in one message; each takes 6 bytes.
 pub(crate) const KINDS_PER_MESSAGE: usize = 24;
 
-/// Answers that one entry, or several, had from one upstream since their last report.
+/// Answers that one or several entries received from one upstream since their last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamNews {
-    /// The upstream's place in the list.
+    /// The upstream's position in the list.
     pub place: u16,
-    /// Good answers.
+    /// The number of successful answers.
     pub answers: u16,
-    /// Failures.
+    /// The number of failures.
     pub failures: u16,
-    /// Time of the good answers together, in milliseconds.
+    /// The total latency of the successful answers, in milliseconds.
     pub total_ms: u16,
 }
 
-/// What is running and waiting of one kind of request.
+/// The running and waiting requests of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindUse {
-    /// Requests outstanding.
+    /// The number of outstanding requests.
     pub in_flight: u16,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub queued: u16,
 }
 
-/// A part of an upstream list's counts.
+/// The counts of a part of an upstream list.
 ///
-/// Places stand for names, since counts travel many times a second. Both sides derive the list
-/// from the upstreams they know; `layout` tells whether those are the same. The keys are sent
-/// along as long as lists may differ, after a change.
+/// Upstreams are identified by position instead of name, because counts are sent many times a
+/// second. Both sides derive the list from the upstreams they know, and `layout` tells whether the
+/// lists are the same. For a while after a change, when lists may differ, the keys are sent too.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountRows {
-    /// The place of the first row.
+    /// The position of the first row.
     pub first: u16,
     /// A digest of the whole list.
     pub layout: u16,
-    /// Each row's upstream, or nothing while the list is settled.
+    /// The key of each row's upstream; empty while the list is stable.
     pub keys: Vec<CountKey>,
-    /// Requests outstanding at each.
+    /// The number of outstanding requests at each upstream.
     pub in_flight: Vec<u16>,
-    /// Answers since the last report, of those upstreams that had any; up the tree only.
+    /// Answers since the last report, for upstreams that gave any. Sent up the tree only.
     pub news: Vec<UpstreamNews>,
-    /// Usable part in 255ths, of those upstreams that are not wholly so; down the tree only.
+    /// The usable fraction in 255ths, for upstreams that are not fully usable. Sent down the tree
+    /// only.
     pub health: Vec<(u16, u8)>,
     /// A digest of the pool's kinds.
     pub plan: u16,
-    /// What is running and waiting of each kind.
+    /// The running and waiting requests of each kind.
     pub kinds: Vec<KindUse>,
 }
 
-/// The order of a pool's upstreams in messages.
+/// The order of a pool's upstreams in count messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CountLayout {
     keys: Vec<CountKey>,
@@ -85,7 +86,8 @@
         self.keys.len()
     }
 
-    /// The place here of each row of a message; nothing if the message cannot be read.
+    /// Maps each row of a message to its position in this list; `None` if the message cannot be
+    /// read here.
     pub(crate) fn places(&self, rows: &CountRows) -> Option<Vec<Option<usize>>> {
         if rows.layout == self.digest {
             let first = usize::from(rows.first);
@@ -99,13 +101,13 @@
     }
 }
 
-/// A digest of keys in order.
+/// Returns a digest of the keys in order.
 pub(crate) fn digest_of(keys: &[CountKey]) -> u16 {
     let [low, high, ..] = stable_hash(keys.iter().map(CountKey::bytes)).to_le_bytes();
     u16::from_le_bytes([low, high])
 }
 
-/// Counts of a whole list, added up from messages.
+/// The counts of a whole list, summed over messages.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CountTotals {
     pub(crate) in_flight: Vec<u32>,
@@ -115,7 +117,7 @@
 }
 
 impl CountTotals {
-    /// Makes empty totals for a list and as many of the kinds as a message tells.
+    /// Makes empty totals for a list of upstreams and for as many kinds as fit in a message.
     pub(crate) fn new(upstreams: usize, kinds: usize) -> Self {
         Self {
             in_flight: vec![0; upstreams],
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Adds a message's counts; false if its list cannot be read here.
+    /// Adds a message's counts; returns false if its rows cannot be mapped to this list.
     pub(crate) fn add(&mut self, layout: &CountLayout, plan: u16, rows: &CountRows) -> bool {
         let Some(places) = layout.places(rows) else { return false };
         for (place, count) in places.iter().zip(&rows.in_flight) {
@@ -140,7 +142,7 @@
                 self.news[place].add(news);
             }
         }
-        // The kinds stand in the first part only, so that several parts do not repeat them.
+        // Only the first part carries the kinds, so that several parts do not count them twice.
         if rows.first == 0 && rows.plan == plan {
             for (total, kind) in self.kinds.iter_mut().zip(&rows.kinds) {
                 total.0 += u32::from(kind.in_flight);
@@ -150,7 +152,7 @@
         true
     }
 
-    /// Writes the totals as message rows, in as many parts as are needed.
+    /// Converts the totals to message rows, in as many parts as needed.
     pub(crate) fn rows(&self, layout: &CountLayout, plan: u16, with_keys: bool) -> Vec<CountRows> {
         let parts = self.in_flight.chunks(ROWS_PER_MESSAGE).enumerate();
         let mut all: Vec<CountRows> = parts
@@ -183,13 +185,13 @@
     }
 
     fn news_rows(&self, places: std::ops::Range<usize>) -> Vec<UpstreamNews> {
-        let told = places.filter(|place| self.news[*place].is_some());
-        told.map(|place| UpstreamNews { place: saturate(place), ..self.news[place] }).collect()
+        let changed = places.filter(|place| self.news[*place].is_some());
+        changed.map(|place| UpstreamNews { place: saturate(place), ..self.news[place] }).collect()
     }
 }
 
 impl UpstreamNews {
-    /// Whether there is any news.
+    /// Whether there is any answer or failure.
     #[must_use]
     pub const fn is_some(&self) -> bool {
         self.answers > 0 || self.failures > 0
@@ -202,7 +204,7 @@
     }
 }
 
-/// The number, or the largest that fits.
+/// Converts a count, saturating at the largest value that fits.
 pub(crate) fn saturate(count: usize) -> u16 {
     u16::try_from(count).unwrap_or(u16::MAX)
 }
--- a/crates/pulley_core/src/process/counts/mod.rs
+++ b/crates/pulley_core/src/process/counts/mod.rs
@@ -1,6 +1,5 @@
-//! Counts of what is outstanding, shared by all entries of a pool, and who coordinates them.
+//! Shares counts of outstanding requests among the entries of a pool, and chooses the coordinator.
 
-mod count_gathering;
 mod count_health;
 mod count_key;
 mod count_link;
@@ -8,9 +7,10 @@
 mod count_rows;
 mod pool_coordinator;
 mod pool_coordinator_choice;
+mod report_collector;
 
 pub use count_key::CountKey;
-pub use count_link::COUNT_TERM;
+pub use count_link::COUNT_TTL;
 pub use count_message::{
     COUNT_MESSAGE_LIMIT, CountDelta, CountEpoch, CountFault, CountRound, CountSum,
 };
--- a/crates/pulley_core/src/process/counts/pool_coordinator_choice.rs
+++ b/crates/pulley_core/src/process/counts/pool_coordinator_choice.rs
@@ -1,13 +1,13 @@
-//! Which live host coordinates a pool's zone.
+//! Chooses the live host that coordinates a pool's zone.
 
 use super::count_key::stable_hash;
 use super::{HostId, PoolName, ZoneName};
 
 /// Chooses the coordinator of a pool's zone among live hosts, by rendezvous hashing.
 ///
-/// All hosts that see the same members choose the same one without a message. When a host dies
-/// only what it coordinated moves, and two pools seldom share a coordinator, so that none is
-/// loaded with all of them.
+/// All hosts that see the same members choose the same coordinator without exchanging messages.
+/// When a host dies, only the pools that it coordinated move. Two pools rarely share a coordinator,
+/// so that no host carries the load of all of them.
 #[must_use]
 pub fn coordinator_for<'a>(
     pool: &PoolName,
--- a/crates/pulley_core/src/process/mod.rs
+++ b/crates/pulley_core/src/process/mod.rs
@@ -12,7 +12,7 @@
 mod upstream;
 
 pub use counts::{
-    COUNT_BYTES_PER_SECOND, COUNT_MESSAGE_LIMIT, COUNT_TERM, CoordinatorOutput, CountDelta,
+    COUNT_BYTES_PER_SECOND, COUNT_MESSAGE_LIMIT, COUNT_TTL, CoordinatorOutput, CountDelta,
     CountEpoch, CountFault, CountKey, CountRound, CountRows, CountSum, KindUse, PoolCoordinator,
     ProbeOutcome, UpstreamNews, coordinator_for,
 };
