--- a/crates/pulley_core/src/process/members/entry_zones.rs
+++ b/crates/pulley_core/src/process/members/entry_zones.rs
@@ -4,22 +4,24 @@
 
 /// The live entries of each availability zone.
 ///
-/// Which of them have a part in something is worked out by each from the same list, so that they
-/// agree without a message.
+/// Every host derives the assignment of upstreams to entries from the same list, so that the hosts
+/// agree without exchanging messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryZones {
     zones: FastMap<ZoneName, Vec<HostId>>,
 }
 
 impl EntryZones {
-    /// Sorts live hosts into their zones; those that carry no requests are left out.
+    /// Groups live hosts by zone; hosts that are not entries are left out.
     pub fn of<'a>(live: impl IntoIterator<Item = &'a MemberRecord>) -> Self {
         let entries = live.into_iter().filter(|record| record.roles.entry);
         entries.map(|record| (record.zone.clone(), record.host.clone())).collect()
     }
 
-    /// Whether a host is one of the `count` entries that an upstream is assigned to: those of its
-    /// zone that rank highest for it, or of all zones if its own has no entry.
+    /// Whether a host is one of the `count` entries that an upstream is assigned to.
+    ///
+    /// These are the entries of the upstream's zone with the highest rendezvous hash for it, or
+    /// those of all zones if its own has no entry.
     #[must_use]
     pub fn is_assigned(
         &self,
--- a/crates/pulley_core/src/process/members/member_message.rs
+++ b/crates/pulley_core/src/process/members/member_message.rs
@@ -1,4 +1,4 @@
-//! The messages of membership gossip and how they fit a datagram.
+//! The messages of membership gossip and their packing into datagrams.
 
 use std::net::SocketAddr;
 
@@ -9,23 +9,23 @@
 
 /// The largest body of a gossip message, in bytes.
 ///
-/// With the datagram's own header it stays under an Ethernet frame's 1,500 bytes, so that no
-/// message is split into fragments, of which the loss of one would lose all.
+/// With the datagram's header it stays below the 1,500 bytes of an Ethernet frame, so that no
+/// message is fragmented. The loss of one fragment would lose the whole message.
 pub const MEMBER_BODY_LIMIT: usize = 1_200;
 
-/// The number of parts the table's digest has; a difference costs the transfer of one part.
+/// The number of parts in the table's digest; each difference costs the transfer of one part.
 pub(crate) const DIGEST_PARTS: usize = 64;
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberSend {
-    /// Where to.
+    /// The destination address.
     pub to: SocketAddr,
     /// The encoded message.
     pub body: Bytes,
 }
 
-/// What is said of one host.
+/// A host's description and state, as one host reports them to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberUpdate {
     pub(crate) record: MemberRecord,
@@ -33,32 +33,33 @@
 }
 
 impl MemberUpdate {
-    /// Whether this outranks what is known: a later incarnation, or worse news of the same one.
+    /// Whether this outranks the known update, by a later incarnation or a worse state of the same
+    /// incarnation.
     pub(crate) fn outranks(&self, known: &Self) -> bool {
         (self.record.incarnation, self.state) > (known.record.incarnation, known.state)
     }
 
-    /// Whether it is that of an entry that lives.
+    /// Whether the host is a live entry.
     pub(crate) fn is_live_entry(&self) -> bool {
         self.state.is_live() && self.record.roles.entry
     }
 }
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum MemberPurpose {
-    /// Asks for an `Ack`; answered only by the target, as another host may have its old address.
+    /// Requests an `Ack`. Only the target answers, because another host may have its old address.
     Ping { sequence: u32, target: Option<HostId> },
     /// Answers a ping.
     Ack { sequence: u32 },
-    /// Asks to ping a host on the sender's behalf.
+    /// Requests a ping of a host on the sender's behalf.
     PingRequest { sequence: u32, target: HostId, address: SocketAddr },
-    /// Shows the sender's digests, to be sent what differs.
-    SyncAsk { digests: Vec<u32>, reply: bool },
-    /// Carries what differed in a comparison.
+    /// Carries the sender's digests and requests the parts that differ.
+    SyncRequest { digests: Vec<u32>, reply: bool },
+    /// Carries updates from parts that differed.
     SyncPage,
-    /// Carries news only.
-    News,
+    /// Carries updates only.
+    Updates,
 }
 
 /// A gossip message.
@@ -69,7 +70,8 @@
 }
 
 impl MemberMessage {
-    /// Encodes the message with as many of the updates, in their order, as the limit allows.
+    /// Encodes a message with as many of the updates, in order, as the limit allows; returns it and
+    /// their number.
     pub(crate) fn pack<'a>(
         purpose: &MemberPurpose,
         updates: impl Iterator<Item = &'a MemberUpdate>,
@@ -79,7 +81,7 @@
         let mut count = 0;
         for update in updates {
             let item = encoded(update);
-            // Two bytes: the longest form of the number of updates.
+            // The encoded number of updates takes at most two bytes.
             if body.len() + tail.len() + item.len() + 2 > MEMBER_BODY_LIMIT {
                 break;
             }
@@ -91,7 +93,7 @@
         (Bytes::from(body), count)
     }
 
-    /// Decodes a message; what is longer than the limit or has a tail is none.
+    /// Decodes a message; `None` if it is invalid, exceeds the limit or has trailing bytes.
     pub(crate) fn unpack(body: &[u8]) -> Option<Self> {
         if body.len() > MEMBER_BODY_LIMIT {
             return None;
@@ -103,7 +105,7 @@
     }
 }
 
-/// Encodes a value whose types always encode.
+/// Encodes a value of a type whose encoding never fails.
 pub(crate) fn encoded<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).expect("plain data types always encode")
 }
--- a/crates/pulley_core/src/process/members/member_record.rs
+++ b/crates/pulley_core/src/process/members/member_record.rs
@@ -1,4 +1,4 @@
-//! What hosts know of one another.
+//! Descriptions and states of the member hosts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 
 use super::{HostId, QuantityFault, ZoneName};
 
-/// Orders what is said of one host: a later start or a refutation has a higher one.
+/// Orders the updates about one host: a later start or a refutation has a higher incarnation.
 ///
-/// A host begins with its start time in milliseconds of Unix time. Should its clock have gone back,
-/// it hears of the higher number that others still hold and goes past it.
+/// A host starts with its start time in milliseconds of Unix time. If its clock was set back, it
+/// learns the higher number that other hosts still hold and uses a higher one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MemberIncarnation(pub u64);
 
 impl MemberIncarnation {
-    /// The incarnation after this one.
+    /// Returns the incarnation after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -41,50 +41,50 @@
     }
 }
 
-/// What a host does for the system.
+/// The roles of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HostRoles {
-    /// It serves callers.
+    /// Whether it serves callers.
     pub entry: bool,
-    /// It has a disk and holds a replica of the log.
+    /// Whether it has a disk and holds a replica of the log.
     pub replica: bool,
 }
 
-/// One host as it describes itself.
+/// A host's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its name.
+    /// The host's name.
     pub host: HostId,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: ZoneName,
-    /// Orders its descriptions.
+    /// The incarnation, which orders the host's descriptions.
     pub incarnation: MemberIncarnation,
-    /// Where other hosts reach it, by TCP and UDP.
+    /// The address for other hosts, over TCP and UDP.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operator_address: SocketAddr,
-    /// What it does.
+    /// The host's roles.
     pub roles: HostRoles,
 }
 
-/// How a host is thought to be.
+/// The assumed state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer somebody; it has time to say otherwise.
+    /// It left a probe unanswered and still has time to refute the suspicion.
     Suspect,
-    /// It did not say otherwise in time.
+    /// It did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Whether the host counts as a live one.
+    /// Whether the host counts as live.
     #[must_use]
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
--- a/crates/pulley_core/src/process/members/member_ring.rs
+++ b/crates/pulley_core/src/process/members/member_ring.rs
@@ -1,20 +1,21 @@
-//! The order of live hosts, and whom each tells in which round.
+//! The ring of live hosts, which determines the gossip target of each round.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use super::HostId;
 
-/// The live hosts in the order of their names, and where the own host stands in it.
+/// The live hosts ordered by name, with the own host's position among them.
 ///
-/// In round `r` a host tells the one `2^r` places further on, and begins anew after `log2(n)`
-/// rounds. Whatever one host knows has then reached all, with one message a host and round. Random
-/// choice needs nearly twice the rounds, as late messages mostly meet hosts that know already.
+/// In round `r` a host sends to the one `2^r` positions further on, and starts over after `log2(n)`
+/// rounds. Information from one host has then reached all, with one message per host and round.
+/// Random targets would need nearly twice the rounds, because late messages mostly reach hosts that
+/// already have the information.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerRing {
-    /// Shared, as a thousand hosts would else be copied with each copy of the ring.
+    /// Shared, because otherwise each copy of the ring would copy a thousand hosts.
     peers: Arc<Vec<(HostId, SocketAddr)>>,
-    own: usize,
+    own_index: usize,
 }
 
 impl PeerRing {
@@ -23,13 +24,13 @@
     pub fn new(own: &HostId, mut others: Vec<(HostId, SocketAddr)>) -> Self {
         others.sort();
         let place = others.partition_point(|(host, _)| host < own);
-        Self { peers: Arc::new(others), own: place }
+        Self { peers: Arc::new(others), own_index: place }
     }
 
-    /// Takes over how the live hosts have changed: where a host is now, or nothing if it is gone.
+    /// Applies changes of the live hosts: a host's current address, or `None` if it is gone.
     ///
-    /// A host that has just started hears of hundreds of others one after the other; a ring sorted
-    /// anew for each of them cost it more than all that it had to serve.
+    /// A host that has just started learns of hundreds of others one by one. Sorting the ring again
+    /// for each of them cost more than serving all its requests.
     pub fn apply(
         &mut self,
         own: &HostId,
@@ -47,43 +48,43 @@
                 (Err(_), None) => {}
             }
         }
-        self.own = peers.partition_point(|(host, _)| host < own);
+        self.own_index = peers.partition_point(|(host, _)| host < own);
     }
 
-    /// How many live hosts there are, the own one included.
+    /// Returns the number of live hosts, including the own one.
     #[must_use]
     pub fn len(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Whether the own host is alone.
+    /// Whether the own host is the only live one.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// After how many rounds a piece of news has reached all.
+    /// Returns the number of rounds after which information has reached all hosts.
     #[must_use]
     pub fn rounds(&self) -> u32 {
         usize::BITS - self.peers.len().leading_zeros()
     }
 
-    /// Whom to tell in a round, if the own host isn't alone.
+    /// Returns the host to send to in a round, if the own host isn't alone.
     #[must_use]
     pub fn target(&self, round: u32) -> Option<&(HostId, SocketAddr)> {
         let step = 1_usize << (round % self.rounds().max(1));
-        // The own host stands between `own - 1` and `own` in `peers`.
-        let place = (self.own + step) % self.len();
-        let index = if place > self.own { place - 1 } else { place };
+        // The own host belongs between the indices `own_index - 1` and `own_index` of `peers`.
+        let place = (self.own_index + step) % self.len();
+        let index = if place > self.own_index { place - 1 } else { place };
         self.peers.get(index)
     }
 
-    /// Every host told in one cycle of rounds, each once.
+    /// Returns the targets of one cycle of rounds, each once.
     pub fn targets(&self) -> impl Iterator<Item = &(HostId, SocketAddr)> {
         (0..self.rounds()).filter_map(|round| self.target(round))
     }
 
-    /// The other live hosts.
+    /// Returns the other live hosts.
     #[must_use]
     pub fn peers(&self) -> &[(HostId, SocketAddr)] {
         &self.peers
--- a/crates/pulley_core/src/process/members/member_roster.rs
+++ b/crates/pulley_core/src/process/members/member_roster.rs
@@ -1,4 +1,4 @@
-//! The table proper: who is known, in which state, and what of it is still to be told.
+//! The known hosts, their states and the updates that are still to be gossiped.
 
 use std::collections::VecDeque;
 use std::hash::{BuildHasher, BuildHasherDefault};
@@ -6,11 +6,11 @@
 use super::member_message::{DIGEST_PARTS, MemberUpdate};
 use super::{FastMap, FastSet, HostId, MemberRecord, MemberState, Moment};
 
-/// How many updates are looked at for one message; about 20 fit.
-const NEWS_LIMIT: usize = 24;
-/// How many messages tell of what came in a comparison of tables: others compare as well, and a
-/// thousand hosts that all start at once would else fill every message for minutes.
-pub(crate) const PAGE_TELLINGS: u32 = 2;
+/// The number of updates considered for one message; about 20 fit.
+const UPDATES_PER_MESSAGE: usize = 24;
+/// The number of messages that pass on an update from a sync page. Other hosts compare their tables
+/// too. With more, a thousand hosts that start at once would fill every message for minutes.
+pub(crate) const SYNC_TRANSMISSIONS: u32 = 2;
 
 /// One known host.
 #[derive(Clone, Debug)]
@@ -18,18 +18,18 @@
     pub(crate) update: MemberUpdate,
     /// When its state last changed.
     pub(crate) since: Moment,
-    /// How many more messages tell of it.
-    pub(crate) tellings: u32,
+    /// The number of messages that are still to carry its update.
+    pub(crate) transmissions: u32,
 }
 
-/// What became of an update.
+/// The outcome of merging an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateOutcome {
-    /// Known already, or outranked.
-    Old,
-    /// Taken over.
-    Taken,
-    /// There is no room for another host.
+    /// The update is known already or outranked.
+    Stale,
+    /// The update was applied.
+    Applied,
+    /// The limit on the number of hosts is reached.
     Full,
 }
 
@@ -37,13 +37,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct MemberRoster {
     entries: FastMap<HostId, MemberEntry>,
-    /// The hosts of which there is something to tell, those to be told of first in front.
-    news: VecDeque<HostId>,
+    /// The hosts with updates to send, the next to send first.
+    queue: VecDeque<HostId>,
     limit: usize,
     changes: u64,
-    /// The hosts of which [`Self::changes`] has counted a change since they were last taken.
-    touched: FastSet<HostId>,
-    /// How many of the live hosts are entries.
+    /// The hosts whose changes [`Self::changes`] has counted since they were last taken.
+    changed_hosts: FastSet<HostId>,
+    /// The number of live entries.
     live_entries: usize,
 }
 
@@ -51,10 +51,10 @@
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             entries: FastMap::default(),
-            news: VecDeque::new(),
+            queue: VecDeque::new(),
             limit,
             changes: 0,
-            touched: FastSet::default(),
+            changed_hosts: FastSet::default(),
             live_entries: 0,
         }
     }
@@ -75,75 +75,76 @@
         self.entries.len()
     }
 
-    /// Counts every change of what is known of live hosts.
+    /// Returns a counter of all changes of the live hosts and their descriptions.
     pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// How many of the live hosts are entries.
+    /// Returns the number of live entries.
     pub(crate) fn live_entries(&self) -> usize {
         self.live_entries
     }
 
-    /// The hosts that have come, gone or changed their description since the last call.
-    pub(crate) fn take_touched(&mut self) -> FastSet<HostId> {
-        std::mem::take(&mut self.touched)
+    /// Takes the hosts that were added, were removed or changed their description since the last
+    /// call.
+    pub(crate) fn take_changed_hosts(&mut self) -> FastSet<HostId> {
+        std::mem::take(&mut self.changed_hosts)
     }
 
-    /// Takes an update over if it outranks what is known, to be told so many times.
+    /// Applies an update if it outranks the known one, and queues it for `transmissions` messages.
     pub(crate) fn merge(
         &mut self,
         now: Moment,
         update: MemberUpdate,
-        tellings: u32,
+        transmissions: u32,
     ) -> UpdateOutcome {
         let live = update.state.is_live();
         if let Some(entry) = self.entries.get_mut(&update.record.host) {
             if !update.outranks(&entry.update) {
-                return UpdateOutcome::Old;
+                return UpdateOutcome::Stale;
             }
             let was_live = entry.update.state.is_live();
             self.live_entries -= usize::from(entry.update.is_live_entry());
             self.live_entries += usize::from(update.is_live_entry());
             if live != was_live || update.record != entry.update.record {
                 self.changes += 1;
-                self.touched.insert(update.record.host.clone());
+                self.changed_hosts.insert(update.record.host.clone());
             }
-            let queued = entry.tellings > 0;
+            let queued = entry.transmissions > 0;
             let host = update.record.host.clone();
-            *entry = MemberEntry { update, since: now, tellings };
-            self.queue_news(host, queued);
-            return UpdateOutcome::Taken;
+            *entry = MemberEntry { update, since: now, transmissions };
+            self.queue_update(host, queued);
+            return UpdateOutcome::Applied;
         }
-        // News of the death of a host never heard of: there is nothing to forget.
+        // The host is unknown and no longer live, so there is nothing to change.
         if !live {
-            return UpdateOutcome::Old;
+            return UpdateOutcome::Stale;
         }
         if self.entries.len() >= self.limit && !self.forget_oldest_dead() {
             return UpdateOutcome::Full;
         }
         self.changes += 1;
         let host = update.record.host.clone();
-        self.touched.insert(host.clone());
+        self.changed_hosts.insert(host.clone());
         self.live_entries += usize::from(update.is_live_entry());
-        self.entries.insert(host.clone(), MemberEntry { update, since: now, tellings });
-        self.queue_news(host, false);
-        UpdateOutcome::Taken
+        self.entries.insert(host.clone(), MemberEntry { update, since: now, transmissions });
+        self.queue_update(host, false);
+        UpdateOutcome::Applied
     }
 
-    fn queue_news(&mut self, host: HostId, queued: bool) {
+    fn queue_update(&mut self, host: HostId, queued: bool) {
         if queued {
-            self.news.retain(|other| *other != host);
+            self.queue.retain(|other| *other != host);
         }
-        self.news.push_front(host);
+        self.queue.push_front(host);
     }
 
-    /// Drops hosts that have been dead for longer than the retention.
+    /// Drops the hosts that died or left before a moment.
     pub(crate) fn forget_dead(&mut self, before: Moment) {
         self.entries.retain(|_, entry| entry.update.state.is_live() || entry.since >= before);
     }
 
-    /// The hosts whose suspicion began before a moment.
+    /// Returns the hosts whose suspicion began at or before a moment.
     pub(crate) fn overdue_suspects(&self, before: Moment) -> Vec<MemberUpdate> {
         let overdue = |entry: &&MemberEntry| {
             entry.update.state == MemberState::Suspect && entry.since <= before
@@ -151,8 +152,8 @@
         self.entries.values().filter(overdue).map(|entry| entry.update.clone()).collect()
     }
 
-    /// Shifts the start of every suspicion, after a pause in which no answer could be heard.
-    pub(crate) fn postpone_suspicions(&mut self, now: Moment) {
+    /// Restarts the timeout of every suspicion, after a pause in which no refutation could be read.
+    pub(crate) fn restart_suspicions(&mut self, now: Moment) {
         for entry in self.entries.values_mut() {
             if entry.update.state == MemberState::Suspect {
                 entry.since = now;
@@ -160,29 +161,30 @@
         }
     }
 
-    /// What is to be told next, the newest first; at most as much as a message may hold.
-    pub(crate) fn news(&self) -> Vec<MemberUpdate> {
-        let next = self.news.iter().take(NEWS_LIMIT);
+    /// Returns the next updates to send, newest first; at most [`UPDATES_PER_MESSAGE`].
+    pub(crate) fn next_updates(&self) -> Vec<MemberUpdate> {
+        let next = self.queue.iter().take(UPDATES_PER_MESSAGE);
         next.filter_map(|host| self.entries.get(host)).map(|entry| entry.update.clone()).collect()
     }
 
-    /// Notes that the first of the news were told once more.
-    pub(crate) fn count_tellings(&mut self, count: usize) {
+    /// Counts one more transmission of the first `count` queued updates.
+    pub(crate) fn count_transmissions(&mut self, count: usize) {
         for _ in 0..count {
-            let Some(host) = self.news.pop_front() else {
+            let Some(host) = self.queue.pop_front() else {
                 return;
             };
             let Some(entry) = self.entries.get_mut(&host) else {
                 continue;
             };
-            entry.tellings = entry.tellings.saturating_sub(1);
-            if entry.tellings > 0 {
-                self.news.push_back(host);
+            entry.transmissions = entry.transmissions.saturating_sub(1);
+            if entry.transmissions > 0 {
+                self.queue.push_back(host);
             }
         }
     }
 
-    /// One digest for each part of the live hosts and the own one; equal parts have equal digests.
+    /// Returns one digest for each part of the live hosts, including the own one. Equal parts have
+    /// equal digests.
     pub(crate) fn digests(&self, own: &MemberRecord) -> Vec<u32> {
         let mut digests = vec![0_u32; DIGEST_PARTS];
         let others = self.live().map(|entry| &entry.update.record);
@@ -192,7 +194,7 @@
         digests
     }
 
-    /// All that is known of the hosts in parts whose digests differ from another's.
+    /// Returns the updates of the hosts in parts whose digests differ from another host's.
     pub(crate) fn differing(&self, ours: &[u32], theirs: &[u32]) -> Vec<MemberUpdate> {
         let differs = |index: usize| theirs.get(index) != ours.get(index);
         let mut updates: Vec<MemberUpdate> = self
@@ -205,8 +207,9 @@
         updates
     }
 
-    /// How many messages tell of a change: enough that each host is told a few times.
-    pub(crate) fn usual_tellings(&self) -> u32 {
+    /// Returns the number of messages that carry a change, enough for each host to receive it a few
+    /// times.
+    pub(crate) fn default_transmissions(&self) -> u32 {
         3 * (usize::BITS - self.entries.len().leading_zeros()).max(1)
     }
 
@@ -226,7 +229,7 @@
 }
 
 fn fold(hash: u64) -> u32 {
-    #[expect(clippy::cast_possible_truncation, reason = "the upper half is folded in")]
+    #[expect(clippy::cast_possible_truncation, reason = "the upper half is XORed in")]
     let folded = (hash ^ (hash >> 32)) as u32;
     folded
 }
--- a/crates/pulley_core/src/process/members/member_settings.rs
+++ b/crates/pulley_core/src/process/members/member_settings.rs
@@ -1,4 +1,4 @@
-//! How often membership asks and how long it waits.
+//! Intervals, timeouts and limits of membership.
 
 use std::time::Duration;
 
@@ -27,51 +27,51 @@
 }
 
 impl MemberSettings {
-    /// Sets how often one other host is asked whether it lives.
+    /// Sets the interval at which one other host is probed.
     #[must_use]
     pub fn with_probe_interval(mut self, interval: Duration) -> Self {
         self.probe_interval = interval;
         self
     }
 
-    /// Sets how long an answer may take before others are asked to try.
+    /// Sets how long an answer may take before other hosts are asked to probe.
     #[must_use]
     pub fn with_ack_timeout(mut self, timeout: Duration) -> Self {
         self.ack_timeout = timeout;
         self
     }
 
-    /// Sets how many others are asked to try.
+    /// Sets how many other hosts are asked to probe.
     #[must_use]
     pub fn with_relays(mut self, relays: usize) -> Self {
         self.relays = relays;
         self
     }
 
-    /// Sets how often the whole table is compared with another host's.
+    /// Sets the interval at which the whole table is compared with another host's.
     #[must_use]
     pub fn with_sync_interval(mut self, interval: Duration) -> Self {
         self.sync_interval = interval;
         self
     }
 
-    /// Sets how long a dead host is remembered and called on again.
+    /// Sets how long a dead host is remembered and contacted again.
     #[must_use]
     pub fn with_dead_retention(mut self, retention: Duration) -> Self {
         self.dead_retention = retention;
         self
     }
 
-    /// Sets how many hosts, dead ones included, are remembered at most.
+    /// Sets the largest number of remembered hosts, including dead ones.
     #[must_use]
     pub fn with_host_limit(mut self, limit: usize) -> Self {
         self.host_limit = limit;
         self
     }
 
-    /// How long a suspect has to say otherwise among so many hosts.
+    /// Returns how long a suspect has to refute its suspicion in a cluster of `hosts` hosts.
     ///
-    /// The suspicion must reach the suspect and its answer must reach everybody, which both take
+    /// The suspicion must reach the suspect, and the refutation must reach all hosts. Both take a
     /// time that grows with the logarithm of the number of hosts.
     pub(crate) fn suspect_timeout(&self, hosts: usize) -> Duration {
         self.probe_interval * (usize::BITS - hosts.leading_zeros()).clamp(3, 10)
--- a/crates/pulley_core/src/process/members/member_table.rs
+++ b/crates/pulley_core/src/process/members/member_table.rs
@@ -1,4 +1,4 @@
-//! Which hosts are alive, learnt by gossip.
+//! The table of member hosts, kept by probes and gossip.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,30 +9,32 @@
 use rand::{Rng, SeedableRng};
 
 use super::member_message::{MemberMessage, MemberPurpose, MemberUpdate};
-use super::member_roster::{MemberRoster, PAGE_TELLINGS, UpdateOutcome};
+use super::member_roster::{MemberRoster, SYNC_TRANSMISSIONS, UpdateOutcome};
 use super::{
     FastSet, HostId, MemberRecord, MemberSend, MemberSettings, MemberState, Moment, PeerRing,
 };
 
-/// How many waiting pages leave at once, so that a full sync doesn't flood a socket's buffer.
+/// The number of queued sync pages sent at once, so that a full sync doesn't overflow a socket's
+/// buffer.
 const PAGES_PER_TICK: usize = 8;
-/// The pause between two such bursts.
-const PAGE_PAUSE: Duration = Duration::from_millis(20);
-/// How many pages may wait; more belong to a sync that the next comparison repeats.
+/// The interval between two such bursts.
+const PAGE_INTERVAL: Duration = Duration::from_millis(20);
+/// The largest number of queued sync pages. Dropped pages are sent again after the next comparison.
 const PAGE_LIMIT: usize = 256;
-/// How often a host compares tables when it has just found a difference.
-const JOIN_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a host that is alone calls on all its seeds. Where all start together, each tenth of a
-/// second more is one in which nobody is served; a host that stays alone sends a few bytes.
+/// The interval until the next table comparison after a difference was found.
+const FAST_SYNC_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval at which a host that knows no other live host contacts all its seeds. When all
+/// hosts start together, no caller is served until they find each other, so each tenth of a second
+/// counts. A host that stays alone sends only a few bytes.
 const ALONE_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the table is searched for suspects whose time has run out.
+/// The interval at which the table is searched for suspects whose timeout has expired.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How many pings on others' behalf may be open at once.
+/// The largest number of outstanding pings on other hosts' behalf.
 const RELAY_LIMIT: usize = 64;
-/// How many seeds are kept.
+/// The largest number of seeds.
 const SEED_LIMIT: usize = 32;
 
-/// The ping that is out.
+/// The outstanding probe.
 #[derive(Clone, Debug)]
 struct OpenProbe {
     host: HostId,
@@ -41,21 +43,22 @@
     relayed: bool,
 }
 
-/// A ping sent on another's behalf.
+/// A ping sent on another host's behalf.
 #[derive(Clone, Debug)]
 struct RelayedProbe {
     sequence: u32,
-    asker: SocketAddr,
-    asker_sequence: u32,
+    requester: SocketAddr,
+    requester_sequence: u32,
     sent: Moment,
 }
 
-/// The membership of one host: gossip with suspicion and incarnations, after SWIM (Das, Gupta and
-/// Motivala, 2002).
+/// One host's view of the membership: gossip with suspicion and incarnations, after SWIM (Das,
+/// Gupta and Motivala, 2002).
 ///
-/// Each interval one other host is asked whether it lives; without an answer, others are asked to
-/// try, so that a single silent path declares nobody dead. Who answers nobody is a suspect, is told
-/// so, and is declared dead only if it doesn't refute it in time.
+/// In each interval one other host is probed. Without an answer, other hosts are asked to probe it,
+/// so that no host is declared dead because of a single broken path. A host that answers no probe
+/// becomes a suspect and is notified. It is declared dead only if it doesn't refute the suspicion
+/// in time.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: MemberRecord,
@@ -63,7 +66,7 @@
     rng: SmallRng,
     roster: MemberRoster,
     seeds: Vec<SocketAddr>,
-    order: Vec<HostId>,
+    probe_order: Vec<HostId>,
     probe: Option<OpenProbe>,
     relays: VecDeque<RelayedProbe>,
     pages: VecDeque<MemberSend>,
@@ -74,12 +77,13 @@
     next_sweep: Moment,
     left: bool,
     ring: PeerRing,
-    /// The hosts that have come, gone or changed their description since they were last taken.
-    moved: FastSet<HostId>,
+    /// The hosts that were added, were removed or changed their description since they were last
+    /// taken.
+    changed_hosts: FastSet<HostId>,
 }
 
 impl MemberTable {
-    /// Makes the table of a host that knows only itself.
+    /// Makes a table that contains only the own host.
     #[must_use]
     pub fn new(own: MemberRecord, settings: MemberSettings, seed: u64) -> Self {
         Self {
@@ -88,7 +92,7 @@
             settings,
             rng: SmallRng::seed_from_u64(seed),
             seeds: Vec::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
             relays: VecDeque::new(),
             pages: VecDeque::new(),
@@ -99,11 +103,11 @@
             next_sweep: Moment::ZERO,
             left: false,
             ring: PeerRing::default(),
-            moved: FastSet::default(),
+            changed_hosts: FastSet::default(),
         }
     }
 
-    /// Adds the address of a host to begin with; seeds are called on for ever.
+    /// Adds the address of a seed host. Seeds are contacted for as long as the process runs.
     pub fn seed(&mut self, address: SocketAddr) {
         let known = address == self.own.peer_address || self.seeds.contains(&address);
         if !known && self.seeds.len() < SEED_LIMIT {
@@ -114,25 +118,25 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// The own description.
+    /// Returns the own description.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// The live hosts, the own one included unless it has left.
+    /// Returns the live hosts, including the own one unless it has left.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         let own = (!self.left).then_some(&self.own);
         own.into_iter().chain(self.roster.live().map(|entry| &entry.update.record))
     }
 
-    /// How many entries are alive, the own host included if it is one and has not left.
+    /// Returns the number of live entries, including the own host if it is one and has not left.
     #[must_use]
     pub fn live_entries(&self) -> usize {
         self.roster.live_entries() + usize::from(self.own.roles.entry && !self.left)
     }
 
-    /// What is known of a host, if it is alive.
+    /// Returns a host's description, if the host is live.
     #[must_use]
     pub fn find(&self, host: &HostId) -> Option<&MemberRecord> {
         if *host == self.own.host {
@@ -142,7 +146,7 @@
         entry.update.state.is_live().then_some(&entry.update.record)
     }
 
-    /// The state a host is thought to be in, if it is known at all.
+    /// Returns the assumed state of a host, if the host is known.
     #[must_use]
     pub fn state(&self, host: &HostId) -> Option<MemberState> {
         if *host == self.own.host {
@@ -151,39 +155,40 @@
         self.roster.find(host).map(|entry| entry.update.state)
     }
 
-    /// How many hosts are remembered, dead ones and the own one included.
+    /// Returns the number of remembered hosts, including dead ones and the own one.
     #[must_use]
     pub fn remembered(&self) -> usize {
         self.roster.len() + 1
     }
 
-    /// Grows with every change of the live hosts or their descriptions.
+    /// Returns a counter that grows with every change of the live hosts or their descriptions.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.roster.changes()
     }
 
-    /// The ring of the live hosts.
+    /// Returns the ring of live hosts.
     pub fn ring(&mut self) -> &PeerRing {
-        let touched = self.roster.take_touched();
-        if !touched.is_empty() {
+        let changed = self.roster.take_changed_hosts();
+        if !changed.is_empty() {
             let place = |host: &HostId| {
                 let entry = self.roster.find(host).filter(|entry| entry.update.state.is_live());
                 (host.clone(), entry.map(|entry| entry.update.record.peer_address))
             };
-            self.ring.apply(&self.own.host, touched.iter().map(place));
-            self.moved.extend(touched);
+            self.ring.apply(&self.own.host, changed.iter().map(place));
+            self.changed_hosts.extend(changed);
         }
         &self.ring
     }
 
-    /// The hosts that have come, gone or changed their description since the last call.
+    /// Takes the hosts that were added, were removed or changed their description since the last
+    /// call.
     pub fn take_moved(&mut self) -> FastSet<HostId> {
         self.ring();
-        std::mem::take(&mut self.moved)
+        std::mem::take(&mut self.changed_hosts)
     }
 
-    /// When [`Self::tick`] next has something to do.
+    /// Returns when [`Self::tick`] next has something to do.
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         let mut next = self.next_probe.min(self.next_sync);
@@ -191,7 +196,7 @@
             next = next.min(probe.sent + self.settings.ack_timeout);
         }
         if !self.pages.is_empty() {
-            next = next.min(self.last_tick.unwrap_or_default() + PAGE_PAUSE);
+            next = next.min(self.last_tick.unwrap_or_default() + PAGE_INTERVAL);
         }
         next
     }
@@ -199,12 +204,12 @@
     // ---------------------------------------------------------------------------------------------
     // Time
 
-    /// Does what is due by now.
+    /// Performs all actions due by `now` and returns the messages to send.
     pub fn tick(&mut self, now: Moment) -> Vec<MemberSend> {
         if self.left {
             return Vec::new();
         }
-        self.forgive_pause(now);
+        self.reset_after_pause(now);
         self.last_tick = Some(now);
         let mut sends: Vec<MemberSend> = Vec::new();
         let burst = self.pages.len().min(PAGES_PER_TICK);
@@ -223,36 +228,42 @@
             self.begin_sync(&mut sends);
             let alone = self.roster.live().next().is_none();
             let pause = if alone { ALONE_INTERVAL } else { self.settings.sync_interval };
-            // Hosts that start together must not compare in step for ever.
+            // The jitter keeps hosts that start together from comparing in lockstep.
             self.next_sync = now + pause.mul_f64(self.rng.random_range(0.75..1.25));
         }
         sends
     }
 
-    /// Says goodbye to some hosts, who tell the others; afterwards the table is silent.
+    /// Announces the own departure to some hosts, which tell the others. Afterwards the table sends
+    /// nothing.
     pub fn leave(&mut self, _now: Moment) -> Vec<MemberSend> {
-        const FAREWELLS: usize = 8;
+        const LEAVE_MESSAGES: usize = 8;
         self.left = true;
-        let farewell = MemberUpdate { record: self.own.clone(), state: MemberState::Left };
+        let leave_update = MemberUpdate { record: self.own.clone(), state: MemberState::Left };
         let mut live: Vec<SocketAddr> =
             self.roster.live().map(|entry| entry.update.record.peer_address).collect();
         live.sort();
         live.shuffle(&mut self.rng);
-        let (body, _) = MemberMessage::pack(&MemberPurpose::News, std::iter::once(&farewell));
-        live.into_iter().take(FAREWELLS).map(|to| MemberSend { to, body: body.clone() }).collect()
+        let (body, _) =
+            MemberMessage::pack(&MemberPurpose::Updates, std::iter::once(&leave_update));
+        live.into_iter()
+            .take(LEAVE_MESSAGES)
+            .map(|to| MemberSend { to, body: body.clone() })
+            .collect()
     }
 
-    /// After a pause of the whole process, answers may lie unread in the socket: nobody is blamed.
+    /// Drops the outstanding probe and restarts suspicion timeouts after a pause of the process.
     ///
-    /// Without this, a host that was stopped for seconds would suspect whom it had just asked, and
-    /// declare its suspects dead before reading that they had refuted it.
-    fn forgive_pause(&mut self, now: Moment) {
+    /// After such a pause answers may still be unread in the socket. Without this, a host that was
+    /// stopped for seconds would suspect the host it had just probed, and would declare suspects
+    /// dead before reading their refutations.
+    fn reset_after_pause(&mut self, now: Moment) {
         let Some(last) = self.last_tick else {
             return;
         };
         if now.since(last) > self.settings.probe_interval * 2 {
             self.probe = None;
-            self.roster.postpone_suspicions(now);
+            self.roster.restart_suspicions(now);
         }
     }
 
@@ -261,14 +272,14 @@
         if now.since(Moment::ZERO) >= timeout {
             for mut update in self.roster.overdue_suspects(now - timeout) {
                 update.state = MemberState::Dead;
-                self.roster.merge(now, update, self.roster.usual_tellings());
+                self.roster.merge(now, update, self.roster.default_transmissions());
             }
         }
         if now.since(Moment::ZERO) >= self.settings.dead_retention {
             self.roster.forget_dead(now - self.settings.dead_retention);
         }
-        let relay_end = self.settings.probe_interval;
-        self.relays.retain(|relay| now.since(relay.sent) < relay_end);
+        let relay_timeout = self.settings.probe_interval;
+        self.relays.retain(|relay| now.since(relay.sent) < relay_timeout);
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -286,10 +297,10 @@
         sends.push(self.message(record.peer_address, &purpose, Some(&record.host)));
     }
 
-    /// The next live host of a shuffled round, so that each is asked once a round.
+    /// Returns the next live host of a shuffled round, so that each is probed once a round.
     fn next_target(&mut self) -> Option<MemberRecord> {
         for _ in 0..2 {
-            while let Some(host) = self.order.pop() {
+            while let Some(host) = self.probe_order.pop() {
                 let Some(entry) = self.roster.find(&host) else {
                     continue;
                 };
@@ -297,14 +308,14 @@
                     return Some(entry.update.record.clone());
                 }
             }
-            self.order = self.roster.live().map(|e| e.update.record.host.clone()).collect();
-            self.order.sort();
-            self.order.shuffle(&mut self.rng);
+            self.probe_order = self.roster.live().map(|e| e.update.record.host.clone()).collect();
+            self.probe_order.sort();
+            self.probe_order.shuffle(&mut self.rng);
         }
         None
     }
 
-    /// Asks others to try, once the target's own answer is overdue.
+    /// Asks other hosts to probe the target once its own answer is overdue.
     fn relay_probe(&mut self, now: Moment, sends: &mut Vec<MemberSend>) {
         let Some(probe) = self.probe.as_mut() else {
             return;
@@ -332,7 +343,7 @@
         }
     }
 
-    /// Suspects a host that answered neither directly nor through others.
+    /// Marks a host as suspect that answered neither directly nor through other hosts.
     fn end_probe(&mut self, now: Moment) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -340,15 +351,15 @@
         if let Some(entry) = self.roster.find(&probe.host) {
             let mut update = entry.update.clone();
             update.state = MemberState::Suspect;
-            self.roster.merge(now, update, self.roster.usual_tellings());
+            self.roster.merge(now, update, self.roster.default_transmissions());
         }
     }
 
     // ---------------------------------------------------------------------------------------------
     // Comparing tables
 
-    /// Compares with a live host and calls on a dead one or a seed, so that parts of a cluster that
-    /// lost each other for minutes find each other again.
+    /// Starts a table comparison with a live host and with a dead host or a seed, so that parts of
+    /// a cluster that were separated for minutes find each other again.
     fn begin_sync(&mut self, sends: &mut Vec<MemberSend>) {
         let mut live = Vec::new();
         let mut absent = self.seeds.clone();
@@ -361,18 +372,19 @@
             }
         }
         absent.retain(|address| !live.contains(address));
-        // Alone, it calls on all seeds at once: one that starts later than this host would else be
-        // found after as many calls as there are seeds, and replicas need each other to elect.
-        let asked = if live.is_empty() { absent } else { self.choose_each([live, absent]) };
+        // Without a live host, all seeds are contacted at once. Otherwise a seed that starts later
+        // than this host might be found only after as many attempts as there are seeds, and
+        // replicas need each other to elect a leader.
+        let asked = if live.is_empty() { absent } else { self.choose_one_each([live, absent]) };
         for to in asked {
             let digests = self.roster.digests(&self.own);
-            let purpose = MemberPurpose::SyncAsk { digests, reply: false };
+            let purpose = MemberPurpose::SyncRequest { digests, reply: false };
             sends.push(self.message(to, &purpose, None));
         }
     }
 
-    /// One address of each list that is not empty.
-    fn choose_each(&mut self, lists: [Vec<SocketAddr>; 2]) -> Vec<SocketAddr> {
+    /// Chooses one random address from each list that is not empty.
+    fn choose_one_each(&mut self, lists: [Vec<SocketAddr>; 2]) -> Vec<SocketAddr> {
         let mut chosen = Vec::new();
         for mut list in lists {
             list.sort();
@@ -395,9 +407,9 @@
         if ours == theirs {
             return Vec::new();
         }
-        // Where one host differs others may: the next comparison follows soon.
-        self.next_sync = self.next_sync.min(now + JOIN_INTERVAL);
-        // The own description goes along: the part it belongs to may be the one that differs.
+        // Other hosts may differ too, so the next comparison follows soon.
+        self.next_sync = self.next_sync.min(now + FAST_SYNC_INTERVAL);
+        // The own description is included, because it may belong to a part that differs.
         differing.insert(0, self.own_update());
         let mut rest = differing.as_slice();
         while !rest.is_empty() && self.pages.len() < PAGE_LIMIT {
@@ -408,7 +420,7 @@
         if reply {
             return Vec::new();
         }
-        let purpose = MemberPurpose::SyncAsk { digests: ours, reply: true };
+        let purpose = MemberPurpose::SyncRequest { digests: ours, reply: true };
         vec![self.message(to, &purpose, None)]
     }
 
@@ -419,7 +431,7 @@
     // ---------------------------------------------------------------------------------------------
     // Messages
 
-    /// Takes in a message that was authenticated as one of this installation.
+    /// Handles a message that was authenticated as coming from this installation.
     pub fn receive(&mut self, now: Moment, from: SocketAddr, body: &[u8]) -> Vec<MemberSend> {
         let Some(message) = MemberMessage::unpack(body) else {
             return Vec::new();
@@ -427,12 +439,12 @@
         if self.left {
             return Vec::new();
         }
-        let tellings = match message.purpose {
-            MemberPurpose::SyncPage => PAGE_TELLINGS,
-            _ => self.roster.usual_tellings(),
+        let transmissions = match message.purpose {
+            MemberPurpose::SyncPage => SYNC_TRANSMISSIONS,
+            _ => self.roster.default_transmissions(),
         };
         for update in message.updates {
-            self.merge(now, update, tellings);
+            self.merge(now, update, transmissions);
         }
         match message.purpose {
             MemberPurpose::Ping { sequence, target } => {
@@ -441,18 +453,18 @@
                 }
                 vec![self.message(from, &MemberPurpose::Ack { sequence }, None)]
             }
-            MemberPurpose::Ack { sequence } => self.take_ack(sequence),
+            MemberPurpose::Ack { sequence } => self.handle_ack(sequence),
             MemberPurpose::PingRequest { sequence, target, address } => {
-                self.ping_for(now, (from, sequence), target, address)
+                self.ping_on_behalf(now, (from, sequence), target, address)
             }
-            MemberPurpose::SyncAsk { digests, reply } => {
+            MemberPurpose::SyncRequest { digests, reply } => {
                 self.answer_sync(now, from, &digests, reply)
             }
-            MemberPurpose::SyncPage | MemberPurpose::News => Vec::new(),
+            MemberPurpose::SyncPage | MemberPurpose::Updates => Vec::new(),
         }
     }
 
-    fn take_ack(&mut self, sequence: u32) -> Vec<MemberSend> {
+    fn handle_ack(&mut self, sequence: u32) -> Vec<MemberSend> {
         if self.probe.as_ref().is_some_and(|probe| probe.sequence == sequence) {
             self.probe = None;
             return Vec::new();
@@ -463,14 +475,14 @@
         let Some(relay) = self.relays.remove(place) else {
             return Vec::new();
         };
-        let purpose = MemberPurpose::Ack { sequence: relay.asker_sequence };
-        vec![self.message(relay.asker, &purpose, None)]
+        let purpose = MemberPurpose::Ack { sequence: relay.requester_sequence };
+        vec![self.message(relay.requester, &purpose, None)]
     }
 
-    fn ping_for(
+    fn ping_on_behalf(
         &mut self,
         now: Moment,
-        (asker, asker_sequence): (SocketAddr, u32),
+        (requester, requester_sequence): (SocketAddr, u32),
         target: HostId,
         address: SocketAddr,
     ) -> Vec<MemberSend> {
@@ -479,22 +491,22 @@
         }
         self.sequence = self.sequence.wrapping_add(1);
         let sequence = self.sequence;
-        self.relays.push_back(RelayedProbe { sequence, asker, asker_sequence, sent: now });
+        self.relays.push_back(RelayedProbe { sequence, requester, requester_sequence, sent: now });
         let about = target.clone();
         let purpose = MemberPurpose::Ping { sequence, target: Some(target) };
         vec![self.message(address, &purpose, Some(&about))]
     }
 
-    fn merge(&mut self, now: Moment, update: MemberUpdate, tellings: u32) {
+    fn merge(&mut self, now: Moment, update: MemberUpdate, transmissions: u32) {
         if update.record.host == self.own.host {
             self.refute(&update);
         } else {
-            let _: UpdateOutcome = self.roster.merge(now, update, tellings);
+            let _: UpdateOutcome = self.roster.merge(now, update, transmissions);
         }
     }
 
-    /// Outranks whatever is wrong about the own host: a suspicion, a death, or an earlier start's
-    /// description with a higher number because a clock has gone back since.
+    /// Outranks a wrong update about the own host: a suspicion, a death, or the description of an
+    /// earlier start with a higher incarnation because the clock was set back since.
     fn refute(&mut self, update: &MemberUpdate) {
         let same = update.state == MemberState::Alive && update.record == self.own;
         if !same && update.record.incarnation >= self.own.incarnation {
@@ -502,7 +514,7 @@
         }
     }
 
-    /// Packs a message: the own description first, then what is said of the target, then news.
+    /// Packs a message: the own description first, then the target's update, then queued updates.
     fn message(
         &mut self,
         to: SocketAddr,
@@ -510,13 +522,14 @@
         about: Option<&HostId>,
     ) -> MemberSend {
         let mut updates = vec![self.own_update()];
-        // A suspect must hear of it to refute it; nobody is better placed to say so.
+        // A suspect must learn of the suspicion to refute it, and a message to the suspect itself
+        // is the surest way.
         let suspect = about.and_then(|host| self.roster.find(host)).map(|e| e.update.clone());
         updates.extend(suspect.filter(|update| update.state != MemberState::Alive));
         let fixed = updates.len();
-        updates.extend(self.roster.news());
+        updates.extend(self.roster.next_updates());
         let (body, count) = MemberMessage::pack(purpose, updates.iter());
-        self.roster.count_tellings(count.saturating_sub(fixed));
+        self.roster.count_transmissions(count.saturating_sub(fixed));
         MemberSend { to, body }
     }
 }
--- a/crates/pulley_core/src/process/members/mod.rs
+++ b/crates/pulley_core/src/process/members/mod.rs
@@ -1,4 +1,4 @@
-//! Which hosts are alive, by probes and gossip among all of them.
+//! Membership: finds out which hosts are alive, by probes and gossip among all hosts.
 
 mod entry_zones;
 mod member_message;
