--- a/crates/pulley_core/src/process/counts/count_message.rs
+++ b/crates/pulley_core/src/process/counts/count_message.rs
@@ -1,4 +1,4 @@
-//! The messages entries share counts with: reports travel up a tree, sums travel down it.
+//! The messages by which entries share counts: reports move up a tree, sums move down it.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/crates/pulley_core/src/process/counts/mod.rs
+++ b/crates/pulley_core/src/process/counts/mod.rs
@@ -1,6 +1,5 @@
 //! Shares counts of outstanding requests among the entries of a pool, and chooses the coordinator.
 
-mod count_health;
 mod count_key;
 mod count_link;
 mod count_message;
@@ -8,6 +7,7 @@
 mod pool_coordinator;
 mod pool_coordinator_choice;
 mod report_collector;
+mod upstream_health;
 
 pub use count_key::CountKey;
 pub use count_link::COUNT_TTL;
@@ -20,11 +20,11 @@
 };
 pub use pool_coordinator_choice::coordinator_for;
 
-pub(crate) use count_health::{UpstreamHealth, median_ms};
 pub(crate) use count_key::stable_hash;
 pub(crate) use count_link::CountLink;
 pub(crate) use count_rows::{CountLayout, CountTotals, digest_of};
 pub(crate) use pool_coordinator::KEYS_FOR;
+pub(crate) use upstream_health::{UpstreamHealth, median_ms};
 
 use super::{
     FastMap, FastSet, HostId, Moment, PoolName, ProbeBudget, ProbeRate, UpstreamId, UpstreamRecord,
--- a/crates/pulley_core/src/process/counts/pool_coordinator.rs
+++ b/crates/pulley_core/src/process/counts/pool_coordinator.rs
@@ -8,12 +8,12 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 
-use super::count_health::{UpstreamHealth, median_ms};
 use super::count_key::stable_hash;
 use super::count_link::STEP_UNIT;
 use super::count_message::{split_route, tree_depth};
 use super::count_rows::{KINDS_PER_MESSAGE, saturate};
 use super::report_collector::{CollectorRound, ReportCollector};
+use super::upstream_health::{UpstreamHealth, median_ms};
 use super::{
     CountDelta, CountEpoch, CountKey, CountLayout, CountRound, CountRows, CountSum, CountTotals,
     FastMap, HostId, Moment, PoolName, ProbeBudget, ProbeRate, UpstreamId, UpstreamRecord,
@@ -298,7 +298,7 @@
 
     /// Returns the median latency of the pool's upstreams, in milliseconds; 0 if unknown.
     #[must_use]
-    pub fn usual_ms(&self) -> f32 {
+    pub fn median_latency_ms(&self) -> f32 {
         median_ms(self.upstreams.iter().filter_map(|upstream| upstream.health.latency_ms()))
     }
 
@@ -393,16 +393,16 @@
     }
 
     fn apply_totals(&mut self, now: Moment, totals: &CountTotals) {
-        let pool_ms = self.usual_ms();
+        let pool_ms = self.median_latency_ms();
         for (upstream, news) in self.upstreams.iter_mut().zip(&totals.news) {
             if news.is_some() {
                 upstream.health.note(now, news, pool_ms);
                 upstream.seen = now;
             }
         }
-        let usual_ms = self.usual_ms();
-        let lower = self.base_ms <= 0.0 || usual_ms < self.base_ms;
-        self.base_ms = if lower { usual_ms } else { self.base_ms * BASE_GROWTH };
+        let latency_ms = self.median_latency_ms();
+        let lower = self.base_ms <= 0.0 || latency_ms < self.base_ms;
+        self.base_ms = if lower { latency_ms } else { self.base_ms * BASE_GROWTH };
         let slots: u32 = self.upstreams.iter().map(|upstream| upstream.slots).sum();
         let busy: u32 = totals.in_flight.iter().sum();
         #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
--- a/crates/pulley_core/src/process/mod.rs
+++ b/crates/pulley_core/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! State that lives as long as the process.
+//! State with the lifetime of the process.
 
 mod counts;
 mod fast_map;
--- a/crates/pulley_core/src/process/moment.rs
+++ b/crates/pulley_core/src/process/moment.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the state machines see it.
+//! Monotonic time as used by the state machines.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -22,22 +22,22 @@
 pub struct Moment(u64);
 
 impl Moment {
-    /// The beginning of time.
+    /// The start of the process (or the test).
     pub const ZERO: Self = Self(0);
 
-    /// Makes a moment from microseconds since the beginning.
+    /// Makes a moment from microseconds since the start.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the beginning.
+    /// Returns the microseconds since the start.
     #[must_use]
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// Time passed since `earlier`; zero if `earlier` is in fact later.
+    /// Returns the time passed since `earlier`; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/pulley_core/src/process/names.rs
+++ b/crates/pulley_core/src/process/names.rs
@@ -1,4 +1,4 @@
-//! Checked names: hosts, zones, upstreams, pools, services, kinds, actors and change ids.
+//! Validated names: hosts, zones, upstreams, pools, services, kinds, actors and change ids.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// The longest name accepted, in bytes; it keeps every message that carries names bounded.
+/// The length limit of a name, in bytes. It bounds the size of every message that carries names.
 pub(crate) const NAME_LIMIT: usize = 64;
 
-/// Why a text is no name.
+/// Why a text is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NameFault {
     /// The text is empty.
@@ -19,12 +19,12 @@
     /// The text is longer than 64 bytes.
     #[error("a name has at most 64 bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character that names may not hold.
+    /// The text contains a character that is not allowed in names.
     #[error("a name holds letters, digits and . _ : - only, not {0:?}")]
     BadCharacter(char),
 }
 
-fn checked(text: &str) -> Result<SmolStr, NameFault> {
+fn validate(text: &str) -> Result<SmolStr, NameFault> {
     if text.is_empty() {
         return Err(NameFault::Empty);
     }
@@ -46,7 +46,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -63,7 +63,7 @@
             type Err = NameFault;
 
             fn from_str(text: &str) -> Result<Self, NameFault> {
-                checked(text).map(Self)
+                validate(text).map(Self)
             }
         }
 
@@ -71,7 +71,7 @@
             type Error = NameFault;
 
             fn try_from(text: SmolStr) -> Result<Self, NameFault> {
-                checked(&text).map(Self)
+                validate(&text).map(Self)
             }
         }
 
@@ -84,22 +84,22 @@
 }
 
 name_types! {
-    /// Names one host of the system.
+    /// The name of a host of the system.
     HostId;
-    /// Names one availability zone.
+    /// The name of an availability zone.
     ZoneName;
-    /// Names one upstream, unique among all pools.
+    /// The name of an upstream, unique among all pools.
     UpstreamId;
-    /// Names a pool of like upstreams.
+    /// The name of a pool of interchangeable upstreams.
     PoolName;
-    /// Names a service that has a share of a pool.
+    /// The name of a service that has a share of a pool.
     ServiceName;
-    /// Names a kind of request within a service.
+    /// The name of a kind of request within a service.
     KindName;
-    /// Names one change, so that a resend is known as such.
+    /// The name of a change, by which a resent change is recognised.
     ChangeId;
-    /// Names who asked for a change.
+    /// The name of the actor who requested a change.
     ActorName;
-    /// Names one installation, so that two never mix.
+    /// The name of an installation, which keeps different installations apart.
     ClusterId;
 }
--- a/crates/pulley_core/src/process/quantities.rs
+++ b/crates/pulley_core/src/process/quantities.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and numbers with a unit.
+//! Sizes, rates and numbers with units.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a text is no quantity.
+/// Why a text is not a valid quantity.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{text:?} is not {wanted}")]
 pub struct QuantityFault {
     /// The text as given.
     pub text: String,
-    /// What would have been allowed.
+    /// A description of the allowed values.
     pub wanted: &'static str,
 }
 
@@ -20,7 +20,7 @@
     QuantityFault { text: text.to_owned(), wanted }
 }
 
-/// How many requests an upstream works on at once.
+/// The number of requests that an upstream processes at once.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -36,33 +36,33 @@
     /// The whole, in ten-thousandths.
     pub const WHOLE: Self = Self(10_000);
 
-    /// Makes a share from ten-thousandths, if it is at most the whole.
+    /// Makes a share from ten-thousandths; `None` if it exceeds the whole.
     #[must_use]
     pub const fn from_parts(parts: u16) -> Option<Self> {
         if parts <= Self::WHOLE.0 { Some(Self(parts)) } else { None }
     }
 
-    /// The share in ten-thousandths.
+    /// Returns the share in ten-thousandths.
     #[must_use]
     pub const fn parts(self) -> u16 {
         self.0
     }
 
-    /// The share as a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     #[must_use]
     pub fn as_f64(self) -> f64 {
         f64::from(self.0) / f64::from(Self::WHOLE.0)
     }
 }
 
-/// Probes a second, in thousandths, so that slow budgets stay exact.
+/// Probes a second, in thousandths, so that low rates stay exact.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ProbeRate(pub u32);
 
 impl ProbeRate {
-    /// The rate in probes a second.
+    /// Returns the rate in probes a second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / 1_000.0
@@ -76,15 +76,15 @@
 pub struct StartRate(pub u32);
 
 impl StartRate {
-    /// The rate in requests a second.
+    /// Returns the rate in requests a second.
     #[must_use]
-    #[expect(clippy::cast_precision_loss, reason = "a request more or less in millions")]
+    #[expect(clippy::cast_precision_loss, reason = "the error is about one request in millions")]
     pub fn per_second(self) -> f32 {
         self.0 as f32 / 1_000.0
     }
 }
 
-/// Numbers one voter or learner of the replicated log; never used again after removal.
+/// The id of a voter or learner of the replicated log; never reused after removal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -113,7 +113,7 @@
 impl FromStr for ShareFraction {
     type Err = QuantityFault;
 
-    /// Reads `25%`, `0.25` or `0,25`.
+    /// Parses `25%`, `0.25` or `0,25`.
     fn from_str(text: &str) -> Result<Self, QuantityFault> {
         const WANTED: &str = "a share such as 25%, 0.25 or 0,25, at most the whole";
         let trimmed = text.trim();
@@ -139,14 +139,14 @@
     }
 }
 
-/// Reads a number of so many a second at most, in thousandths.
-fn read_thousandths(text: &str, most: f64, wanted: &'static str) -> Result<u32, QuantityFault> {
+/// Parses a rate of at most `limit` a second and returns it in thousandths.
+fn parse_thousandths(text: &str, limit: f64, wanted: &'static str) -> Result<u32, QuantityFault> {
     let plain = text.trim().replacen(',', ".", 1);
     if plain.is_empty() || !plain.chars().all(|c| c.is_ascii_digit() || c == '.') {
         return Err(fault(text, wanted));
     }
     let value: f64 = plain.parse().map_err(|_| fault(text, wanted))?;
-    if !(0.0..=most).contains(&value) {
+    if !(0.0..=limit).contains(&value) {
         return Err(fault(text, wanted));
     }
     #[expect(
@@ -167,7 +167,8 @@
     type Err = QuantityFault;
 
     fn from_str(text: &str) -> Result<Self, QuantityFault> {
-        read_thousandths(text, 100_000.0, "a number of probes a second, from 0 to 100000").map(Self)
+        parse_thousandths(text, 100_000.0, "a number of probes a second, from 0 to 100000")
+            .map(Self)
     }
 }
 
@@ -181,7 +182,7 @@
     type Err = QuantityFault;
 
     fn from_str(text: &str) -> Result<Self, QuantityFault> {
-        read_thousandths(text, 1_000_000.0, "a number of requests a second, from 0 to 1000000")
+        parse_thousandths(text, 1_000_000.0, "a number of requests a second, from 0 to 1000000")
             .map(Self)
     }
 }
--- a/crates/pulley_core/src/process/upstream.rs
+++ b/crates/pulley_core/src/process/upstream.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! The announcements that upstreams send about themselves.
 
 use std::net::SocketAddr;
 
@@ -6,13 +6,13 @@
 
 use super::{PoolName, SlotCount, UpstreamId, ZoneName};
 
-/// Counts an upstream's starts; a later start outranks all that earlier ones said.
+/// Counts an upstream's starts; a later start outranks all announcements of earlier ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// Counts the announcements within one incarnation.
+/// Numbers the announcements of one incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,23 +21,23 @@
 /// One start of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UpstreamStart {
-    /// Which upstream.
+    /// The upstream.
     pub id: UpstreamId,
-    /// Which of its starts.
+    /// The incarnation of this start.
     pub incarnation: Incarnation,
 }
 
-/// Where an upstream stands in its life; only `Warming` and `Ready` ones get new work.
+/// An upstream's lifecycle phase; only `Warming` and `Ready` upstreams get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamPhase {
-    /// It has just started and is slow at first.
+    /// It has just started and is still slow.
     Warming,
-    /// It takes its full share of work.
+    /// It accepts its full share of work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its current requests and accepts no new ones.
     Draining,
-    /// It has left.
+    /// It has shut down.
     Gone,
 }
 
@@ -49,34 +49,34 @@
     }
 }
 
-/// One announcement, as an upstream sends it over HTTP to any host of the system.
+/// An announcement, sent by an upstream over HTTP to any host of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The upstream's own id, unique over all pools.
+    /// The upstream's id, unique among all pools.
     pub id: UpstreamId,
-    /// Where it listens for requests.
+    /// The address at which it listens for requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
     /// The pool it belongs to.
     pub pool: PoolName,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes at once.
     pub slots: SlotCount,
-    /// How many connections it accepts from all hosts together.
+    /// The number of connections that it accepts from all hosts together.
     pub connections: u32,
-    /// Which start of the upstream this is.
+    /// The incarnation of the upstream's current start.
     pub incarnation: Incarnation,
-    /// Which announcement of that start this is.
+    /// The number of this announcement within the incarnation.
     pub sequence: UpstreamSequence,
-    /// Where it stands in its life.
+    /// The upstream's lifecycle phase.
     pub phase: UpstreamPhase,
 }
 
-/// What the traffic side knows of one upstream: its last announcement, without lease details.
+/// An upstream as seen by request routing: its last announcement, without lease details.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamRecord {
-    /// The announcement that holds.
+    /// The current announcement.
     pub announcement: Announcement,
-    /// False once the lease has expired or the upstream drains; it then gets no new work.
+    /// Whether it may get new work; false once its lease has expired or it is draining.
     pub takes_work: bool,
 }
--- a/crates/pulley_core/tests/link_pacer.rs
+++ b/crates/pulley_core/tests/link_pacer.rs
@@ -1,4 +1,4 @@
-//! How large answers leave room on a host's link.
+//! Tests that large answers leave bandwidth on a host's link for other traffic.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
     Moment::from_micros(millis * 1_000)
 }
 
-/// Reads answers of so many bytes in turn, in pieces of 16 KiB; returns how long that takes.
+/// Reads answers of the given sizes in turn, in pieces of 16 KiB, and returns how long that takes.
 fn read_all(pacer: &mut LinkPacer, answers: &[u64]) -> Duration {
     let mut read = vec![0; answers.len()];
     let (mut now, start) = (at(1_000), at(1_000));
     while read != answers {
-        for (passed, whole) in read.iter_mut().zip(answers) {
-            let piece = (whole - *passed).min(16 * KIB);
-            now = pacer.note(now, *passed, piece).unwrap_or(now);
-            *passed += piece;
+        for (done, total) in read.iter_mut().zip(answers) {
+            let piece = (total - *done).min(16 * KIB);
+            now = pacer.note(now, *done, piece).unwrap_or(now);
+            *done += piece;
         }
     }
     now.since(start)
 }
 
-// Two adjusters pull loss files of 128 KiB through one host while brokers ask for quotes. Read as
-// fast as they come, the files fill the host's link for a second, and every quote waits behind them.
-// Paced, both together take three quarters of the link, and the quotes go by the rest.
+// Guards against large answers that fill a slow link. Two answers of 128 KiB, read as fast as they
+// arrive, fill the host's link for a second, and every small answer waits behind them. With pacing,
+// both together use three quarters of the link and leave the rest to small answers.
 #[test]
 fn large_answers_together_leave_a_quarter_of_the_link() {
     let mut pacer = LinkPacer::new(SLOW_KBPS);
@@ -40,8 +40,8 @@
     assert!((195_000.0..=220_000.0).contains(&rate), "{rate:.0} bytes a second");
 }
 
-// Answers of a few kilobytes are what callers wait for: they are never paced, nor do they slow down
-// a file beside them.
+// Guards against delays of small answers. Callers wait for answers of a few kilobytes, so these are
+// never paced, and they don't slow down a large answer that is read at the same time.
 #[test]
 fn small_answers_are_not_paced() {
     let mut pacer = LinkPacer::new(SLOW_KBPS);
@@ -52,16 +52,16 @@
     assert_eq!(pacer.note(at(1_000), 16 * KIB, KIB), None);
 }
 
-// On a link of 700 Mbit/s a loss file is there in two milliseconds. Waits for each of its pieces
-// would take longer than the file.
+// Guards against needless waits on a fast link. At 700 Mbit/s a large answer arrives within two
+// milliseconds, and waiting for each of its pieces would take longer than the transfer.
 #[test]
 fn a_fast_link_is_not_held_back() {
     let mut pacer = LinkPacer::new(700_000);
     assert_eq!(read_all(&mut pacer, &[128 * KIB]), Duration::ZERO);
 }
 
-// A host stood still for a while between two files. The time in which nothing came is not saved up,
-// or the next file would fill the link again.
+// Guards against a burst after an idle period. The time between two large answers must not add up
+// to an allowance, or the next answer would fill the link again.
 #[test]
 fn time_without_large_answers_is_not_saved_up() {
     let mut pacer = LinkPacer::new(SLOW_KBPS);
