--- a/crates/pulley_core/src/process/registry/lease_bucket.rs
+++ b/crates/pulley_core/src/process/registry/lease_bucket.rs
@@ -18,7 +18,7 @@
     /// In which epoch somebody last heard from it.
     pub(crate) renewed: LeaseEpoch,
     /// The latest sequence number this host heard itself.
-    pub(crate) heard: UpstreamSequence,
+    pub(crate) last_sequence: UpstreamSequence,
     /// Whether it took work when last looked at; a difference is a change of the view.
     pub(crate) took_work: bool,
 }
@@ -38,7 +38,7 @@
 
 impl LeaseBucket {
     /// The bucket an upstream belongs to.
-    pub(crate) fn place(id: &UpstreamId) -> usize {
+    pub(crate) fn index_of(id: &UpstreamId) -> usize {
         (id_hash(id) >> 32) as usize % BUCKETS
     }
 
@@ -74,20 +74,20 @@
 
     pub(crate) fn insert(&mut self, entry: LeaseEntry) {
         self.entries.insert(entry.record.announcement.id.clone(), entry);
-        self.renew_digest();
+        self.update_digest();
     }
 
     /// Takes out the entries not renewed since an epoch.
-    pub(crate) fn forget(&mut self, before: LeaseEpoch) -> Vec<LeaseEntry> {
+    pub(crate) fn remove_before(&mut self, before: LeaseEpoch) -> Vec<LeaseEntry> {
         if self.entries.values().all(|entry| entry.renewed >= before) {
             return Vec::new();
         }
         let entries = std::mem::take(&mut self.entries);
-        let (kept, forgotten): (BTreeMap<_, _>, BTreeMap<_, _>) =
+        let (kept, removed): (BTreeMap<_, _>, BTreeMap<_, _>) =
             entries.into_iter().partition(|(_, entry)| entry.renewed >= before);
         self.entries = kept;
-        self.renew_digest();
-        forgotten.into_values().collect()
+        self.update_digest();
+        removed.into_values().collect()
     }
 
     /// The age of each lease in epochs, in the order of the ids.
@@ -98,12 +98,12 @@
         })
     }
 
-    fn renew_digest(&mut self) {
+    fn update_digest(&mut self) {
         let hash = |entry: &LeaseEntry| entry.record.hash();
-        let whole =
+        let combined =
             self.entries.values().fold(0_u64, |all, entry| all.rotate_left(5) ^ hash(entry));
         #[expect(clippy::cast_possible_truncation, reason = "the upper half is folded in")]
-        let folded = (whole ^ (whole >> 32)) as u32;
+        let folded = (combined ^ (combined >> 32)) as u32;
         self.digest = folded;
     }
 }
--- a/crates/pulley_core/src/process/registry/lease_record.rs
+++ b/crates/pulley_core/src/process/registry/lease_record.rs
@@ -35,7 +35,7 @@
     /// draining to gone, whatever the sequence: a message that was under way for long would else
     /// bring work back to an upstream that leaves, and its callers would see refused connections.
     pub(crate) fn merged(&self, other: &Self) -> Self {
-        match self.standing().cmp(&other.standing()) {
+        match self.precedence().cmp(&other.precedence()) {
             Ordering::Less if self.is_same_start(other) => {
                 Self { drained: self.drained | other.drained, ..other.clone() }
             }
@@ -61,20 +61,20 @@
 
     pub(crate) fn hash(&self) -> u64 {
         let announcement = &self.announcement;
-        let place = (announcement.address, announcement.slots, announcement.connections);
+        let endpoint = (announcement.address, announcement.slots, announcement.connections);
         let order = (announcement.incarnation, announcement.sequence, announcement.phase);
-        hash_of(&(&announcement.id, place, order, self.drained))
+        hash_of(&(&announcement.id, endpoint, order, self.drained))
     }
 
     /// Orders records of one upstream. Of two processes that use one id and incarnation, the one
     /// with the lower address wins everywhere, whoever was heard of first.
-    fn standing(&self) -> impl Ord + '_ {
+    fn precedence(&self) -> impl Ord + '_ {
         let announcement = &self.announcement;
-        let place = std::cmp::Reverse(announcement.address);
+        let address = std::cmp::Reverse(announcement.address);
         let size = (announcement.slots, announcement.connections);
         let names = (&announcement.pool, &announcement.zone);
         let phase = (phase_rank(announcement.phase), announcement.sequence, announcement.phase);
-        (announcement.incarnation, place, phase, size, names)
+        (announcement.incarnation, address, phase, size, names)
     }
 }
 
--- a/crates/pulley_core/src/process/registry/lease_table.rs
+++ b/crates/pulley_core/src/process/registry/lease_table.rs
@@ -32,9 +32,9 @@
     /// What traffic may use, as of the last [`Self::pools`].
     pools: FastMap<PoolName, UpstreamList>,
     /// Upstreams that have changed since, each with the pool it belonged to.
-    touched: FastMap<UpstreamId, PoolName>,
+    dirty: FastMap<UpstreamId, PoolName>,
     /// Zones whose upstreams get no work, in the order of their names.
-    evacuated: Vec<ZoneName>,
+    evacuated_zones: Vec<ZoneName>,
 }
 
 impl LeaseTable {
@@ -44,8 +44,8 @@
             count: 0,
             changes: 0,
             pools: FastMap::default(),
-            touched: FastMap::default(),
-            evacuated: Vec::new(),
+            dirty: FastMap::default(),
+            evacuated_zones: Vec::new(),
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     pub(crate) fn find(&self, id: &UpstreamId) -> Option<&LeaseEntry> {
-        self.buckets[LeaseBucket::place(id)].find(id)
+        self.buckets[LeaseBucket::index_of(id)].find(id)
     }
 
     pub(crate) fn digest(&self) -> u32 {
@@ -75,32 +75,37 @@
     }
 
     fn is_evacuated(&self, zone: &ZoneName) -> bool {
-        self.evacuated.binary_search(zone).is_ok()
+        self.evacuated_zones.binary_search(zone).is_ok()
     }
 
     /// Takes over which zones' upstreams get no work; names are in order.
-    pub(crate) fn evacuate(&mut self, zones: &[ZoneName]) {
-        let before = std::mem::replace(&mut self.evacuated, zones.to_vec());
+    pub(crate) fn set_evacuated_zones(&mut self, zones: &[ZoneName]) {
+        let before = std::mem::replace(&mut self.evacuated_zones, zones.to_vec());
         let is_in = |zones: &[ZoneName], zone| zones.binary_search(zone).is_ok();
         for entry in self.buckets.iter().flat_map(LeaseBucket::entries) {
             let zone = &entry.record.announcement.zone;
             if is_in(&before, zone) != is_in(zones, zone) {
                 self.changes += 1;
-                touch(&mut self.touched, entry);
+                mark_dirty(&mut self.dirty, entry);
             }
         }
     }
 
     /// Notes that an upstream was heard from directly.
-    pub(crate) fn renew(&mut self, id: &UpstreamId, at: LeaseEpoch, heard: UpstreamSequence) {
-        let Some(entry) = self.buckets[LeaseBucket::place(id)].lease_mut(id) else {
+    pub(crate) fn renew(
+        &mut self,
+        id: &UpstreamId,
+        at: LeaseEpoch,
+        last_sequence: UpstreamSequence,
+    ) {
+        let Some(entry) = self.buckets[LeaseBucket::index_of(id)].lease_mut(id) else {
             return;
         };
         entry.renewed = entry.renewed.max(at);
-        entry.heard = entry.heard.max(heard);
-        if refresh(entry, at) {
+        entry.last_sequence = entry.last_sequence.max(last_sequence);
+        if update_took_work(entry, at) {
             self.changes += 1;
-            touch(&mut self.touched, entry);
+            mark_dirty(&mut self.dirty, entry);
         }
     }
 
@@ -112,34 +117,35 @@
         renewed: LeaseEpoch,
     ) -> bool {
         let id = theirs.announcement.id.clone();
-        let place = LeaseBucket::place(&id);
-        let Some(entry) = self.buckets[place].find(&id) else {
-            return self.admit(now, theirs, renewed);
+        let index = LeaseBucket::index_of(&id);
+        let Some(entry) = self.buckets[index].find(&id) else {
+            return self.insert_new(now, theirs, renewed);
         };
         let merged = entry.record.merged(&theirs);
         let changed = merged != entry.record;
-        let heard = entry.heard;
+        let last_sequence = entry.last_sequence;
         // A lease belongs to one start of one process: what renewed another renews nothing here.
         let renewed = match (merged.is_same_start(&entry.record), merged.is_same_start(&theirs)) {
             (true, true) => entry.renewed.max(renewed),
             (true, false) => entry.renewed,
             _ => renewed,
         };
-        let heard = if merged.is_same_start(&entry.record) { heard } else { UpstreamSequence(0) };
-        let heard = heard.max(merged.announcement.sequence);
+        let last_sequence =
+            if merged.is_same_start(&entry.record) { last_sequence } else { UpstreamSequence(0) };
+        let last_sequence = last_sequence.max(merged.announcement.sequence);
         let took_work = entry.took_work;
         if changed {
-            touch(&mut self.touched, entry);
+            mark_dirty(&mut self.dirty, entry);
         }
-        let mut entry = LeaseEntry { renewed, heard, took_work, record: merged };
-        let turned = refresh(&mut entry, now);
-        if turned {
-            touch(&mut self.touched, &entry);
+        let mut entry = LeaseEntry { renewed, last_sequence, took_work, record: merged };
+        let took_work_changed = update_took_work(&mut entry, now);
+        if took_work_changed {
+            mark_dirty(&mut self.dirty, &entry);
         }
-        self.changes += u64::from(changed || turned);
+        self.changes += u64::from(changed || took_work_changed);
         if changed {
-            self.buckets[place].insert(entry);
-        } else if let Some(lease) = self.buckets[place].lease_mut(&id) {
+            self.buckets[index].insert(entry);
+        } else if let Some(lease) = self.buckets[index].lease_mut(&id) {
             *lease = entry;
         }
         changed
@@ -161,9 +167,9 @@
             };
             if renewed > entry.renewed {
                 entry.renewed = renewed;
-                if refresh(entry, now) {
+                if update_took_work(entry, now) {
                     self.changes += 1;
-                    touch(&mut self.touched, entry);
+                    mark_dirty(&mut self.dirty, entry);
                 }
             }
         }
@@ -173,22 +179,22 @@
     pub(crate) fn expire(&mut self, now: LeaseEpoch) {
         for bucket in &mut self.buckets {
             for entry in bucket.leases_mut() {
-                if refresh(entry, now) {
+                if update_took_work(entry, now) {
                     self.changes += 1;
-                    touch(&mut self.touched, entry);
+                    mark_dirty(&mut self.dirty, entry);
                 }
             }
         }
-        self.forget(now.minus(RETENTION_EPOCHS));
+        self.remove_before(now.minus(RETENTION_EPOCHS));
     }
 
     /// Drops what was not renewed since an epoch.
-    fn forget(&mut self, before: LeaseEpoch) {
+    fn remove_before(&mut self, before: LeaseEpoch) {
         for bucket in &mut self.buckets {
-            for entry in bucket.forget(before) {
+            for entry in bucket.remove_before(before) {
                 self.count -= 1;
                 self.changes += 1;
-                touch(&mut self.touched, &entry);
+                mark_dirty(&mut self.dirty, &entry);
             }
         }
     }
@@ -201,15 +207,15 @@
         }
     }
 
-    pub(crate) fn aged(&self, entry: &LeaseEntry, now: LeaseEpoch) -> AgedRecord {
+    pub(crate) fn aged_record(&self, entry: &LeaseEntry, now: LeaseEpoch) -> AgedRecord {
         AgedRecord { record: entry.record.clone(), age: entry.renewed.age(now) }
     }
 
     /// The upstreams of each pool, worked out from scratch.
-    pub(crate) fn pool_records(&self, now: LeaseEpoch) -> FastMap<PoolName, UpstreamList> {
+    pub(crate) fn rebuild_pools(&self, now: LeaseEpoch) -> FastMap<PoolName, UpstreamList> {
         let mut pools: FastMap<PoolName, Vec<UpstreamRecord>> = FastMap::default();
         for entry in self.buckets.iter().flat_map(LeaseBucket::entries) {
-            let record = self.shown(entry, now);
+            let record = self.upstream_record(entry, now);
             pools.entry(record.announcement.pool.clone()).or_default().push(record);
         }
         pools.into_iter().map(|(pool, records)| (pool, UpstreamList::from(records))).collect()
@@ -218,8 +224,8 @@
     /// The upstreams of each pool; only what has changed since the last call is worked out.
     pub(crate) fn pools(&mut self, now: LeaseEpoch) -> &FastMap<PoolName, UpstreamList> {
         let mut changes: FastMap<PoolName, Vec<UpstreamChange>> = FastMap::default();
-        for (id, pool) in std::mem::take(&mut self.touched) {
-            let record = self.find(&id).map(|entry| self.shown(entry, now));
+        for (id, pool) in std::mem::take(&mut self.dirty) {
+            let record = self.find(&id).map(|entry| self.upstream_record(entry, now));
             // Its id may stand for an upstream of another pool now.
             if record.as_ref().is_none_or(|record| record.announcement.pool != pool) {
                 let removed = UpstreamChange::Removed(id);
@@ -243,7 +249,7 @@
     }
 
     /// Whether another process's live lease on an id forbids an announcement from an address.
-    pub(crate) fn holder(
+    pub(crate) fn conflicting_address(
         &self,
         id: &UpstreamId,
         from: SocketAddr,
@@ -257,28 +263,28 @@
     }
 
     /// What the traffic side is shown of an upstream.
-    fn shown(&self, entry: &LeaseEntry, now: LeaseEpoch) -> UpstreamRecord {
+    fn upstream_record(&self, entry: &LeaseEntry, now: LeaseEpoch) -> UpstreamRecord {
         let announcement = entry.record.announcement.clone();
         UpstreamRecord { announcement, takes_work: self.takes_work(entry, now) }
     }
 
-    fn admit(&mut self, now: LeaseEpoch, record: LeaseRecord, renewed: LeaseEpoch) -> bool {
-        if renewed.age(now) >= RETENTION_EPOCHS || !self.has_room(renewed) {
+    fn insert_new(&mut self, now: LeaseEpoch, record: LeaseRecord, renewed: LeaseEpoch) -> bool {
+        if renewed.age(now) >= RETENTION_EPOCHS || !self.make_room(renewed) {
             return false;
         }
-        let heard = record.announcement.sequence;
-        let mut entry = LeaseEntry { record, renewed, heard, took_work: false };
-        refresh(&mut entry, now);
-        touch(&mut self.touched, &entry);
-        let place = LeaseBucket::place(&entry.record.announcement.id);
-        self.buckets[place].insert(entry);
+        let last_sequence = record.announcement.sequence;
+        let mut entry = LeaseEntry { record, renewed, last_sequence, took_work: false };
+        update_took_work(&mut entry, now);
+        mark_dirty(&mut self.dirty, &entry);
+        let index = LeaseBucket::index_of(&entry.record.announcement.id);
+        self.buckets[index].insert(entry);
         self.count += 1;
         self.changes += 1;
         true
     }
 
     /// Whether there is room, if need be that of the lease that ran out first.
-    fn has_room(&mut self, renewed: LeaseEpoch) -> bool {
+    fn make_room(&mut self, renewed: LeaseEpoch) -> bool {
         if self.count < UPSTREAM_LIMIT {
             return true;
         }
@@ -289,20 +295,20 @@
         if oldest.holds(renewed) {
             return false;
         }
-        self.forget(LeaseEpoch(oldest.0 + 1));
+        self.remove_before(LeaseEpoch(oldest.0 + 1));
         self.count < UPSTREAM_LIMIT
     }
 }
 
 /// Notes that an upstream is to be shown anew. The pool it was last shown in is the one kept, so
 /// that it is taken out there when it has moved.
-fn touch(touched: &mut FastMap<UpstreamId, PoolName>, entry: &LeaseEntry) {
+fn mark_dirty(dirty: &mut FastMap<UpstreamId, PoolName>, entry: &LeaseEntry) {
     let announcement = &entry.record.announcement;
-    touched.entry(announcement.id.clone()).or_insert_with(|| announcement.pool.clone());
+    dirty.entry(announcement.id.clone()).or_insert_with(|| announcement.pool.clone());
 }
 
 /// Notes whether an upstream takes work now; returns whether that has changed.
-fn refresh(entry: &mut LeaseEntry, now: LeaseEpoch) -> bool {
+fn update_took_work(entry: &mut LeaseEntry, now: LeaseEpoch) -> bool {
     let takes_work = entry.takes_work(now);
     std::mem::replace(&mut entry.took_work, takes_work) != takes_work
 }
--- a/crates/pulley_core/src/process/registry/recall_proof.rs
+++ b/crates/pulley_core/src/process/registry/recall_proof.rs
@@ -6,18 +6,18 @@
 pub enum RecallProof {
     /// Nobody was asked yet, or the question was lost.
     #[default]
-    Wanted,
+    NotAsked,
     /// The leader was asked.
     Asked,
     /// Who has applied this entry of the log knows them all.
-    Upto(u64),
+    RequiredIndex(u64),
 }
 
 impl RecallProof {
     /// Whether the leader is to be asked.
     #[must_use]
     pub fn is_wanted(self) -> bool {
-        self == Self::Wanted
+        self == Self::NotAsked
     }
 
     /// Notes that the question is about to be put; the answer may come before that returns.
@@ -31,18 +31,18 @@
     /// would know only those upstreams that have announced themselves since.
     pub fn give_up_asking(&mut self) {
         if *self == Self::Asked {
-            *self = Self::Wanted;
+            *self = Self::NotAsked;
         }
     }
 
     /// Takes the leader's word on what is applied; without one, whoever leads next is asked.
     pub fn take_answer(&mut self, applied: Option<u64>) {
-        *self = applied.map_or(Self::Wanted, Self::Upto);
+        *self = applied.map_or(Self::NotAsked, Self::RequiredIndex);
     }
 
     /// Whether who has applied an entry may recall.
     #[must_use]
     pub fn holds_at(self, applied: u64) -> bool {
-        matches!(self, Self::Upto(index) if applied >= index)
+        matches!(self, Self::RequiredIndex(index) if applied >= index)
     }
 }
--- a/crates/pulley_core/src/process/registry/registry_gossip.rs
+++ b/crates/pulley_core/src/process/registry/registry_gossip.rs
@@ -8,30 +8,30 @@
 use super::lease_bucket::{CODE_EXPIRED, LeaseBucket};
 use super::lease_record::{LeaseRecord, id_hash};
 use super::registry_message::{
-    AgedRecord, BucketCodes, BucketSummary, LEASES_LIMIT, NewsReach, PackedCodes, PendingNews,
-    RegistryContent, RegistryMessage, SummaryItem, parts_of,
+    AgedRecord, BucketCodes, BucketSummary, LEASES_PER_MESSAGE, PackedCodes, PendingUpdate,
+    RegistryContent, RegistryMessage, SummaryItem, UpdateReach, split_by_size,
 };
 use super::shared_clock::LeaseEpoch;
 use super::{Moment, PeerRing, RegistrySend, UpstreamRegistry};
 
 /// Changes a second that are told at once; more wait for the comparison of buckets, so that a
 /// thousand upstreams starting together don't fill the links. Drains are never held back.
-const NEWS_RATE: f64 = 200.0;
+const UPDATE_RATE: f64 = 200.0;
 /// How many changes may be told in one burst.
-const NEWS_BURST: f64 = 400.0;
+const UPDATE_BURST: f64 = 400.0;
 /// For how long after a change messages carry each bucket's digest.
-const UNSETTLED: Duration = Duration::from_secs(3);
+const BUCKET_DIGEST_TIME: Duration = Duration::from_secs(3);
 /// How often one bucket is compared record by record.
-const COMPARE_PAUSE: Duration = Duration::from_millis(250);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a bucket is left alone after a change: as long as news takes to reach everybody.
 ///
 /// While upstreams come and go all the time, hosts that are told of a change some hops apart would
 /// else compare whole buckets for it, which costs many times the news and tells nobody anything.
-const SPREADING: Duration = Duration::from_millis(700);
+const PROPAGATION_TIME: Duration = Duration::from_millis(700);
 /// How often a digest that differs is answered.
-const ANSWER_PAUSE: Duration = Duration::from_millis(50);
+const DIGEST_ANSWER_INTERVAL: Duration = Duration::from_millis(50);
 /// How many messages may wait; more belong to a comparison that is repeated.
-const PAGE_LIMIT: usize = 256;
+const RECORD_QUEUE_LIMIT: usize = 256;
 
 impl UpstreamRegistry {
     /// Takes in a message that was authenticated as one of this installation.
@@ -52,13 +52,13 @@
         let sent = self.clock.epoch_of(message.time);
         match message.content {
             RegistryContent::Leases { digest, first, codes } => {
-                self.take_leases(now, from, sent, (digest, first as usize, &codes))
+                self.merge_leases(now, from, sent, (digest, first as usize, &codes))
             }
             RegistryContent::BucketLeases { buckets } => {
-                self.take_bucket_leases(now, from, sent, &buckets)
+                self.merge_bucket_leases(now, from, sent, &buckets)
             }
-            RegistryContent::News { reach, records } => {
-                self.take_records(now, sent, records, Some(reach));
+            RegistryContent::Updates { reach, records } => {
+                self.merge_records(now, sent, records, Some(reach));
                 Vec::new()
             }
             RegistryContent::Summaries { buckets } => {
@@ -66,8 +66,8 @@
                 Vec::new()
             }
             RegistryContent::Records { records, wanted } => {
-                self.take_records(now, sent, records, None);
-                self.send_wanted(now, from, &wanted);
+                self.merge_records(now, sent, records, None);
+                self.send_requested(now, from, &wanted);
                 Vec::new()
             }
         }
@@ -77,55 +77,56 @@
     // Telling
 
     pub(crate) fn refill_budget(&mut self, now: Moment) {
-        let refill = now.since(self.last_tick).as_secs_f64() * NEWS_RATE;
-        self.news_budget = (self.news_budget + refill).min(NEWS_BURST);
+        let refill = now.since(self.last_tick).as_secs_f64() * UPDATE_RATE;
+        self.update_budget = (self.update_budget + refill).min(UPDATE_BURST);
     }
 
     /// Tells every host of the upstreams that said to this one that they leave.
-    pub(crate) fn tell_departures(
+    pub(crate) fn send_departures(
         &mut self,
         now: Moment,
         ring: &PeerRing,
         sends: &mut Vec<RegistrySend>,
     ) {
-        for records in parts_of(std::mem::take(&mut self.departures)) {
-            let body = self.pack(now, RegistryContent::News { reach: NewsReach::NEXT, records });
+        for records in split_by_size(std::mem::take(&mut self.departures)) {
+            let body =
+                self.pack(now, RegistryContent::Updates { reach: UpdateReach::NEXT, records });
             let all = ring.peers().iter();
             sends.extend(all.map(|(_, to)| RegistrySend { to: *to, body: body.clone() }));
         }
     }
 
     /// Tells others of the changes that were heard of since, each as far as it is to go.
-    pub(crate) fn tell_news(
+    pub(crate) fn send_updates(
         &mut self,
         now: Moment,
         ring: &PeerRing,
         sends: &mut Vec<RegistrySend>,
     ) {
-        let mut news = std::mem::take(&mut self.news);
-        news.retain(|news| {
-            let leaves = !news.aged.record.takes_work();
-            let afford = self.news_budget >= 1.0;
-            if !leaves && afford {
-                self.news_budget -= 1.0;
+        let mut updates = std::mem::take(&mut self.updates);
+        updates.retain(|update| {
+            let is_departure = !update.aged.record.takes_work();
+            let has_budget = self.update_budget >= 1.0;
+            if !is_departure && has_budget {
+                self.update_budget -= 1.0;
             }
-            leaves || afford
+            is_departure || has_budget
         });
         // Whoever stands `2^step` places further on tells those up to the next one told from here.
         for step in 0..ring.rounds() {
-            let reach = NewsReach(u8::try_from(step).unwrap_or(u8::MAX));
-            let told = news.iter().filter(|news| news.reach > reach);
-            let told: Vec<AgedRecord> = told.map(|news| news.aged.clone()).collect();
+            let reach = UpdateReach(u8::try_from(step).unwrap_or(u8::MAX));
+            let selected = updates.iter().filter(|update| update.reach > reach);
+            let selected: Vec<AgedRecord> = selected.map(|update| update.aged.clone()).collect();
             let Some((_, to)) = ring.target(step) else { return };
-            for records in parts_of(told) {
-                let body = self.pack(now, RegistryContent::News { reach, records });
+            for records in split_by_size(selected) {
+                let body = self.pack(now, RegistryContent::Updates { reach, records });
                 sends.push(RegistrySend { to: *to, body });
             }
         }
     }
 
     /// Tells the round's host the ages of all leases.
-    pub(crate) fn tell_leases(
+    pub(crate) fn send_leases(
         &mut self,
         now: Moment,
         ring: &PeerRing,
@@ -134,7 +135,7 @@
         let Some((_, to)) = ring.target(self.round) else {
             return;
         };
-        if now < self.unsettled {
+        if now < self.bucket_digests_until {
             sends.extend(self.bucket_leases(now, *to));
             return;
         }
@@ -143,9 +144,9 @@
         let codes: Vec<u8> = codes.collect();
         let digest = self.table.digest();
         // An empty list still shows that nothing is known.
-        let parts = codes.chunks(LEASES_LIMIT).chain(codes.is_empty().then_some(&[][..]));
+        let parts = codes.chunks(LEASES_PER_MESSAGE).chain(codes.is_empty().then_some(&[][..]));
         for (part, codes) in parts.enumerate() {
-            let first = u32::try_from(part * LEASES_LIMIT).unwrap_or(u32::MAX);
+            let first = u32::try_from(part * LEASES_PER_MESSAGE).unwrap_or(u32::MAX);
             let codes = PackedCodes::pack(codes.iter().copied());
             let body = self.pack(now, RegistryContent::Leases { digest, first, codes });
             sends.push(RegistrySend { to: *to, body });
@@ -154,16 +155,16 @@
 
     fn bucket_leases(&self, now: Moment, to: SocketAddr) -> Vec<RegistrySend> {
         let epoch = self.clock.epoch(now);
-        let filled = self.table.buckets().iter().enumerate().filter(|(_, b)| b.len() > 0);
-        let buckets: Vec<BucketCodes> = filled
-            .map(|(place, bucket)| BucketCodes {
-                bucket: number(place),
+        let non_empty = self.table.buckets().iter().enumerate().filter(|(_, b)| b.len() > 0);
+        let buckets: Vec<BucketCodes> = non_empty
+            .map(|(index, bucket)| BucketCodes {
+                bucket: bucket_number(index),
                 digest: bucket.digest(),
                 codes: PackedCodes::pack(bucket.codes(epoch)),
             })
             .collect();
         // An empty list still shows that nothing is known, to which others answer.
-        let parts = if buckets.is_empty() { vec![Vec::new()] } else { parts_of(buckets) };
+        let parts = if buckets.is_empty() { vec![Vec::new()] } else { split_by_size(buckets) };
         parts
             .into_iter()
             .map(|buckets| self.pack(now, RegistryContent::BucketLeases { buckets }))
@@ -178,7 +179,7 @@
     // ---------------------------------------------------------------------------------------------
     // Taking leases
 
-    fn take_leases(
+    fn merge_leases(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -186,25 +187,25 @@
         (digest, first, codes): (u32, usize, &PackedCodes),
     ) -> Vec<RegistrySend> {
         if digest != self.table.digest() {
-            if self.answered.is_some_and(|at| now.since(at) < ANSWER_PAUSE) {
+            if self.digest_answered_at.is_some_and(|at| now.since(at) < DIGEST_ANSWER_INTERVAL) {
                 return Vec::new();
             }
-            self.answered = Some(now);
+            self.digest_answered_at = Some(now);
             return self.bucket_leases(now, from);
         }
         let epoch = self.clock.epoch(now);
-        let mut place = 0;
+        let mut index = 0;
         for bucket in 0..self.table.buckets().len() {
             let count = self.table.buckets()[bucket].len();
             let codes =
-                (place..place + count).map(|place| renewal(codes, place.checked_sub(first)?, sent));
+                (index..index + count).map(|index| renewal(codes, index.checked_sub(first)?, sent));
             self.table.merge_ages(bucket, epoch, codes);
-            place += count;
+            index += count;
         }
         Vec::new()
     }
 
-    fn take_bucket_leases(
+    fn merge_bucket_leases(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -214,21 +215,23 @@
         let epoch = self.clock.epoch(now);
         let mut differing = Vec::new();
         for theirs in buckets {
-            let place = usize::from(theirs.bucket);
-            let Some(ours) = self.table.bucket(place) else {
+            let index = usize::from(theirs.bucket);
+            let Some(ours) = self.table.bucket(index) else {
                 continue;
             };
             if ours.digest() == theirs.digest {
-                let codes = (0..ours.len()).map(|place| renewal(&theirs.codes, place, sent));
-                self.table.merge_ages(place, epoch, codes);
-            } else if self.changed[place].is_none_or(|at| now.since(at) >= SPREADING) {
-                differing.push(place);
+                let codes = (0..ours.len()).map(|index| renewal(&theirs.codes, index, sent));
+                self.table.merge_ages(index, epoch, codes);
+            } else if self.bucket_changed_at[index]
+                .is_none_or(|at| now.since(at) >= PROPAGATION_TIME)
+            {
+                differing.push(index);
             }
         }
         if buckets.is_empty() && self.table.len() > 0 {
             // They know nobody: as good as a summary of empty buckets.
             let all: Vec<BucketSummary> = (0..self.table.buckets().len())
-                .map(|place| BucketSummary { bucket: number(place), items: Vec::new() })
+                .map(|index| BucketSummary { bucket: bucket_number(index), items: Vec::new() })
                 .collect();
             self.answer_summaries(now, from, &all);
         }
@@ -236,18 +239,18 @@
     }
 
     /// Shows record by record what is held of some buckets, each at most so often.
-    fn summarize(&mut self, now: Moment, to: SocketAddr, places: &[usize]) -> Vec<RegistrySend> {
+    fn summarize(&mut self, now: Moment, to: SocketAddr, indices: &[usize]) -> Vec<RegistrySend> {
         let mut summaries = Vec::new();
-        for place in places {
-            let last = self.compared[*place];
-            if last.is_some_and(|at| now.since(at) < COMPARE_PAUSE) {
+        for index in indices {
+            let last = self.bucket_compared_at[*index];
+            if last.is_some_and(|at| now.since(at) < COMPARE_INTERVAL) {
                 continue;
             }
-            self.compared[*place] = Some(now);
-            let items = self.table.buckets()[*place].entries().map(summary_item).collect();
-            summaries.push(BucketSummary { bucket: number(*place), items });
+            self.bucket_compared_at[*index] = Some(now);
+            let items = self.table.buckets()[*index].entries().map(summary_item).collect();
+            summaries.push(BucketSummary { bucket: bucket_number(*index), items });
         }
-        parts_of(summaries)
+        split_by_size(summaries)
             .into_iter()
             .map(|buckets| self.pack(now, RegistryContent::Summaries { buckets }))
             .map(|body| RegistrySend { to, body })
@@ -271,77 +274,77 @@
             wanted.extend(missing.map(|item| (summary.bucket, item.id_hash)));
             let differing =
                 bucket.entries().filter(|entry| !summary.items.contains(&summary_item(entry)));
-            records.extend(differing.map(|entry| self.table.aged(entry, epoch)));
+            records.extend(differing.map(|entry| self.table.aged_record(entry, epoch)));
         }
-        for wanted in parts_of(wanted) {
-            self.queue(now, to, RegistryContent::Records { records: Vec::new(), wanted });
+        for wanted in split_by_size(wanted) {
+            self.queue_records(now, to, RegistryContent::Records { records: Vec::new(), wanted });
         }
-        for records in parts_of(records) {
-            self.queue(now, to, RegistryContent::Records { records, wanted: Vec::new() });
+        for records in split_by_size(records) {
+            self.queue_records(now, to, RegistryContent::Records { records, wanted: Vec::new() });
         }
     }
 
-    fn send_wanted(&mut self, now: Moment, to: SocketAddr, wanted: &[(u8, u64)]) {
+    fn send_requested(&mut self, now: Moment, to: SocketAddr, wanted: &[(u8, u64)]) {
         let epoch = self.clock.epoch(now);
         let find = |(bucket, hash): &(u8, u64)| {
             let bucket: &LeaseBucket = self.table.bucket(usize::from(*bucket))?;
-            bucket.find_hash(*hash).map(|entry| self.table.aged(entry, epoch))
+            bucket.find_hash(*hash).map(|entry| self.table.aged_record(entry, epoch))
         };
         let records: Vec<AgedRecord> = wanted.iter().filter_map(find).collect();
-        for records in parts_of(records) {
-            self.queue(now, to, RegistryContent::Records { records, wanted: Vec::new() });
+        for records in split_by_size(records) {
+            self.queue_records(now, to, RegistryContent::Records { records, wanted: Vec::new() });
         }
     }
 
-    fn queue(&mut self, now: Moment, to: SocketAddr, content: RegistryContent) {
-        if self.pages.len() < PAGE_LIMIT {
+    fn queue_records(&mut self, now: Moment, to: SocketAddr, content: RegistryContent) {
+        if self.record_queue.len() < RECORD_QUEUE_LIMIT {
             let body = self.pack(now, content);
-            self.pages.push_back(RegistrySend { to, body });
+            self.record_queue.push_back(RegistrySend { to, body });
         }
     }
 
-    fn take_records(
+    fn merge_records(
         &mut self,
         now: Moment,
         sent: LeaseEpoch,
         records: Vec<AgedRecord>,
-        news: Option<NewsReach>,
+        reach: Option<UpdateReach>,
     ) {
         for aged in records {
-            self.take_record(now, aged.record, sent.minus(aged.age), news);
+            self.merge_record(now, aged.record, sent.minus(aged.age), reach);
         }
     }
 
     /// Merges one record; true if that changed what is known. A change that is news is passed on as far
     /// as it is to go.
-    pub(crate) fn take_record(
+    pub(crate) fn merge_record(
         &mut self,
         now: Moment,
         record: LeaseRecord,
         renewed: LeaseEpoch,
-        news: Option<NewsReach>,
+        reach: Option<UpdateReach>,
     ) -> bool {
         let epoch = self.clock.epoch(now);
         let id = record.announcement.id.clone();
         if !self.table.merge(epoch, record, renewed) {
             return false;
         }
-        self.unsettled = now + UNSETTLED;
-        let Some(reach) = news else { return true };
-        self.changed[LeaseBucket::place(&id)] = Some(now);
-        if reach > NewsReach::NONE
+        self.bucket_digests_until = now + BUCKET_DIGEST_TIME;
+        let Some(reach) = reach else { return true };
+        self.bucket_changed_at[LeaseBucket::index_of(&id)] = Some(now);
+        if reach > UpdateReach::NONE
             && let Some(entry) = self.table.find(&id)
         {
-            let aged = self.table.aged(entry, epoch);
-            self.news.push(PendingNews { reach, aged });
+            let aged = self.table.aged_record(entry, epoch);
+            self.updates.push(PendingUpdate { reach, aged });
         }
         true
     }
 }
 
 /// When a lease was renewed by the code a message gives it.
-fn renewal(codes: &PackedCodes, place: usize, sent: LeaseEpoch) -> Option<LeaseEpoch> {
-    let code = codes.code(place)?;
+fn renewal(codes: &PackedCodes, index: usize, sent: LeaseEpoch) -> Option<LeaseEpoch> {
+    let code = codes.code(index)?;
     (code < CODE_EXPIRED).then(|| sent.minus(u32::from(code)))
 }
 
@@ -352,6 +355,6 @@
     SummaryItem { id_hash: id_hash(&entry.record.announcement.id), record_hash }
 }
 
-fn number(place: usize) -> u8 {
-    u8::try_from(place).unwrap_or(u8::MAX)
+fn bucket_number(index: usize) -> u8 {
+    u8::try_from(index).unwrap_or(u8::MAX)
 }
--- a/crates/pulley_core/src/process/registry/registry_message.rs
+++ b/crates/pulley_core/src/process/registry/registry_message.rs
@@ -15,7 +15,7 @@
 pub(crate) const LIST_LIMIT: usize = REGISTRY_BODY_LIMIT - 32;
 
 /// How many leases go into one message: three bits each.
-pub(crate) const LEASES_LIMIT: usize = LIST_LIMIT / 3 * 8;
+pub(crate) const LEASES_PER_MESSAGE: usize = LIST_LIMIT / 3 * 8;
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,9 +65,9 @@
 /// freely, hosts spent several times the bytes on what they knew already; on links of 2 Mbit/s the
 /// news of a release then left little room for requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(crate) struct NewsReach(pub(crate) u8);
+pub(crate) struct UpdateReach(pub(crate) u8);
 
-impl NewsReach {
+impl UpdateReach {
     /// To nobody.
     pub(crate) const NONE: Self = Self(0);
     /// To the next host: a second way, where everybody is told directly.
@@ -78,8 +78,8 @@
 
 /// A record that is to be told of.
 #[derive(Clone, Debug)]
-pub(crate) struct PendingNews {
-    pub(crate) reach: NewsReach,
+pub(crate) struct PendingUpdate {
+    pub(crate) reach: UpdateReach,
     pub(crate) aged: AgedRecord,
 }
 
@@ -93,7 +93,7 @@
     BucketLeases { buckets: Vec<BucketCodes> },
     /// Records that have just changed; whoever had not heard of them passes them on to the hosts
     /// that its reach covers.
-    News { reach: NewsReach, records: Vec<AgedRecord> },
+    Updates { reach: UpdateReach, records: Vec<AgedRecord> },
     /// What the sender holds of buckets in which the receiver holds something else.
     Summaries { buckets: Vec<BucketSummary> },
     /// Records that the receiver lacks, and the hashes of those that the sender lacks.
@@ -126,25 +126,25 @@
 impl PackedCodes {
     pub(crate) fn pack(codes: impl Iterator<Item = u8>) -> Self {
         let mut bytes = Vec::new();
-        let (mut held, mut bits) = (0_u32, 0);
+        let (mut buffer, mut buffered_bits) = (0_u32, 0);
         for code in codes {
-            held |= u32::from(code) << bits;
-            bits += 3;
-            while bits >= 8 {
-                bytes.push((held & 0xff) as u8);
-                held >>= 8;
-                bits -= 8;
+            buffer |= u32::from(code) << buffered_bits;
+            buffered_bits += 3;
+            while buffered_bits >= 8 {
+                bytes.push((buffer & 0xff) as u8);
+                buffer >>= 8;
+                buffered_bits -= 8;
             }
         }
-        if bits > 0 {
-            bytes.push((held & 0xff) as u8);
+        if buffered_bits > 0 {
+            bytes.push((buffer & 0xff) as u8);
         }
         Self(Bytes::from(bytes))
     }
 
     /// The code at a place; a place past the end has none.
-    pub(crate) fn code(&self, place: usize) -> Option<u8> {
-        let bit = place * 3;
+    pub(crate) fn code(&self, index: usize) -> Option<u8> {
+        let bit = index * 3;
         let low = u16::from(*self.0.get(bit / 8)?);
         let high = self.0.get(bit / 8 + 1).map_or(0, |byte| u16::from(*byte));
         Some((((high << 8) | low) >> (bit % 8) & 0x7) as u8)
@@ -153,7 +153,7 @@
 
 /// Splits a list so that each part's encoding stays under the limit; a single item never exceeds
 /// it, as names are bounded.
-pub(crate) fn parts_of<T: Serialize>(items: Vec<T>) -> Vec<Vec<T>> {
+pub(crate) fn split_by_size<T: Serialize>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut parts = Vec::new();
     let mut part = Vec::new();
     let mut size = 0;
--- a/crates/pulley_core/src/process/registry/shared_clock.rs
+++ b/crates/pulley_core/src/process/registry/shared_clock.rs
@@ -44,7 +44,7 @@
 /// that leases run out in a host that hears nobody.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SharedClock {
-    ahead_ms: u64,
+    offset_ms: u64,
     adopted: bool,
     epoch_ms: u64,
 }
@@ -62,8 +62,8 @@
         let epoch_ms = u64::try_from(epoch_ms).unwrap_or(u64::MAX);
         // It begins a lease after zero, so that a lease of which a part is over can be told from a
         // whole one from the start.
-        let ahead_ms = epoch_ms.saturating_mul(u64::from(LEASE_EPOCHS));
-        Self { ahead_ms, adopted: false, epoch_ms }
+        let offset_ms = epoch_ms.saturating_mul(u64::from(LEASE_EPOCHS));
+        Self { offset_ms, adopted: false, epoch_ms }
     }
 
     /// How long a lease lasts at most.
@@ -77,7 +77,7 @@
     }
 
     pub(crate) fn read(&self, now: Moment) -> SharedTime {
-        SharedTime((now.micros() / 1_000).saturating_add(self.ahead_ms))
+        SharedTime((now.micros() / 1_000).saturating_add(self.offset_ms))
     }
 
     pub(crate) fn epoch(&self, now: Moment) -> LeaseEpoch {
@@ -92,17 +92,17 @@
     /// Takes in another host's reading; returns by how many epochs the own time has jumped.
     pub(crate) fn adopt(&mut self, now: Moment, theirs: SharedTime) -> u32 {
         let before = self.epoch(now);
-        let ahead = theirs.0.saturating_sub(now.micros() / 1_000);
-        self.ahead_ms = self.ahead_ms.max(ahead);
+        let offset = theirs.0.saturating_sub(now.micros() / 1_000);
+        self.offset_ms = self.offset_ms.max(offset);
         self.adopted = true;
         before.age(self.epoch(now))
     }
 
     /// When the next epoch begins.
     pub(crate) fn next_epoch(&self, now: Moment) -> Moment {
-        let rest = self.epoch_ms - self.read(now).0 % self.epoch_ms;
+        let remaining = self.epoch_ms - self.read(now).0 % self.epoch_ms;
         // Readings are whole milliseconds, of which a part is over.
-        let over = Duration::from_micros(now.micros() % 1_000);
-        now + (Duration::from_millis(rest) - over)
+        let partial = Duration::from_micros(now.micros() % 1_000);
+        now + (Duration::from_millis(remaining) - partial)
     }
 }
--- a/crates/pulley_core/src/process/registry/upstream_directory.rs
+++ b/crates/pulley_core/src/process/registry/upstream_directory.rs
@@ -6,7 +6,7 @@
 
 use super::lease_bucket::LeaseBucket;
 use super::lease_record::LeaseRecord;
-use super::registry_message::{RegistryContent, RegistryMessage, parts_of};
+use super::registry_message::{RegistryContent, RegistryMessage, split_by_size};
 use super::shared_clock::LEASE_EPOCHS;
 use super::{Moment, RegistrySend, UpstreamRegistry, UpstreamStart};
 
@@ -83,7 +83,7 @@
             if is_known || has_left(&record.start()) {
                 continue;
             }
-            recalled += usize::from(self.take_record(now, record, renewed, None));
+            recalled += usize::from(self.merge_record(now, record, renewed, None));
         }
         recalled
     }
@@ -98,8 +98,8 @@
         let epoch = self.clock.epoch(now);
         let entries = self.table.buckets().iter().flat_map(LeaseBucket::entries);
         let usable = entries.filter(|entry| entry.takes_work(epoch));
-        let records = usable.map(|entry| self.table.aged(entry, epoch)).collect();
-        for records in parts_of(records) {
+        let records = usable.map(|entry| self.table.aged_record(entry, epoch)).collect();
+        for records in split_by_size(records) {
             if self.introductions.len() >= INTRODUCTION_LIMIT {
                 return;
             }
--- a/crates/pulley_core/src/process/registry/upstream_list.rs
+++ b/crates/pulley_core/src/process/registry/upstream_list.rs
@@ -44,7 +44,7 @@
     /// The record of an upstream.
     #[must_use]
     pub fn find(&self, id: &UpstreamId) -> Option<&Arc<UpstreamRecord>> {
-        self.place(id).ok().map(|place| &self.0[place])
+        self.position(id).ok().map(|position| &self.0[position])
     }
 
     /// What turns an earlier list into this one.
@@ -88,12 +88,12 @@
     pub fn with(&self, changes: impl IntoIterator<Item = UpstreamChange>) -> Self {
         let mut records = self.0.to_vec();
         for change in changes {
-            let place = records.binary_search_by(|held| held.announcement.id.cmp(change.id()));
-            match (change, place) {
-                (UpstreamChange::Put(record), Ok(place)) => records[place] = record,
-                (UpstreamChange::Put(record), Err(place)) => records.insert(place, record),
-                (UpstreamChange::Removed(_), Ok(place)) => {
-                    records.remove(place);
+            let position = records.binary_search_by(|held| held.announcement.id.cmp(change.id()));
+            match (change, position) {
+                (UpstreamChange::Put(record), Ok(position)) => records[position] = record,
+                (UpstreamChange::Put(record), Err(position)) => records.insert(position, record),
+                (UpstreamChange::Removed(_), Ok(position)) => {
+                    records.remove(position);
                 }
                 (UpstreamChange::Removed(_), Err(_)) => {}
             }
@@ -101,7 +101,7 @@
         Self(Arc::from(records))
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn position(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.0.binary_search_by(|record| record.announcement.id.cmp(id))
     }
 }
--- a/crates/pulley_core/src/process/registry/upstream_registry.rs
+++ b/crates/pulley_core/src/process/registry/upstream_registry.rs
@@ -10,7 +10,7 @@
 use super::lease_bucket::BUCKETS;
 use super::lease_record::{LeaseRecord, phase_rank};
 use super::lease_table::LeaseTable;
-use super::registry_message::{AgedRecord, NewsReach, PendingNews};
+use super::registry_message::{AgedRecord, PendingUpdate, UpdateReach};
 use super::shared_clock::SharedClock;
 use super::{
     Announcement, FastMap, Incarnation, Moment, PeerRing, PoolName, RegistrySend, UpstreamId,
@@ -21,22 +21,22 @@
 /// between two announcements and an epoch it must stay under the shortest lease, or upstreams that
 /// live would lose work now and then: with a lease of 3 s, 0.7 s and a second between two
 /// announcements, 0.8 s are left for late messages.
-const CYCLE_PART: f64 = 0.7 / 3.0;
+const CYCLE_FRACTION: f64 = 0.7 / 3.0;
 /// The shortest pause between two rounds; with 1,000 hosts there are ten in a cycle.
-const ROUND_FLOOR: Duration = Duration::from_millis(70);
+const MIN_ROUND_PAUSE: Duration = Duration::from_millis(70);
 /// How long news waits for more, so that one message carries a burst.
-pub(crate) const NEWS_PAUSE: Duration = Duration::from_millis(5);
+pub(crate) const UPDATE_DELAY: Duration = Duration::from_millis(5);
 /// The pause between two tellings of news, but for departures.
 ///
 /// Every host hears each change from several others and passes it on to as many, so that a datagram
 /// for each change costs all hosts together more than anything else they do: after a loss of power,
 /// when all upstreams are news, small hosts were too busy with them to serve. News of a calm time
 /// goes at once; what follows within the pause goes together, a few hops later by as much each.
-const NEWS_GAP: Duration = Duration::from_millis(50);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 /// The pause between bursts of waiting messages.
-const PAGE_PAUSE: Duration = Duration::from_millis(20);
+const RECORD_QUEUE_PAUSE: Duration = Duration::from_millis(20);
 /// How many waiting messages leave at once.
-const PAGES_PER_TICK: usize = 8;
+const RECORD_MESSAGES_PER_TICK: usize = 8;
 /// How many messages of introductions leave at once: enough that a zone's entries are told within a
 /// second, few enough that they don't fill a replica's link.
 const INTRODUCTIONS_PER_TICK: usize = 32;
@@ -62,7 +62,7 @@
     BadConnections(u32),
     /// Another process uses the id.
     #[error("{id} is in use by {holder}, whose lease holds")]
-    AddressTaken {
+    IdInUse {
         /// The id in question.
         id: UpstreamId,
         /// Who holds it.
@@ -70,7 +70,7 @@
     },
     /// A later start of the upstream is known.
     #[error("{id} has since started as incarnation {}", current.0)]
-    Outranked {
+    StaleIncarnation {
         /// The id in question.
         id: UpstreamId,
         /// The incarnation known.
@@ -94,7 +94,7 @@
     /// It announced a change.
     Changed,
     /// A later announcement was heard before; this one changes nothing.
-    Late,
+    Stale,
     /// It drains and stays so until it starts anew, whatever this announcement says.
     Draining,
 }
@@ -110,23 +110,23 @@
     pub(crate) clock: SharedClock,
     pub(crate) table: LeaseTable,
     /// Records to tell of at the next tick.
-    pub(crate) news: Vec<PendingNews>,
+    pub(crate) updates: Vec<PendingUpdate>,
     /// Upstreams that said to this host that they leave; every host is told of them directly.
     pub(crate) departures: Vec<AgedRecord>,
-    pub(crate) news_budget: f64,
+    pub(crate) update_budget: f64,
     /// When news may next be told.
-    next_news: Moment,
-    pub(crate) pages: VecDeque<RegistrySend>,
+    next_update: Moment,
+    pub(crate) record_queue: VecDeque<RegistrySend>,
     /// Messages to hosts that have just started; they don't wait behind others' pages.
     pub(crate) introductions: VecDeque<RegistrySend>,
     /// When news last changed each bucket.
-    pub(crate) changed: Vec<Option<Moment>>,
+    pub(crate) bucket_changed_at: Vec<Option<Moment>>,
     /// When each bucket was last compared record by record.
-    pub(crate) compared: Vec<Option<Moment>>,
+    pub(crate) bucket_compared_at: Vec<Option<Moment>>,
     /// When a digest that differs was last answered.
-    pub(crate) answered: Option<Moment>,
+    pub(crate) digest_answered_at: Option<Moment>,
     /// Until when messages carry each bucket's digest, as a change may not have reached everybody.
-    pub(crate) unsettled: Moment,
+    pub(crate) bucket_digests_until: Moment,
     pub(crate) last_tick: Moment,
     next_epoch: Moment,
     /// The round told in the last tick, if one was due.
@@ -148,16 +148,16 @@
         Self {
             clock: SharedClock::default(),
             table: LeaseTable::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             departures: Vec::new(),
-            news_budget: 0.0,
-            next_news: Moment::ZERO,
-            pages: VecDeque::new(),
+            update_budget: 0.0,
+            next_update: Moment::ZERO,
+            record_queue: VecDeque::new(),
             introductions: VecDeque::new(),
-            changed: vec![None; BUCKETS],
-            compared: vec![None; BUCKETS],
-            answered: None,
-            unsettled: Moment::ZERO,
+            bucket_changed_at: vec![None; BUCKETS],
+            bucket_compared_at: vec![None; BUCKETS],
+            digest_answered_at: None,
+            bucket_digests_until: Moment::ZERO,
             last_tick: Moment::ZERO,
             next_epoch: Moment::ZERO,
             told_round: None,
@@ -176,7 +176,7 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// Grows with every change of what [`Self::pool_records`] returns.
+    /// Grows with every change of what [`Self::rebuild_pools`] returns.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.table.changes
@@ -191,8 +191,8 @@
     /// The upstreams of each pool, worked out from scratch; those without a lease, or draining,
     /// take no work.
     #[must_use]
-    pub fn pool_records(&self, now: Moment) -> FastMap<PoolName, UpstreamList> {
-        self.table.pool_records(self.clock.epoch(now))
+    pub fn rebuild_pools(&self, now: Moment) -> FastMap<PoolName, UpstreamList> {
+        self.table.rebuild_pools(self.clock.epoch(now))
     }
 
     /// The same as of the last [`Self::tick`], at the cost of what has changed since the last call.
@@ -214,13 +214,13 @@
         let mut next = self.next_round.min(self.next_epoch);
         let has_introductions = !self.introductions.is_empty();
         if !self.departures.is_empty() || has_introductions {
-            next = next.min(self.last_tick + NEWS_PAUSE);
+            next = next.min(self.last_tick + UPDATE_DELAY);
         }
-        if !self.news.is_empty() {
-            next = next.min((self.last_tick + NEWS_PAUSE).max(self.next_news));
+        if !self.updates.is_empty() {
+            next = next.min((self.last_tick + UPDATE_DELAY).max(self.next_update));
         }
-        if !self.pages.is_empty() {
-            next = next.min(self.last_tick + PAGE_PAUSE);
+        if !self.record_queue.is_empty() {
+            next = next.min(self.last_tick + RECORD_QUEUE_PAUSE);
         }
         next
     }
@@ -237,7 +237,7 @@
     /// Takes over which zones are evacuated, in the order of their names: their upstreams are shown
     /// as taking no work, whatever they announce and whenever they come.
     pub fn evacuate(&mut self, zones: &[ZoneName]) {
-        self.table.evacuate(zones);
+        self.table.set_evacuated_zones(zones);
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -253,38 +253,42 @@
         now: Moment,
         announcement: Announcement,
     ) -> RegistryResult<AnnounceOutcome> {
-        check(&announcement)?;
+        validate(&announcement)?;
         let epoch = self.clock.epoch(now);
         let id = announcement.id.clone();
-        if let Some(holder) = self.table.holder(&id, announcement.address, epoch) {
-            return Err(RegistryFault::AddressTaken { id, holder });
+        if let Some(holder) = self.table.conflicting_address(&id, announcement.address, epoch) {
+            return Err(RegistryFault::IdInUse { id, holder });
         }
         let Some(entry) = self.table.find(&id) else {
             return self.register(now, announcement);
         };
         let known = &entry.record.announcement;
         if announcement.incarnation < known.incarnation {
-            return Err(RegistryFault::Outranked { id, current: known.incarnation });
+            return Err(RegistryFault::StaleIncarnation { id, current: known.incarnation });
         }
         let same_start = entry.record.is_same_start(&LeaseRecord::new(announcement.clone()));
         if !same_start {
             return self.register(now, announcement);
         }
-        if announcement.sequence <= entry.heard {
-            return Ok(AnnounceOutcome::Late);
+        if announcement.sequence <= entry.last_sequence {
+            return Ok(AnnounceOutcome::Stale);
         }
-        let leaves = !entry.record.takes_work();
-        let backward = phase_rank(announcement.phase) < phase_rank(known.phase);
-        let renewed = entry.record.is_renewed_by(&announcement);
+        let is_draining = !entry.record.takes_work();
+        let is_backward = phase_rank(announcement.phase) < phase_rank(known.phase);
+        let is_renewal = entry.record.is_renewed_by(&announcement);
         self.table.renew(&id, epoch, announcement.sequence);
-        if renewed {
-            return Ok(if leaves { AnnounceOutcome::Draining } else { AnnounceOutcome::Renewed });
+        if is_renewal {
+            return Ok(if is_draining {
+                AnnounceOutcome::Draining
+            } else {
+                AnnounceOutcome::Renewed
+            });
         }
-        if backward {
+        if is_backward {
             return Ok(AnnounceOutcome::Draining);
         }
         let outcome = self.register(now, announcement).map(|_| AnnounceOutcome::Changed);
-        self.tell_departure(now, &id);
+        self.queue_departure(now, &id);
         outcome
     }
 
@@ -306,8 +310,8 @@
         let gone = Announcement { phase: UpstreamPhase::Gone, ..known.clone() };
         let renewed = entry.renewed;
         let record = LeaseRecord { announcement: gone, drained: entry.record.drained };
-        self.take_record(now, record, renewed, Some(NewsReach::ALL));
-        self.tell_departure(now, id);
+        self.merge_record(now, record, renewed, Some(UpdateReach::ALL));
+        self.queue_departure(now, id);
         true
     }
 
@@ -316,8 +320,8 @@
         let Ok(record) = postcard::from_bytes::<LeaseRecord>(body) else { return };
         let id = record.announcement.id.clone();
         let epoch = self.clock.epoch(now);
-        self.take_record(now, record, epoch, Some(NewsReach::ALL));
-        self.tell_departure(now, &id);
+        self.merge_record(now, record, epoch, Some(UpdateReach::ALL));
+        self.queue_departure(now, &id);
     }
 
     /// Has every host told directly that an upstream leaves.
@@ -325,13 +329,13 @@
     /// Whoever is told that its leaving is known counts on getting no new work a moment later. News
     /// that goes from host to host loses its way where hosts have just been cut off or stopped, and
     /// the next comparison may come too late.
-    fn tell_departure(&mut self, now: Moment, id: &UpstreamId) {
+    fn queue_departure(&mut self, now: Moment, id: &UpstreamId) {
         let epoch = self.clock.epoch(now);
         let Some(entry) = self.table.find(id).filter(|entry| !entry.record.takes_work()) else {
             return;
         };
-        let aged = self.table.aged(entry, epoch);
-        self.news.retain(|news| news.aged.record.announcement.id != *id);
+        let aged = self.table.aged_record(entry, epoch);
+        self.updates.retain(|update| update.aged.record.announcement.id != *id);
         self.departures.push(aged);
     }
 
@@ -355,7 +359,7 @@
         };
         let drained = LeaseRecord { drained: true, ..entry.record.clone() };
         let renewed = entry.renewed;
-        self.take_record(now, drained, renewed, Some(NewsReach::ALL));
+        self.merge_record(now, drained, renewed, Some(UpdateReach::ALL));
         Ok(())
     }
 
@@ -367,12 +371,12 @@
         let epoch = self.clock.epoch(now);
         let record = LeaseRecord::new(announcement);
         let id = record.announcement.id.clone();
-        if self.take_record(now, record, epoch, Some(NewsReach::ALL)) {
+        if self.merge_record(now, record, epoch, Some(UpdateReach::ALL)) {
             Ok(AnnounceOutcome::Registered)
         } else if self.table.find(&id).is_none() {
             Err(RegistryFault::Full)
         } else {
-            Ok(AnnounceOutcome::Late)
+            Ok(AnnounceOutcome::Stale)
         }
     }
 
@@ -394,30 +398,30 @@
             self.table.expire(self.clock.epoch(now));
             self.next_epoch = self.clock.next_epoch(now);
         }
-        let burst = self.pages.len().min(PAGES_PER_TICK);
-        let mut sends: Vec<RegistrySend> = self.pages.drain(..burst).collect();
+        let burst = self.record_queue.len().min(RECORD_MESSAGES_PER_TICK);
+        let mut sends: Vec<RegistrySend> = self.record_queue.drain(..burst).collect();
         let burst = self.introductions.len().min(INTRODUCTIONS_PER_TICK);
         sends.extend(self.introductions.drain(..burst));
-        self.tell_departures(now, ring, &mut sends);
-        if now >= self.next_news && !self.news.is_empty() {
-            self.tell_news(now, ring, &mut sends);
-            self.next_news = now + NEWS_GAP;
+        self.send_departures(now, ring, &mut sends);
+        if now >= self.next_update && !self.updates.is_empty() {
+            self.send_updates(now, ring, &mut sends);
+            self.next_update = now + UPDATE_INTERVAL;
         }
         self.told_round = None;
         if now >= self.next_round {
-            self.tell_leases(now, ring, &mut sends);
+            self.send_leases(now, ring, &mut sends);
             self.told_round = Some(self.round);
             self.round = self.round.wrapping_add(1);
-            let cycle = self.clock.lease().mul_f64(CYCLE_PART);
+            let cycle = self.clock.lease().mul_f64(CYCLE_FRACTION);
             let pause = cycle / ring.rounds().max(1);
-            self.next_round = now + pause.clamp(ROUND_FLOOR, cycle / 3);
+            self.next_round = now + pause.clamp(MIN_ROUND_PAUSE, cycle / 3);
         }
         sends
     }
 }
 
 /// Checks an announcement's numbers; names were checked when it was decoded.
-fn check(announcement: &Announcement) -> RegistryResult<()> {
+fn validate(announcement: &Announcement) -> RegistryResult<()> {
     let address = announcement.address;
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
         return Err(RegistryFault::BadAddress(address));
--- a/crates/pulley_core/tests/members/differences_tests.rs
+++ b/crates/pulley_core/tests/members/differences_tests.rs
@@ -9,20 +9,20 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::network::{Network, Weather, address, announcement, host_name};
+use crate::network::{Network, NetworkConditions, address, announcement, host_name};
 
 const HOSTS: usize = 7;
 const UPSTREAMS: usize = 60;
 const STEPS: u64 = 150;
 
 /// One thing that happens, of those that change what hosts know of each other and of upstreams.
-fn disturb(network: &mut Network, rng: &mut SmallRng, step: u64) {
+fn apply_random_event(network: &mut Network, rng: &mut SmallRng, step: u64) {
     match rng.random_range(0..12) {
         0 => network.restart(rng.random_range(0..HOSTS)),
-        1 => network.split(&[0, 1, 2], &[3, 4, 5, 6], rng.random()),
+        1 => network.set_partition(&[0, 1, 2], &[3, 4, 5, 6], rng.random()),
         2 => {
             let loss = rng.random_range(0.0..0.3);
-            network.weather = Weather { loss, ..Weather::default() };
+            network.conditions = NetworkConditions { loss, ..NetworkConditions::default() };
         }
         _ => {
             for _ in 0..rng.random_range(1..12) {
@@ -45,7 +45,7 @@
 }
 
 /// A while that ends between two milliseconds, so that everything due by then has been done.
-fn pause(rng: &mut SmallRng) -> Duration {
+fn random_pause(rng: &mut SmallRng) -> Duration {
     Duration::from_millis(rng.random_range(5..900))
         + Duration::from_micros(rng.random_range(1..999))
 }
@@ -55,21 +55,25 @@
 /// or never to one that has come, until the host restarts. Whatever happens, in whatever order, the
 /// lists that were kept up must be those that a host would work out from all that it knows.
 #[test]
-fn lists_that_are_kept_up_are_those_worked_out_from_scratch() {
+fn incremental_lists_equal_rebuilt_lists() {
     for seed in 0..12 {
         let mut network = Network::new(HOSTS, seed);
         let mut rng = SmallRng::seed_from_u64(seed);
         // What a part of the host would hold that is told of changes only.
         let mut followed: Vec<FastMap<PoolName, UpstreamList>> = vec![FastMap::default(); HOSTS];
         for step in 0..STEPS {
-            disturb(&mut network, &mut rng, step);
-            network.run_for(pause(&mut rng));
+            apply_random_event(&mut network, &mut rng, step);
+            network.run_for(random_pause(&mut rng));
             let now = network.now;
             for (host, followed) in network.hosts.iter_mut().zip(&mut followed) {
-                let kept_up = host.registry.pools(now).clone();
-                assert_eq!(kept_up, host.registry.pool_records(now), "seed {seed}, step {step}");
-                followed.retain(|pool, _| kept_up.contains_key(pool));
-                for (pool, list) in kept_up {
+                let incremental = host.registry.pools(now).clone();
+                assert_eq!(
+                    incremental,
+                    host.registry.rebuild_pools(now),
+                    "seed {seed}, step {step}"
+                );
+                followed.retain(|pool, _| incremental.contains_key(pool));
+                for (pool, list) in incremental {
                     let held = followed.entry(pool).or_default();
                     *held = held.with(list.changes_since(held));
                     assert_eq!(*held, list, "seed {seed}, step {step}");
@@ -82,20 +86,20 @@
 /// The same of the ring of live hosts, by which news goes round: a host that is missing from it is
 /// told nothing, and one too many is told in vain.
 #[test]
-fn a_ring_that_is_kept_up_is_the_one_worked_out_from_scratch() {
+fn an_incremental_ring_equals_a_rebuilt_ring() {
     for seed in 20..32 {
         let mut network = Network::new(HOSTS, seed);
         let mut rng = SmallRng::seed_from_u64(seed);
         for step in 0..STEPS {
-            disturb(&mut network, &mut rng, step);
-            network.run_for(pause(&mut rng));
+            apply_random_event(&mut network, &mut rng, step);
+            network.run_for(random_pause(&mut rng));
             for (index, host) in network.hosts.iter_mut().enumerate() {
                 let own: HostId = host_name(index);
                 let others = host.members.live().filter(|record| record.host != own);
                 let others: Vec<_> =
                     others.map(|record| (record.host.clone(), record.peer_address)).collect();
-                let scratch = PeerRing::new(&own, others);
-                assert_eq!(*host.members.ring(), scratch, "seed {seed}, step {step}");
+                let rebuilt = PeerRing::new(&own, others);
+                assert_eq!(*host.members.ring(), rebuilt, "seed {seed}, step {step}");
                 let entries = host.members.live().filter(|record| record.roles.entry).count();
                 assert_eq!(host.members.live_entries(), entries, "seed {seed}, step {step}");
             }
@@ -107,7 +111,7 @@
 /// that it holds have run out by that clock, in the middle of one of its own epochs. Were that noticed
 /// only at the epoch's end, requests would be sent until then to upstreams that are long gone.
 #[test]
-fn a_clock_that_jumps_ahead_ends_leases_at_once() {
+fn a_clock_that_jumps_ahead_expires_leases_at_once() {
     let ring = |index| PeerRing::new(&host_name(9), vec![(host_name(index), address(index))]);
     // What a host says whose clock began so long before the others'.
     let message = |clock: Duration| {
@@ -121,9 +125,9 @@
     host.tick(now, &ring(1));
     host.receive(now, address(1), &message(Duration::from_millis(100)));
     host.announce(now, announcement(0, 1, 1)).unwrap();
-    assert_eq!(host.pools(now).clone(), host.pool_records(now));
+    assert_eq!(host.pools(now).clone(), host.rebuild_pools(now));
     assert!(host.takes_work(now, &announcement(0, 1, 1).id));
     host.receive(now, address(2), &message(Duration::from_secs(20)));
     assert!(!host.takes_work(now, &announcement(0, 1, 1).id));
-    assert_eq!(host.pools(now).clone(), host.pool_records(now));
+    assert_eq!(host.pools(now).clone(), host.rebuild_pools(now));
 }
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -38,7 +38,7 @@
     network.publish(1, 10);
 }
 
-fn followers(network: &Network, zones: &EvacuatedZones) -> usize {
+fn hosts_following(network: &Network, zones: &EvacuatedZones) -> usize {
     network.hosts.iter().filter(|host| **host.plans.evacuated() == *zones).count()
 }
 
@@ -51,10 +51,10 @@
         let zones = evacuated(revision, zones);
         order(&mut network, &zones);
         network.run_for(Duration::from_millis(300));
-        let early = followers(&network, &zones);
+        let early = hosts_following(&network, &zones);
         assert!(early >= 150, "after 0.3 s {early} of 300 follow order {revision}");
         network.run_for(Duration::from_millis(700));
-        assert_eq!(followers(&network, &zones), 300, "order {revision}");
+        assert_eq!(hosts_following(&network, &zones), 300, "order {revision}");
     }
 }
 
@@ -66,8 +66,8 @@
     for seed in 0..12 {
         let mut random = StdRng::seed_from_u64(900 + seed);
         let mut network = with_leader(14, 500 + seed);
-        network.weather.loss = 0.05;
-        network.weather.doubles = 0.05;
+        network.conditions.loss = 0.05;
+        network.conditions.duplicates = 0.05;
         let mut accepted: Vec<(Moment, u64)> = Vec::new();
         let mut known = [LogIndex(0); 14];
         for step in 0..60 {
@@ -89,7 +89,7 @@
                 }
                 5 => {
                     let others: Vec<usize> = (0..14).filter(|other| *other != host).collect();
-                    network.split(&[host], &others, random.random_bool(0.5));
+                    network.set_partition(&[host], &others, random.random_bool(0.5));
                 }
                 _ => {}
             }
@@ -138,7 +138,7 @@
 
 fn open_zones(registry: &mut UpstreamRegistry, now: Moment) -> Vec<ZoneName> {
     let pools = registry.pools(now).clone();
-    assert_eq!(pools, registry.pool_records(now), "differences and a rebuild disagree");
+    assert_eq!(pools, registry.rebuild_pools(now), "differences and a rebuild disagree");
     let records = pools.values().flat_map(|list| list.iter()).filter(|record| record.takes_work);
     let mut zones: Vec<ZoneName> = records.map(|record| record.announcement.zone.clone()).collect();
     zones.sort();
--- a/crates/pulley_core/tests/members/link_model.rs
+++ b/crates/pulley_core/tests/members/link_model.rs
@@ -18,7 +18,7 @@
 
 /// What was seen of one direction of a link.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct LinkFigures {
+pub(crate) struct LinkStats {
     /// The longest time that a byte of a caller waited.
     pub(crate) longest: Duration,
     /// How long the queue was a long one.
@@ -36,13 +36,13 @@
     updated: Moment,
     /// From which wait on a queue counts as long.
     long: Duration,
-    figures: LinkFigures,
+    stats: LinkStats,
 }
 
 impl LinkQueue {
     fn new(terms: LinkTerms, now: Moment, long: Duration) -> Self {
         assert!(terms.callers < terms.rate, "callers leave room: {terms:?}");
-        Self { terms, waiting: 0.0, updated: now, long, figures: LinkFigures::default() }
+        Self { terms, waiting: 0.0, updated: now, long, stats: LinkStats::default() }
     }
 
     fn wait(&self) -> Duration {
@@ -56,21 +56,21 @@
         let drain = f64::from(self.terms.rate - self.terms.callers);
         let long_bytes = self.long.as_secs_f64() * f64::from(self.terms.rate);
         let long_time = ((self.waiting - long_bytes) / drain).clamp(0.0, elapsed);
-        self.figures.long_time += Duration::from_secs_f64(long_time);
+        self.stats.long_time += Duration::from_secs_f64(long_time);
         self.waiting = (self.waiting - drain * elapsed).max(0.0);
     }
 
     /// Takes a datagram; returns when it is through, or nothing if it is dropped.
-    fn pass(&mut self, now: Moment, bytes: usize) -> Option<Moment> {
+    fn enqueue(&mut self, now: Moment, bytes: usize) -> Option<Moment> {
         self.advance(now);
         if self.wait() > QUEUE_LIMIT {
-            self.figures.dropped += 1;
+            self.stats.dropped += 1;
             return None;
         }
         let bytes = u32::try_from(bytes).expect("a datagram is small");
         self.waiting += f64::from(bytes);
-        self.figures.passed_bytes += u64::from(bytes);
-        self.figures.longest = self.figures.longest.max(self.wait());
+        self.stats.passed_bytes += u64::from(bytes);
+        self.stats.longest = self.stats.longest.max(self.wait());
         Some(now + self.wait())
     }
 }
@@ -91,18 +91,18 @@
 
     /// When a datagram has left its sender, unless it is dropped there.
     pub(crate) fn leave(&mut self, host: usize, now: Moment, bytes: usize) -> Option<Moment> {
-        self.queues[host][0].pass(now, bytes)
+        self.queues[host][0].enqueue(now, bytes)
     }
 
     /// When a datagram that has come to its receiver's link is through, unless it is dropped there.
     pub(crate) fn arrive(&mut self, host: usize, now: Moment, bytes: usize) -> Option<Moment> {
-        self.queues[host][1].pass(now, bytes)
+        self.queues[host][1].enqueue(now, bytes)
     }
 
     /// What was seen of a host's link by now: sending and receiving.
-    pub(crate) fn figures(&mut self, host: usize, now: Moment) -> [LinkFigures; 2] {
+    pub(crate) fn stats(&mut self, host: usize, now: Moment) -> [LinkStats; 2] {
         let queues = &mut self.queues[host];
         queues.iter_mut().for_each(|queue| queue.advance(now));
-        [queues[0].figures, queues[1].figures]
+        [queues[0].stats, queues[1].stats]
     }
 }
--- a/crates/pulley_core/tests/members/member_table_tests.rs
+++ b/crates/pulley_core/tests/members/member_table_tests.rs
@@ -36,7 +36,7 @@
 fn one_silent_path_declares_nobody_dead() {
     let mut network = Network::new(10, 3);
     network.run_for(Duration::from_secs(5));
-    network.split(&[3], &[6], true);
+    network.set_partition(&[3], &[6], true);
     for _ in 0..120 {
         network.run_for(Duration::from_millis(500));
         assert_eq!(live_counts(&network), vec![10; 10], "at {}", network.now);
@@ -46,7 +46,7 @@
 /// A host restarts again and again, as a faulty one does. Were each start remembered as another
 /// host, tables and messages would grow until nothing fits.
 #[test]
-fn a_hundred_restarts_leave_no_residue() {
+fn a_hundred_restarts_leave_no_extra_members() {
     let mut network = Network::new(6, 4);
     network.run_for(Duration::from_secs(5));
     for _ in 0..100 {
@@ -97,7 +97,7 @@
 /// one seed after the other, two replicas that were up took a fifth of a second to find each other,
 /// and no replica could be elected meanwhile.
 #[test]
-fn a_host_that_is_alone_calls_on_all_its_seeds() {
+fn a_host_without_peers_contacts_all_its_seeds() {
     let mut table = MemberTable::new(record(0, 1), MemberSettings::default(), 3);
     let seeds: Vec<_> = (1..6).map(address).collect();
     seeds.iter().for_each(|seed| table.seed(*seed));
--- a/crates/pulley_core/tests/members/network.rs
+++ b/crates/pulley_core/tests/members/network.rs
@@ -41,13 +41,13 @@
     pub(crate) sent: BTreeMap<Kind, (u64, u64)>,
     pub(crate) received: u64,
     /// Real time spent in each state machine: ticks, and messages with their number.
-    pub(crate) spent: BTreeMap<Kind, Spent>,
+    pub(crate) spent: BTreeMap<Kind, TimeSpent>,
     scheduled: Option<Moment>,
 }
 
 /// Real time spent in a state machine.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Spent {
+pub(crate) struct TimeSpent {
     pub(crate) ticks: u64,
     pub(crate) tick_time: Duration,
     pub(crate) messages: u64,
@@ -56,15 +56,15 @@
 
 /// How messages fare.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Weather {
+pub(crate) struct NetworkConditions {
     pub(crate) loss: f64,
-    pub(crate) doubles: f64,
+    pub(crate) duplicates: f64,
     pub(crate) delay: (u64, u64),
 }
 
-impl Default for Weather {
+impl Default for NetworkConditions {
     fn default() -> Self {
-        Self { loss: 0.0, doubles: 0.0, delay: (250, 1_500) }
+        Self { loss: 0.0, duplicates: 0.0, delay: (250, 1_500) }
     }
 }
 
@@ -79,7 +79,7 @@
 pub(crate) struct Network {
     pub(crate) now: Moment,
     pub(crate) hosts: Vec<Host>,
-    pub(crate) weather: Weather,
+    pub(crate) conditions: NetworkConditions,
     /// Pairs whose messages vanish, from the first to the second.
     pub(crate) cuts: BTreeSet<(usize, usize)>,
     /// The leader's index, if one issues leases.
@@ -88,9 +88,9 @@
     /// What the hosts' links bear; without, everything.
     pub(crate) links: Option<LinkModel>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
-    number: u64,
+    event_count: u64,
     rng: SmallRng,
-    next_lead: Moment,
+    next_confirmation: Moment,
 }
 
 pub(crate) fn host_name(index: usize) -> HostId {
@@ -134,18 +134,18 @@
         let mut network = Self {
             now: Moment::ZERO,
             hosts: Vec::new(),
-            weather: Weather::default(),
+            conditions: NetworkConditions::default(),
             cuts: BTreeSet::new(),
             leader: None,
             replicas: ReplicaSet::default(),
             links: None,
             events: BinaryHeap::new(),
-            number: 0,
+            event_count: 0,
             rng: SmallRng::seed_from_u64(seed),
-            next_lead: Moment::ZERO,
+            next_confirmation: Moment::ZERO,
         };
         for index in 0..count {
-            let host = network.fresh_host(index, 0);
+            let host = network.new_host(index, 0);
             network.hosts.push(host);
             // Hosts don't start in the same instant.
             let start = Moment::from_micros(network.rng.random_range(0..500_000));
@@ -154,7 +154,7 @@
         network
     }
 
-    fn fresh_host(&mut self, index: usize, start: u64) -> Host {
+    fn new_host(&mut self, index: usize, start: u64) -> Host {
         let seed = self.rng.random();
         let mut members = MemberTable::new(record(index, start), MemberSettings::default(), seed);
         for seed in 0..3 {
@@ -177,12 +177,12 @@
     /// Ends a host's process and starts it anew, with nothing kept.
     pub(crate) fn restart(&mut self, index: usize) {
         let start = self.now.micros() / 1_000 + 1;
-        self.hosts[index] = self.fresh_host(index, start);
+        self.hosts[index] = self.new_host(index, start);
         self.wake_at(index, self.now);
     }
 
     /// Cuts or mends the path between two groups, both ways.
-    pub(crate) fn split(&mut self, left: &[usize], right: &[usize], cut: bool) {
+    pub(crate) fn set_partition(&mut self, left: &[usize], right: &[usize], cut: bool) {
         for a in left {
             for b in right {
                 for pair in [(*a, *b), (*b, *a)] {
@@ -203,10 +203,10 @@
     pub(crate) fn run_until(&mut self, end: Moment) {
         loop {
             let next = self.events.peek().map_or(end, |Reverse((at, _, _))| *at);
-            if self.leader.is_some() && self.next_lead <= next.min(end) {
-                self.now = self.now.max(self.next_lead);
-                self.next_lead = self.now + Duration::from_millis(200);
-                self.lead();
+            if self.leader.is_some() && self.next_confirmation <= next.min(end) {
+                self.now = self.now.max(self.next_confirmation);
+                self.next_confirmation = self.now + Duration::from_millis(200);
+                self.confirm_leader();
                 continue;
             }
             if next >= end {
@@ -223,20 +223,20 @@
     pub(crate) fn announce(&mut self, host: usize, announcement: Announcement) {
         let now = self.now;
         let _ = self.hosts[host].registry.announce(now, announcement);
-        self.after(host);
+        self.schedule_wakeup(host);
     }
 
     pub(crate) fn announce_gone(&mut self, host: usize, id: &UpstreamId) {
         let now = self.now;
         assert!(self.hosts[host].registry.announce_gone(now, id, None));
-        self.after(host);
+        self.schedule_wakeup(host);
     }
 
     /// Has a host tell another that has just started of the upstreams.
     pub(crate) fn introduce(&mut self, host: usize, to: usize) {
         let (now, to) = (self.now, self.hosts[to].address);
         self.hosts[host].registry.introduce(now, to);
-        self.after(host);
+        self.schedule_wakeup(host);
     }
 
     pub(crate) fn publish(&mut self, version: u64, rows: usize) {
@@ -252,20 +252,20 @@
     pub(crate) fn commit(&mut self, replica: usize, plan: &StoredPlan) {
         self.hosts[replica].plans.committed(plan);
         match self.leader {
-            Some((leader, _)) if leader == replica => self.lead(),
-            _ => self.after(replica),
+            Some((leader, _)) if leader == replica => self.confirm_leader(),
+            _ => self.schedule_wakeup(replica),
         }
     }
 
     /// The moment a leader confirms its majority: the fake takes it as given.
-    fn lead(&mut self) {
+    fn confirm_leader(&mut self) {
         if let Some((leader, term)) = self.leader
             && self.hosts[leader].up
             && self.hosts[leader].paused_until <= self.now
         {
             let (now, replicas) = (self.now, self.replicas.clone());
             self.hosts[leader].plans.lead(term, replicas, now);
-            self.after(leader);
+            self.schedule_wakeup(leader);
         }
     }
 
@@ -331,7 +331,7 @@
         self.send_all(index, Kind::Member, member);
         self.send_all(index, Kind::Upstream, upstream);
         self.send_plans(index, plans);
-        self.after(index);
+        self.schedule_wakeup(index);
     }
 
     fn deliver(&mut self, to: usize, from: SocketAddr, kind: Kind, body: &[u8]) {
@@ -356,7 +356,7 @@
         spent.message_time += begun.elapsed();
         self.send_all(to, kind, sends);
         self.send_plans(to, plans);
-        self.after(to);
+        self.schedule_wakeup(to);
     }
 
     fn send_plans(&mut self, from: usize, sends: Vec<pulley_core::version::PlanSend>) {
@@ -377,10 +377,11 @@
                 None => Some(now),
             };
             let to = index_of(to);
-            let copies = 1 + usize::from(self.rng.random_bool(self.weather.doubles));
+            let copies = 1 + usize::from(self.rng.random_bool(self.conditions.duplicates));
             for _ in 0..copies {
-                let lost = self.rng.random_bool(self.weather.loss);
-                let delay = self.rng.random_range(self.weather.delay.0..=self.weather.delay.1);
+                let lost = self.rng.random_bool(self.conditions.loss);
+                let delay =
+                    self.rng.random_range(self.conditions.delay.0..=self.conditions.delay.1);
                 let Some(left) = left.filter(|_| !lost) else { continue };
                 if to >= self.hosts.len() || self.cuts.contains(&(from, to)) {
                     continue;
@@ -396,7 +397,7 @@
         }
     }
 
-    fn after(&mut self, index: usize) {
+    fn schedule_wakeup(&mut self, index: usize) {
         let host = &self.hosts[index];
         let next = host
             .members
@@ -416,8 +417,8 @@
     }
 
     fn push(&mut self, at: Moment, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((at, self.number, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 }
 
--- a/crates/pulley_core/tests/members/plan_difference_tests.rs
+++ b/crates/pulley_core/tests/members/plan_difference_tests.rs
@@ -99,14 +99,14 @@
 }
 
 #[test]
-fn any_change_arrives_as_it_was_made() {
-    fn holds(pair: PlanPair) -> bool {
+fn any_difference_round_trips() {
+    fn round_trips(pair: PlanPair) -> bool {
         let packed = PlanDifference::between(&pair.before, &pair.after).pack();
         let again = PlanDifference::between(&pair.before, &pair.after).pack();
         let arrived = PlanDifference::unpack(&packed).and_then(|step| step.apply(&pair.before));
         packed == again && arrived == Some(pair.after)
     }
-    QuickCheck::new().tests(300).quickcheck(holds as fn(PlanPair) -> bool);
+    QuickCheck::new().tests(300).quickcheck(round_trips as fn(PlanPair) -> bool);
 }
 
 /// A plan of this many rows, and its packed form.
@@ -161,15 +161,15 @@
 }
 
 #[test]
-fn bytes_that_swell_beyond_a_plan_are_refused() {
+fn data_that_inflates_beyond_a_plan_is_refused() {
     let (_, packed) = packed_rows(60);
     let (columns, letters) = parts(&packed);
     assert!(PlanDifference::unpack(&pack_parts(&columns, &letters)).is_some());
-    let swollen = |part: &[u8], by: usize| [part, &vec![0; by][..]].concat();
+    let padded = |part: &[u8], by: usize| [part, &vec![0; by][..]].concat();
     let unpack = |columns: &[u8]| PlanDifference::unpack(&pack_parts(columns, &letters));
-    assert!(unpack(&swollen(&columns, 1 << 20)).is_some());
-    assert!(unpack(&swollen(&columns, 64 << 20)).is_none());
-    assert!(PlanDifference::unpack(&pack_parts(&columns, &swollen(&letters, 64 << 20))).is_none());
+    assert!(unpack(&padded(&columns, 1 << 20)).is_some());
+    assert!(unpack(&padded(&columns, 64 << 20)).is_none());
+    assert!(PlanDifference::unpack(&pack_parts(&columns, &padded(&letters, 64 << 20))).is_none());
 }
 
 #[test]
--- a/crates/pulley_core/tests/members/plan_follower_tests.rs
+++ b/crates/pulley_core/tests/members/plan_follower_tests.rs
@@ -49,7 +49,7 @@
         let replicas = network.replicas.clone();
         network.hosts[replica].plans.set_replica(replicas, ConfigVersion(1), LogIndex::default());
     }
-    network.split(&near, &far, true);
+    network.set_partition(&near, &far, true);
     network.run_for(4 * SECOND);
     network.publish(2, 10);
     network.run_for(SECOND);
@@ -57,7 +57,7 @@
         let standing = network.hosts[index].plans.standing(network.now);
         assert_eq!(standing, PlanStanding::Expired(ConfigVersion(1)), "host {index}");
     }
-    network.split(&near, &far, false);
+    network.set_partition(&near, &far, false);
     network.run_for(10 * SECOND);
     assert_eq!(at_version(&network, 2), 12);
 }
@@ -111,7 +111,7 @@
 #[test]
 fn a_slow_host_follows_a_storm_of_changes() {
     let mut network = with_leader(34, 31);
-    network.weather.delay = (20_000, 45_000);
+    network.conditions.delay = (20_000, 45_000);
     network.publish(1, 40);
     network.run_for(3 * SECOND);
     for version in 2..=52 {
@@ -131,7 +131,7 @@
 /// configuration. Hosts used to ask two others picked at random every 250 ms, mostly some that
 /// knew as little as they did; those with a replica say so when they join, and are asked first.
 #[test]
-fn a_host_that_starts_asks_those_that_say_they_hold_a_replica() {
+fn a_host_that_starts_asks_hosts_that_announce_a_replica() {
     let ring = with_leader(30, 25).hosts[29].members.ring().clone();
     let mut follower = PlanFollower::new(host_name(29), 1);
     let replicas: Vec<_> = (0..5).map(host_name).collect();
@@ -149,7 +149,7 @@
 /// leads a moment later. Told only when it asks again, the entry would refuse its callers for a
 /// tenth of a second with the configuration a millisecond away.
 #[test]
-fn who_has_asked_too_early_is_told_as_soon_as_there_is_something_to_tell() {
+fn a_host_that_asked_before_the_election_is_answered_right_after_it() {
     let mut replica = PlanFollower::new(host_name(0), 1);
     let mut entry = PlanFollower::new(host_name(1), 2);
     let at = |millis| Moment::ZERO + Duration::from_millis(millis);
@@ -175,7 +175,7 @@
 /// Chunks came that were asked for before the host began anew with the version, knowing nobody who
 /// holds it: changes follow each other, and links are slow. The host's follower panicked.
 #[test]
-fn chunks_that_come_before_a_source_is_known_end_no_host() {
+fn chunks_that_arrive_before_a_source_is_known_do_not_panic() {
     let [mut leader, mut first, mut second] =
         [0, 1, 2].map(|index| PlanFollower::new(host_name(index), index as u64));
     let at = |millis| Moment::ZERO + Duration::from_millis(millis);
@@ -216,7 +216,7 @@
     let mut network = with_leader(12, 41);
     network.publish(1, 10);
     network.run_for(SECOND);
-    network.weather.delay = (20_000, 45_000);
+    network.conditions.delay = (20_000, 45_000);
     network.publish(2, 3_000);
     let mut waited = vec![false; 12];
     for _ in 0..400 {
--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -50,7 +50,7 @@
     network.hosts[30].plans.apply_replicas(&replicas);
     let mut had_after = None;
     for version in 2..=150 {
-        rows.weigh(version as usize, 90);
+        rows.set_weight(version as usize, 90);
         commit_everywhere(&mut network, &rows.version(version));
         network.run_for(Duration::from_millis(60));
         if network.hosts[30].plans.version() > ConfigVersion(0) && had_after.is_none() {
@@ -68,7 +68,7 @@
     rows.add(48);
     let mut network = with_links(40, 62, &rows.version(1));
     let (replicas, far): (Vec<usize>, Vec<usize>) = ((0..5).collect(), (7..40).collect());
-    network.split(&replicas, &far, true);
+    network.set_partition(&replicas, &far, true);
     rows.add(1_400);
     commit_everywhere(&mut network, &rows.version(2));
     network.run_for(20 * SECOND);
@@ -94,7 +94,7 @@
 
 // Guards against a host that asks only those that held replicas when it began to fetch.
 #[test]
-fn a_host_asks_the_replicas_of_now_for_what_it_has_awaited_for_long() {
+fn a_host_asks_the_current_replicas_for_an_awaited_version() {
     let ring = PeerRing::default();
     let (old, new, own) = (host_name(1), host_name(2), host_name(3));
     let mut entry = PlanFollower::new(own.clone(), 1);
@@ -151,18 +151,18 @@
         holder.committed(plan);
         entry.apply_replicas(&names[..1]);
         let mut pair = Self { names, rings, holder, entry, now: at(1) };
-        pair.lead();
+        pair.confirm_leader();
         pair
     }
 
-    fn lead(&mut self) {
+    fn confirm_leader(&mut self) {
         let replicas = ReplicaSet { index: 1, hosts: vec![self.names[0].clone()] };
         self.holder.lead(1, replicas, self.now);
     }
 
     fn accept(&mut self, plan: &StoredPlan) {
         self.holder.committed(plan);
-        self.lead();
+        self.confirm_leader();
     }
 
     /// Lets time pass; what each message to the entry becomes is up to the caller.
@@ -170,7 +170,7 @@
         for _ in 0..millis {
             self.now = self.now + Duration::from_millis(1);
             if self.now.micros().is_multiple_of(200_000) {
-                self.lead();
+                self.confirm_leader();
             }
             let mut asked = self.entry.tick(self.now, &self.rings[1]);
             let mut told = self.holder.tick(self.now, &self.rings[0]);
@@ -192,45 +192,45 @@
 
 // Guards against a host that gives up what has come because the one asked has no room for a while.
 #[test]
-fn a_host_keeps_what_has_come_while_the_holder_has_no_room() {
+fn a_host_keeps_received_chunks_while_the_holder_has_no_room() {
     let mut rows = RouteRows::new(64);
     rows.add(1_400);
     let plan = rows.version(1);
-    let mut quick = HostPair::new(64, 125_000_000.0, &plan);
-    quick.run(3_000, |body| Some(body.to_vec()));
-    assert_eq!(quick.entry.version(), ConfigVersion(1));
+    let mut fast = HostPair::new(64, 125_000_000.0, &plan);
+    fast.run(3_000, |body| Some(body.to_vec()));
+    assert_eq!(fast.entry.version(), ConfigVersion(1));
     let mut slow = HostPair::new(64, 60_000.0, &plan);
     slow.run(10_000, |body| Some(body.to_vec()));
     assert_eq!(slow.entry.version(), ConfigVersion(1));
     let counts = slow.entry.spread_counts();
-    assert_eq!(counts.chunks_taken, quick.chunks_taken(), "{counts:?}");
+    assert_eq!(counts.chunks_taken, fast.chunks_taken(), "{counts:?}");
 }
 
 // Guards against whole plans for every later change, once one way to a plan was damaged.
 #[test]
-fn a_way_that_was_damaged_once_makes_no_later_change_a_whole_plan() {
+fn a_damaged_difference_does_not_make_later_changes_fetch_whole_plans() {
     let mut rows = RouteRows::new(65);
     rows.add(1_400);
     let mut pair = HostPair::new(65, 125_000_000.0, &rows.version(1));
     pair.run(3_000, |body| Some(body.to_vec()));
     assert_eq!(pair.entry.version(), ConfigVersion(1));
     let whole = pair.chunks_taken();
-    (0..20).for_each(|row| rows.weigh(row, 90));
+    (0..20).for_each(|row| rows.set_weight(row, 90));
     pair.accept(&rows.version(2));
-    let (mut is_damaged, mut let_through) = (false, 10);
+    let (mut is_damaged, mut messages_left) = (false, 10);
     pair.run(350, |body| {
         let mut body = body.to_vec();
         if !is_damaged && body.len() > 400 {
             is_damaged = true;
             *body.last_mut()? ^= 0x55;
         } else if body.len() > 1_000 {
-            let_through -= 1;
+            messages_left -= 1;
         }
-        (let_through > 0).then_some(body)
+        (messages_left > 0).then_some(body)
     });
     assert!(is_damaged && pair.entry.spread_counts().dropped_paths == 1);
     assert_eq!(pair.entry.version(), ConfigVersion(1));
-    rows.weigh(20, 90);
+    rows.set_weight(20, 90);
     pair.accept(&rows.version(3));
     pair.run(3_000, |body| Some(body.to_vec()));
     assert_eq!(pair.entry.version(), ConfigVersion(3));
@@ -273,12 +273,12 @@
 
 // Guards against a holder that counts what it is asked for: most changes take one small chunk.
 #[test]
-fn what_a_holder_may_pass_on_counts_by_what_it_sends() {
+fn a_holder_charges_its_send_budget_by_bytes_sent() {
     let mut rows = RouteRows::new(67);
     rows.add(20);
     let mut pair = HostPair::new(67, 175_000.0, &rows.version(1));
     pair.run(3_000, |body| Some(body.to_vec()));
-    rows.weigh(3, 90);
+    rows.set_weight(3, 90);
     let (later, now) = (rows.version(2), pair.now);
     pair.accept(&later);
     let told = pair.holder.tick(now, &pair.rings[0]);
@@ -299,20 +299,28 @@
 
 // Guards against a control thread that is woken again and again with nothing to do.
 #[test]
-fn a_host_that_has_done_what_is_due_has_nothing_due() {
+fn a_tick_leaves_no_wakeup_due() {
     let mut rows = RouteRows::new(68);
     rows.add(48);
     let mut network = with_links(24, 68, &rows.version(1));
     let replicas = network.replicas.hosts.clone();
     network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
-    network.weather.loss = 0.1;
-    network.weather.doubles = 0.1;
+    network.conditions.loss = 0.1;
+    network.conditions.duplicates = 0.1;
     rows.add(1_400);
     for version in 2..40 {
-        rows.weigh(version as usize, 90);
+        rows.set_weight(version as usize, 90);
         match version {
-            10 => network.split(&(0..5).collect::<Vec<_>>(), &(9..24).collect::<Vec<_>>(), true),
-            20 => network.split(&(0..5).collect::<Vec<_>>(), &(9..24).collect::<Vec<_>>(), false),
+            10 => network.set_partition(
+                &(0..5).collect::<Vec<_>>(),
+                &(9..24).collect::<Vec<_>>(),
+                true,
+            ),
+            20 => network.set_partition(
+                &(0..5).collect::<Vec<_>>(),
+                &(9..24).collect::<Vec<_>>(),
+                false,
+            ),
             25 => network.restart(20),
             30 => (1..5).for_each(|replica| network.restart(replica)),
             _ => {}
--- a/crates/pulley_core/tests/members/restart_tests.rs
+++ b/crates/pulley_core/tests/members/restart_tests.rs
@@ -74,7 +74,7 @@
 /// for each of them small hosts are busy with datagrams for seconds; news that comes together must
 /// go together, and still be everywhere within moments.
 #[test]
-fn news_of_many_upstreams_goes_together() {
+fn updates_of_many_upstreams_are_batched() {
     const HOSTS: usize = 60;
     const UPSTREAMS: usize = 100;
     let mut network = Network::new(HOSTS, 43);
--- a/crates/pulley_core/tests/members/route_rows.rs
+++ b/crates/pulley_core/tests/members/route_rows.rs
@@ -37,7 +37,7 @@
     }
 
     /// Changes what part of the requests one row gets.
-    pub(crate) fn weigh(&mut self, row: usize, weight: u32) {
+    pub(crate) fn set_weight(&mut self, row: usize, weight: u32) {
         self.plan.kinds[row].route.weight = weight;
     }
 
--- a/crates/pulley_core/tests/members/schedule_tests.rs
+++ b/crates/pulley_core/tests/members/schedule_tests.rs
@@ -7,7 +7,7 @@
 use pulley_core::{ConfigVersion, Moment};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
-use crate::network::{Network, Weather, announcement, host_name};
+use crate::network::{Network, NetworkConditions, announcement, host_name};
 
 const HOSTS: usize = 9;
 const UPSTREAMS: usize = 8;
@@ -21,8 +21,8 @@
     Pause(usize, u64),
     CutPath(usize, usize),
     CutHost(usize),
-    Mend,
-    Weather(u8, u8),
+    Heal,
+    Conditions(u8, u8),
     Publish,
     NewLeader(usize),
     Drain(usize),
@@ -38,8 +38,8 @@
             1 => Self::Pause(host, u64::arbitrary(g) % 6_000),
             2 | 3 => Self::CutPath(host, usize::arbitrary(g) % HOSTS),
             4 => Self::CutHost(host),
-            5 => Self::Mend,
-            6 => Self::Weather(u8::arbitrary(g) % 20, u8::arbitrary(g) % 20),
+            5 => Self::Heal,
+            6 => Self::Conditions(u8::arbitrary(g) % 20, u8::arbitrary(g) % 20),
             7 | 8 => Self::Publish,
             9 => Self::NewLeader(host % 5),
             10 => Self::Drain(upstream),
@@ -113,13 +113,13 @@
             }
             Fault::CutHost(host) => {
                 let others: Vec<usize> = (0..HOSTS).filter(|other| *other != host).collect();
-                self.network.split(&[host], &others, true);
+                self.network.set_partition(&[host], &others, true);
             }
-            Fault::Mend => self.network.cuts.clear(),
-            Fault::Weather(loss, doubles) => {
-                self.network.weather = Weather {
+            Fault::Heal => self.network.cuts.clear(),
+            Fault::Conditions(loss, duplicates) => {
+                self.network.conditions = NetworkConditions {
                     loss: f64::from(loss) / 100.0,
-                    doubles: f64::from(doubles) / 100.0,
+                    duplicates: f64::from(duplicates) / 100.0,
                     delay: (200, 40_000),
                 };
             }
@@ -255,7 +255,7 @@
         model.run(8)?;
     }
     model.network.cuts.clear();
-    model.network.weather = Weather::default();
+    model.network.conditions = NetworkConditions::default();
     model.run(250)?;
     model.check_settled()
 }
@@ -265,7 +265,7 @@
 /// to an upstream that leaves, or hosts that don't find each other afterwards.
 #[test]
 #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes its arguments so")]
-fn what_must_hold_holds_through_random_faults() {
+fn invariants_hold_through_random_faults() {
     fn property(seed: u64, faults: Vec<Fault>) -> TestResult {
         match run_schedule(seed, &faults) {
             Ok(()) => TestResult::passed(),
@@ -287,7 +287,7 @@
     fn property(seed: u64, cuts: Vec<(usize, usize)>) -> TestResult {
         let mut network = Network::new(HOSTS, seed);
         network.run_for(Duration::from_secs(5));
-        network.weather.loss = 0.03;
+        network.conditions.loss = 0.03;
         let pairs = cuts.iter().map(|(from, to)| (from % HOSTS, to % HOSTS));
         network.cuts = pairs.filter(|(from, to)| from != to).take(3).collect();
         let mut dead_for = 0;
--- a/crates/pulley_core/tests/members/upstream_directory_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_directory_tests.rs
@@ -13,7 +13,7 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 
 /// What a registry that knows upstreams `0..count` writes down.
-fn written(count: usize) -> UpstreamDirectory {
+fn saved_directory(count: usize) -> UpstreamDirectory {
     let mut registry = UpstreamRegistry::new();
     let now = Moment::ZERO;
     for upstream in 0..count {
@@ -34,7 +34,7 @@
     let mut network = Network::new(40, 21);
     network.run_for(Duration::from_secs(2));
     let now = network.now;
-    let directory = written(200);
+    let directory = saved_directory(200);
     for replica in 0..5 {
         network.hosts[replica].registry.recall(now, directory.clone(), |_| false);
         for entry in (5..40).filter(|entry| entry % 5 == replica) {
@@ -54,10 +54,10 @@
 /// that comes back has written it down before that. Were it taken for an upstream
 /// again, callers would be sent to a process that is about to end.
 #[test]
-fn what_has_left_is_not_recalled() {
+fn departed_upstreams_are_not_recalled() {
     let left = start_of(&announcement(1, 1, 1));
     let mut registry = UpstreamRegistry::new();
-    let recalled = registry.recall(Moment::ZERO, written(3), |start| *start == left);
+    let recalled = registry.recall(Moment::ZERO, saved_directory(3), |start| *start == left);
     assert_eq!(recalled, 2);
     assert!(!registry.takes_work(Moment::ZERO, &left.id));
     let kept = registry.directory(Moment::ZERO, |start| start.id == announcement(0, 1, 1).id);
@@ -68,18 +68,18 @@
 /// replica before that has read its disk. What the disk says of its earlier start must change
 /// nothing: callers would be sent to the old address, which another service may use.
 #[test]
-fn what_an_upstream_says_itself_goes_before_what_was_written_down() {
+fn an_announcement_takes_precedence_over_a_recalled_record() {
     let mut registry = UpstreamRegistry::new();
     let moved = Announcement { address: "10.9.9.9:8000".parse().unwrap(), ..announcement(0, 2, 1) };
     registry.announce(Moment::ZERO, moved.clone()).unwrap();
-    assert_eq!(registry.recall(Moment::ZERO, written(1), |_| false), 0);
+    assert_eq!(registry.recall(Moment::ZERO, saved_directory(1), |_| false), 0);
     // The other way round: what was recalled gives way to the first word of the upstream.
     let mut other = UpstreamRegistry::new();
-    assert_eq!(other.recall(Moment::ZERO, written(1), |_| false), 1);
+    assert_eq!(other.recall(Moment::ZERO, saved_directory(1), |_| false), 1);
     let late = Moment::ZERO + Duration::from_secs(2);
     other.announce(late, moved.clone()).unwrap();
     for registry in [&registry, &other] {
-        let pools = registry.pool_records(late);
+        let pools = registry.rebuild_pools(late);
         assert_eq!(pools[&moved.pool][0].announcement, moved);
     }
 }
@@ -89,7 +89,7 @@
 #[test]
 fn a_recalled_lease_is_short() {
     let mut registry = UpstreamRegistry::with_lease(Duration::from_secs(6));
-    registry.recall(Moment::ZERO, written(2), |_| false);
+    registry.recall(Moment::ZERO, saved_directory(2), |_| false);
     let (silent, alive) = (announcement(0, 1, 1), announcement(1, 1, 2));
     registry.announce(Moment::ZERO + Duration::from_secs(1), alive.clone()).unwrap();
     let early = Moment::ZERO + Duration::from_millis(1_500);
@@ -104,10 +104,10 @@
 #[test]
 fn a_drain_after_a_recall_holds_everywhere() {
     let mut registry = UpstreamRegistry::new();
-    registry.recall(Moment::ZERO, written(1), |_| false);
+    registry.recall(Moment::ZERO, saved_directory(1), |_| false);
     let draining = Announcement { phase: UpstreamPhase::Draining, ..announcement(0, 1, 2) };
     registry.announce(Moment::ZERO, draining.clone()).unwrap();
-    assert_eq!(registry.recall(Moment::ZERO, written(1), |_| false), 0);
+    assert_eq!(registry.recall(Moment::ZERO, saved_directory(1), |_| false), 0);
     assert!(!registry.takes_work(Moment::ZERO, &draining.id));
     let (start, _) = registry.departure(&draining.id).unwrap();
     assert_eq!(start.incarnation, Incarnation(1));
@@ -117,7 +117,7 @@
 /// for asked, the replica would recall nothing, and callers would be refused until all upstreams have
 /// announced themselves again.
 #[test]
-fn a_recall_whose_question_was_not_taken_asks_again() {
+fn a_recall_question_that_was_not_accepted_is_asked_again() {
     let mut proof = RecallProof::default();
     assert!(proof.is_wanted());
     proof.begin_asking();
--- a/crates/pulley_core/tests/members/upstream_registry_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_registry_tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn takers(network: &Network, upstream: usize) -> usize {
+fn hosts_using(network: &Network, upstream: usize) -> usize {
     let id = announcement(upstream, 1, 1).id;
     let hosts = network.hosts.iter().filter(|host| host.up);
     hosts.filter(|host| host.registry.takes_work(network.now, &id)).count()
@@ -38,7 +38,12 @@
     for second in 4..30 {
         announce_for(&mut network, 40, second, 1);
         for upstream in 0..40 {
-            assert_eq!(takers(&network, upstream), 30, "upstream {upstream} at {}", network.now);
+            assert_eq!(
+                hosts_using(&network, upstream),
+                30,
+                "upstream {upstream} at {}",
+                network.now
+            );
         }
     }
 }
@@ -50,11 +55,11 @@
     let mut network = Network::new(30, 12);
     network.run_for(3 * SECOND);
     announce_for(&mut network, 10, 1, 5);
-    assert_eq!(takers(&network, 9), 30);
+    assert_eq!(hosts_using(&network, 9), 30);
     // Upstreams 0 to 8 live on; the last announcement of 9 is a second old.
     announce_for(&mut network, 9, 6, 2);
-    assert_eq!(takers(&network, 9), 0);
-    assert_eq!(takers(&network, 8), 30);
+    assert_eq!(hosts_using(&network, 9), 0);
+    assert_eq!(hosts_using(&network, 8), 30);
 }
 
 /// An upstream announces that it drains, and a late copy of an earlier announcement arrives at
@@ -69,10 +74,10 @@
     network.announce(2, draining);
     network.announce(9, announcement(3, 1, 6));
     network.run_for(SECOND);
-    assert_eq!(takers(&network, 3), 0);
+    assert_eq!(hosts_using(&network, 3), 0);
     announce_for(&mut network, 5, 7, 3);
-    assert_eq!(takers(&network, 3), 0);
-    assert_eq!(takers(&network, 2), 10);
+    assert_eq!(hosts_using(&network, 3), 0);
+    assert_eq!(hosts_using(&network, 2), 10);
 }
 
 /// A reply says that its upstream drains. The host that got it sends nothing more there at once,
@@ -86,11 +91,11 @@
     network.hosts[4].registry.observe_drain(now, &id);
     assert!(!network.hosts[4].registry.takes_work(now, &id));
     network.run_for(Duration::from_millis(500));
-    assert_eq!(takers(&network, 1), 0);
+    assert_eq!(hosts_using(&network, 1), 0);
     // Its next start works again.
     network.announce(0, announcement(1, 2, 1));
     network.run_for(SECOND);
-    assert_eq!(takers(&network, 1), 30);
+    assert_eq!(hosts_using(&network, 1), 30);
 }
 
 /// Two processes are started with one id by mistake. If both were taken in turn, each reply of one
@@ -103,13 +108,13 @@
     let second = Announcement { address: announcement(2, 6, 1).address, ..announcement(1, 6, 1) };
     assert_eq!(registry.announce(now, first.clone()), Ok(AnnounceOutcome::Registered));
     let refused = registry.announce(now, second.clone());
-    let fault = RegistryFault::AddressTaken { id: first.id.clone(), holder: first.address };
+    let fault = RegistryFault::IdInUse { id: first.id.clone(), holder: first.address };
     assert_eq!(refused, Err(fault));
     // Once the first's lease has run out, the id is free.
     let later = now + Duration::from_millis(3_100);
     assert_eq!(registry.announce(later, second), Ok(AnnounceOutcome::Registered));
     let outranked = registry.announce(later + 4 * SECOND, first);
-    assert!(matches!(outranked, Err(RegistryFault::Outranked { .. })));
+    assert!(matches!(outranked, Err(RegistryFault::StaleIncarnation { .. })));
 }
 
 #[test]
@@ -124,18 +129,18 @@
         assert!(network.now.since(before) < 2 * SECOND);
     }
     announce_for(&mut network, 200, 6, 3);
-    let all = (0..200).map(|upstream| takers(&network, upstream)).min();
+    let all = (0..200).map(|upstream| hosts_using(&network, upstream)).min();
     assert_eq!(all, Some(10));
 }
 
 /// An upstream says goodbye to a host that has just lost its way to most others. Whoever that host
 /// still reaches must hear of it directly: passed on from host to host it would get lost.
 #[test]
-fn a_departure_is_told_to_every_host_directly() {
+fn a_departure_is_sent_to_every_host_directly() {
     let mut network = Network::new(20, 21);
     network.run_for(3 * SECOND);
     announce_for(&mut network, 5, 1, 3);
-    assert_eq!(takers(&network, 3), 20);
+    assert_eq!(hosts_using(&network, 3), 20);
     // Every path but those of host 0 is cut.
     for from in 1..20 {
         for to in (1..20).filter(|to| *to != from) {
@@ -145,13 +150,13 @@
     let id = announcement(3, 1, 1).id;
     network.announce_gone(0, &id);
     network.run_for(Duration::from_millis(100));
-    assert_eq!(takers(&network, 3), 0);
+    assert_eq!(hosts_using(&network, 3), 0);
 }
 
 /// A goodbye was under way for long, while its upstream started anew under the same id. The new
 /// start must go on getting work.
 #[test]
-fn a_late_goodbye_of_an_earlier_start_changes_nothing() {
+fn a_late_departure_of_an_earlier_incarnation_changes_nothing() {
     let mut registry = UpstreamRegistry::new();
     let now = Moment::ZERO + SECOND;
     let first = announcement(1, 5, 1);
@@ -174,7 +179,7 @@
 /// Upstreams that announce themselves every second and a half, some late, keep their lease where it
 /// is set long enough.
 #[test]
-fn a_longer_lease_bears_rarer_announcements() {
+fn a_longer_lease_allows_rarer_announcements() {
     let mut registry = UpstreamRegistry::with_lease(6 * SECOND);
     let now = Moment::ZERO + SECOND;
     let upstream = announcement(1, 5, 1);
@@ -197,10 +202,10 @@
     }
     announce_for(&mut network, upstreams, 7, 4);
     for upstream in [0, 1, 1_700, 3_398, 3_399] {
-        assert_eq!(takers(&network, upstream), 6, "upstream {upstream}");
+        assert_eq!(hosts_using(&network, upstream), 6, "upstream {upstream}");
     }
     let taking = |host: &crate::network::Host| {
-        let lists = host.registry.pool_records(network.now);
+        let lists = host.registry.rebuild_pools(network.now);
         lists.values().flat_map(|list| list.iter()).filter(|record| record.takes_work).count()
     };
     for host in &network.hosts {
--- a/crates/pulley_core/tests/members/wide_change.rs
+++ b/crates/pulley_core/tests/members/wide_change.rs
@@ -7,7 +7,7 @@
 use pulley_core::version::{LogIndex, PlanStanding, ReplicaSet, StoredPlan};
 use pulley_core::{ConfigVersion, HostId, Moment};
 
-use super::link_model::{LinkFigures, LinkModel, LinkTerms};
+use super::link_model::{LinkModel, LinkStats, LinkTerms};
 use super::network::{Host, Kind, Network, host_name};
 use super::route_rows::RouteRows;
 
@@ -19,7 +19,7 @@
 /// The versions: before, with the added rows, with one weight changed.
 const VERSIONS: [u64; 3] = [3, 6, 8];
 /// How long after the first change the second is accepted.
-const BETWEEN: Duration = Duration::from_millis(100);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long after the one before it a replica learns that a version is committed.
 const REPLICA_LAG: Duration = Duration::from_millis(2);
 const STEP: Duration = Duration::from_millis(1);
@@ -37,18 +37,18 @@
 
 /// What was seen of a change.
 #[derive(Clone, Debug)]
-pub(crate) struct ChangeFigures {
+pub(crate) struct ChangeStats {
     /// By host, how long after its acceptance the last version was in force; none if not in time.
     pub(crate) in_force: Vec<Option<Duration>>,
     /// By host, how much it sent of messages that spread the configuration.
     pub(crate) sent: Vec<u64>,
     /// By host, what was seen of its link: sending and receiving.
-    pub(crate) links: Vec<[LinkFigures; 2]>,
+    pub(crate) links: Vec<[LinkStats; 2]>,
     /// From the first acceptance to the end.
     pub(crate) watched: Duration,
 }
 
-impl ChangeFigures {
+impl ChangeStats {
     /// How many hosts lack the last version in the end.
     pub(crate) fn lacking(&self) -> usize {
         self.in_force.iter().filter(|time| time.is_none()).count()
@@ -64,18 +64,18 @@
 
     /// The longest queue at a link of the entries.
     pub(crate) fn longest_queue(&self) -> Duration {
-        self.entry_queues().map(|figures| figures.longest).max().unwrap_or_default()
+        self.entry_queues().map(|stats| stats.longest).max().unwrap_or_default()
     }
 
     /// In which part of the entries' time a queue at their links was long.
     pub(crate) fn long_share(&self) -> f64 {
-        let long: Duration = self.entry_queues().map(|figures| figures.long_time).sum();
+        let long: Duration = self.entry_queues().map(|stats| stats.long_time).sum();
         long.as_secs_f64() / (self.watched.as_secs_f64() * self.entry_queues().count() as f64)
     }
 
     /// How many datagrams were dropped at links of entries.
     pub(crate) fn dropped(&self) -> u64 {
-        self.entry_queues().map(|figures| figures.dropped).sum()
+        self.entry_queues().map(|stats| stats.dropped).sum()
     }
 
     /// The mean and the most that hosts of a range sent.
@@ -85,26 +85,26 @@
         (sent.iter().sum::<u64>() / sent.len().max(1) as u64, most)
     }
 
-    fn entry_queues(&self) -> impl Iterator<Item = &LinkFigures> {
+    fn entry_queues(&self) -> impl Iterator<Item = &LinkStats> {
         self.links.iter().skip(REPLICAS).flatten()
     }
 }
 
 impl WideChange {
     /// Makes both changes and watches until the last version is in force everywhere, but at least
-    /// for `least` and at most for `most` after its acceptance.
-    pub(crate) fn run(&self, least: Duration, most: Duration) -> ChangeFigures {
+    /// for `min_time` and at most for `max_time` after its acceptance.
+    pub(crate) fn run(&self, min_time: Duration, max_time: Duration) -> ChangeStats {
         let mut rows = RouteRows::new(self.seed);
         rows.add(ROWS_BEFORE);
         let mut network = self.network(&rows.version(VERSIONS[0]));
         rows.add(self.added_rows);
         let first = rows.version(VERSIONS[1]);
-        rows.weigh(ROWS_BEFORE / 2, 90);
+        rows.set_weight(ROWS_BEFORE / 2, 90);
         let last = rows.version(VERSIONS[2]);
 
         let begun = network.now;
         accept(&mut network, &first);
-        network.run_until(begun + BETWEEN);
+        network.run_until(begun + CHANGE_INTERVAL);
         let accepted = network.now;
         let mut in_force = vec![None; self.hosts];
         let mut replicas = (0..REPLICAS).zip(0..).peekable();
@@ -113,10 +113,10 @@
             if let Some((replica, _)) = replicas.next_if(is_due) {
                 commit(&mut network, replica, &last);
             }
-            note_in_force(&network, accepted, &mut in_force);
+            record_in_force(&network, accepted, &mut in_force);
             let watched = network.now.since(accepted);
-            let is_done = in_force.iter().all(Option::is_some) && watched >= least;
-            if is_done || watched >= most {
+            let is_done = in_force.iter().all(Option::is_some) && watched >= min_time;
+            if is_done || watched >= max_time {
                 break;
             }
             network.run_for(STEP);
@@ -125,8 +125,8 @@
         let sent = network.hosts.iter().map(sent).collect();
         let now = network.now;
         let links = network.links.as_mut().expect("links were set");
-        let links = (0..self.hosts).map(|host| links.figures(host, now)).collect();
-        ChangeFigures { in_force, sent, links, watched: now.since(begun) }
+        let links = (0..self.hosts).map(|host| links.stats(host, now)).collect();
+        ChangeStats { in_force, sent, links, watched: now.since(begun) }
     }
 
     /// Hosts that know each other and have the first version in force, with links at rest.
@@ -166,7 +166,7 @@
     network.commit(replica, plan);
 }
 
-fn note_in_force(network: &Network, accepted: Moment, in_force: &mut [Option<Duration>]) {
+fn record_in_force(network: &Network, accepted: Moment, in_force: &mut [Option<Duration>]) {
     let wanted = PlanStanding::InForce(ConfigVersion(VERSIONS[2]));
     for (host, time) in network.hosts.iter().zip(in_force) {
         if time.is_none() && host.plans.standing(network.now) == wanted {
--- a/crates/pulley_core/tests/members/wide_change_tests.rs
+++ b/crates/pulley_core/tests/members/wide_change_tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::link_model::LinkTerms;
-use crate::wide_change::{ChangeFigures, REPLICAS, WideChange};
+use crate::wide_change::{ChangeStats, REPLICAS, WideChange};
 
 /// A change is in force everywhere this long after its acceptance.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
@@ -13,27 +13,27 @@
 const LONG_QUEUE: Duration = Duration::from_millis(100);
 const LONG_SHARE: f64 = 0.01;
 
-fn change_of(added_rows: usize) -> ChangeFigures {
+fn change_of(added_rows: usize) -> ChangeStats {
     let entry_link = LinkTerms { rate: 175_000, callers: 87_500 };
     let change =
         WideChange { hosts: 186, entry_link, added_rows, long_queue: LONG_QUEUE, seed: 51 };
     change.run(IN_FORCE_WITHIN, IN_FORCE_WITHIN)
 }
 
-fn assert_in_force(figures: &ChangeFigures) {
-    let (entries, replicas) = (figures.sent_by(REPLICAS..186), figures.sent_by(0..REPLICAS));
+fn assert_in_force(stats: &ChangeStats) {
+    let (entries, replicas) = (stats.sent_by(REPLICAS..186), stats.sent_by(0..REPLICAS));
     assert_eq!(
-        figures.lacking(),
+        stats.lacking(),
         0,
         "hosts without the last version {IN_FORCE_WITHIN:?} after its acceptance; half had it after \
          {:?}; entries sent {entries:?} bytes (mean, most), replicas {replicas:?}",
-        figures.part_in_force(0.5),
+        stats.part_in_force(0.5),
     );
 }
 
-fn assert_links_free(figures: &ChangeFigures) {
-    let (longest, share) = (figures.longest_queue(), figures.long_share());
-    let dropped = figures.dropped();
+fn assert_links_free(stats: &ChangeStats) {
+    let (longest, share) = (stats.longest_queue(), stats.long_share());
+    let dropped = stats.dropped();
     assert!(
         longest <= LONGEST_QUEUE && share <= LONG_SHARE,
         "a queue of {longest:?} at a link of an entry, in {:.1} % of the time one over \
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn a_change_of_few_rows_is_in_force_everywhere_and_holds_up_nobody() {
-    let figures = change_of(10);
-    assert_in_force(&figures);
-    assert_links_free(&figures);
+fn a_change_of_few_rows_is_in_force_everywhere_and_delays_no_caller() {
+    let stats = change_of(10);
+    assert_in_force(&stats);
+    assert_links_free(&stats);
 }
