--- a/crates/pulley_core/src/process/registry/lease_bucket.rs
+++ b/crates/pulley_core/src/process/registry/lease_bucket.rs
@@ -1,4 +1,4 @@
-//! A part of the registry whose upstreams are numbered by the order of their ids.
+//! A part of the registry in which upstreams are numbered in the order of their ids.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 use super::shared_clock::LeaseEpoch;
 use super::{UpstreamId, UpstreamSequence};
 
-/// How many buckets the registry has.
+/// The number of buckets in the registry.
 pub(crate) const BUCKETS: usize = 64;
-/// The code of a lease that ran out, or never was.
+/// The age code of a lease that has expired or never existed.
 pub(crate) const CODE_EXPIRED: u8 = 7;
 
-/// One upstream with its lease.
+/// One upstream and its lease.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseEntry {
     pub(crate) record: LeaseRecord,
-    /// In which epoch somebody last heard from it.
+    /// The epoch in which any host last heard from it.
     pub(crate) renewed: LeaseEpoch,
-    /// The latest sequence number this host heard itself.
+    /// The latest sequence number that this host received itself.
     pub(crate) last_sequence: UpstreamSequence,
-    /// Whether it took work when last looked at; a difference is a change of the view.
+    /// Whether it took work at the last check. A difference changes the view.
     pub(crate) took_work: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl LeaseBucket {
-    /// The bucket an upstream belongs to.
+    /// Returns the index of the bucket that an upstream belongs to.
     pub(crate) fn index_of(id: &UpstreamId) -> usize {
         (id_hash(id) >> 32) as usize % BUCKETS
     }
@@ -46,7 +46,7 @@
         self.entries.len()
     }
 
-    /// A digest of the records; hosts with equal digests number the upstreams alike.
+    /// A digest of the records. Hosts with equal digests number the upstreams in the same way.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
@@ -63,7 +63,8 @@
         self.entries.values()
     }
 
-    /// The entries, for a change of leases only: a change of a record must go through `insert`.
+    /// The entries, for changes to leases only. Changes to records must go through `insert`, which
+    /// updates the digest.
     pub(crate) fn leases_mut(&mut self) -> impl Iterator<Item = &mut LeaseEntry> {
         self.entries.values_mut()
     }
@@ -77,7 +78,7 @@
         self.update_digest();
     }
 
-    /// Takes out the entries not renewed since an epoch.
+    /// Removes and returns the entries that were not renewed since `before`.
     pub(crate) fn remove_before(&mut self, before: LeaseEpoch) -> Vec<LeaseEntry> {
         if self.entries.values().all(|entry| entry.renewed >= before) {
             return Vec::new();
@@ -90,7 +91,7 @@
         removed.into_values().collect()
     }
 
-    /// The age of each lease in epochs, in the order of the ids.
+    /// The age code of each lease in epochs, in the order of the ids.
     pub(crate) fn codes(&self, at: LeaseEpoch) -> impl Iterator<Item = u8> {
         self.entries.values().map(move |entry| {
             let age = entry.renewed.age(at).min(u32::from(CODE_EXPIRED));
--- a/crates/pulley_core/src/process/registry/lease_record.rs
+++ b/crates/pulley_core/src/process/registry/lease_record.rs
@@ -1,4 +1,4 @@
-//! One upstream's announcement as hosts gossip it, and how two of them are merged.
+//! One upstream's announcement as hosts gossip it, and the merge of two such records.
 
 use std::cmp::Ordering;
 use std::hash::{BuildHasher, BuildHasherDefault};
@@ -7,11 +7,11 @@
 
 use super::{Announcement, UpstreamId, UpstreamPhase, UpstreamStart};
 
-/// What holds of an upstream: the latest change it announced, and whether a host drains it.
+/// The state of an upstream: its latest announced change, and whether a host drains it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRecord {
     pub(crate) announcement: Announcement,
-    /// Set by a reply of the upstream or by an operator; holds for the incarnation.
+    /// Set by a reply of the upstream or by an operator. Applies to this incarnation only.
     pub(crate) drained: bool,
 }
 
@@ -29,11 +29,12 @@
         self.announcement.phase.takes_work() && !self.drained
     }
 
-    /// Merges what another host holds of the same upstream; every order of merges ends the same.
+    /// Merges another host's record of the same upstream. The order of merges does not matter.
     ///
-    /// A later incarnation replaces an earlier one. Within one, the way is only from working over
-    /// draining to gone, whatever the sequence: a message that was under way for long would else
-    /// bring work back to an upstream that leaves, and its callers would see refused connections.
+    /// A later incarnation replaces an earlier one. Within an incarnation the phase only moves
+    /// forward, from working to draining to gone, whatever the sequence number. Otherwise a delayed
+    /// message would send work again to an upstream that is leaving, and its callers would see
+    /// refused connections.
     pub(crate) fn merged(&self, other: &Self) -> Self {
         match self.precedence().cmp(&other.precedence()) {
             Ordering::Less if self.is_same_start(other) => {
@@ -47,13 +48,13 @@
         }
     }
 
-    /// Whether two records are of one start of one process.
+    /// Whether both records belong to the same incarnation of the same process.
     pub(crate) fn is_same_start(&self, other: &Self) -> bool {
         let (ours, theirs) = (&self.announcement, &other.announcement);
         ours.incarnation == theirs.incarnation && ours.address == theirs.address
     }
 
-    /// Whether an announcement says nothing new but that the upstream lives.
+    /// Whether an announcement only renews the lease and changes nothing else.
     pub(crate) fn is_renewed_by(&self, announcement: &Announcement) -> bool {
         let sequence = self.announcement.sequence;
         Announcement { sequence, ..announcement.clone() } == self.announcement
@@ -66,8 +67,8 @@
         hash_of(&(&announcement.id, endpoint, order, self.drained))
     }
 
-    /// Orders records of one upstream. Of two processes that use one id and incarnation, the one
-    /// with the lower address wins everywhere, whoever was heard of first.
+    /// The key that decides which of two records of one upstream wins. If two processes use the
+    /// same id and incarnation, the lower address wins on every host, regardless of arrival order.
     fn precedence(&self) -> impl Ord + '_ {
         let announcement = &self.announcement;
         let address = std::cmp::Reverse(announcement.address);
@@ -78,7 +79,7 @@
     }
 }
 
-/// How far an upstream is on its way out.
+/// The rank of a phase on the way from working to gone.
 pub(crate) const fn phase_rank(phase: UpstreamPhase) -> u8 {
     match phase {
         UpstreamPhase::Warming | UpstreamPhase::Ready => 0,
@@ -87,7 +88,7 @@
     }
 }
 
-/// The hash that numbers an upstream in messages.
+/// The hash that identifies an upstream in messages.
 pub(crate) fn id_hash(id: &UpstreamId) -> u64 {
     hash_of(id)
 }
--- a/crates/pulley_core/src/process/registry/lease_table.rs
+++ b/crates/pulley_core/src/process/registry/lease_table.rs
@@ -1,4 +1,4 @@
-//! The registry's upstreams in their buckets, bounded in number.
+//! All buckets of the registry, with a limit on the number of upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
     ZoneName,
 };
 
-/// How many upstreams are known at most, expired ones included; some 5 MB on each host.
+/// The largest number of known upstreams, including expired ones: about 5 MB on each host.
 ///
-/// Past it hosts hold different upstreams, and compare all of them for ever without coming to agree.
-/// It therefore lies far beyond the planned 1,200, each of which may be replaced under a new id
-/// several times within the retention.
+/// Beyond the limit hosts keep different upstreams and compare all of them forever without
+/// converging. It therefore lies far above the planned 1,200, each of which may be replaced under a
+/// new id several times within the retention.
 pub const UPSTREAM_LIMIT: usize = 16_384;
 /// For how many epochs an expired upstream is remembered: 10 minutes. Until then a late message
-/// can't bring back what drained.
+/// can't revive an upstream that has drained.
 const RETENTION_EPOCHS: u32 = 1_200;
 
 /// All known upstreams.
@@ -27,13 +27,13 @@
 pub(crate) struct LeaseTable {
     buckets: Vec<LeaseBucket>,
     count: usize,
-    /// Grows with every change of what traffic may use.
+    /// Increases with every change of what traffic may use.
     pub(crate) changes: u64,
-    /// What traffic may use, as of the last [`Self::pools`].
+    /// What traffic may use, as of the last call of [`Self::pools`].
     pools: FastMap<PoolName, UpstreamList>,
-    /// Upstreams that have changed since, each with the pool it belonged to.
+    /// Upstreams changed since then, each with the pool in which it was last listed.
     dirty: FastMap<UpstreamId, PoolName>,
-    /// Zones whose upstreams get no work, in the order of their names.
+    /// Zones whose upstreams get no work, sorted by name.
     evacuated_zones: Vec<ZoneName>,
 }
 
@@ -78,7 +78,7 @@
         self.evacuated_zones.binary_search(zone).is_ok()
     }
 
-    /// Takes over which zones' upstreams get no work; names are in order.
+    /// Sets the zones whose upstreams get no work. `zones` must be sorted.
     pub(crate) fn set_evacuated_zones(&mut self, zones: &[ZoneName]) {
         let before = std::mem::replace(&mut self.evacuated_zones, zones.to_vec());
         let is_in = |zones: &[ZoneName], zone| zones.binary_search(zone).is_ok();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Notes that an upstream was heard from directly.
+    /// Renews the lease of an upstream that this host heard from directly.
     pub(crate) fn renew(
         &mut self,
         id: &UpstreamId,
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Merges a record that was last renewed in an epoch; returns whether the record changed.
+    /// Merges a record that was last renewed in epoch `renewed`. Returns whether the record
+    /// changed.
     pub(crate) fn merge(
         &mut self,
         now: LeaseEpoch,
@@ -124,7 +125,7 @@
         let merged = entry.record.merged(&theirs);
         let changed = merged != entry.record;
         let last_sequence = entry.last_sequence;
-        // A lease belongs to one start of one process: what renewed another renews nothing here.
+        // A lease belongs to one incarnation of one process: renewals of another don't count here.
         let renewed = match (merged.is_same_start(&entry.record), merged.is_same_start(&theirs)) {
             (true, true) => entry.renewed.max(renewed),
             (true, false) => entry.renewed,
@@ -151,7 +152,7 @@
         changed
     }
 
-    /// Takes in the ages of one bucket's leases, numbered as here.
+    /// Merges the lease renewals of one bucket, in the order of this table's entries.
     pub(crate) fn merge_ages(
         &mut self,
         bucket: usize,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Looks which leases have run out, and drops what expired long ago.
+    /// Updates which leases have expired, and removes entries that expired long ago.
     pub(crate) fn expire(&mut self, now: LeaseEpoch) {
         for bucket in &mut self.buckets {
             for entry in bucket.leases_mut() {
@@ -188,7 +189,7 @@
         self.remove_before(now.minus(RETENTION_EPOCHS));
     }
 
-    /// Drops what was not renewed since an epoch.
+    /// Removes the entries that were not renewed since `before`.
     fn remove_before(&mut self, before: LeaseEpoch) {
         for bucket in &mut self.buckets {
             for entry in bucket.remove_before(before) {
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Shifts every lease, when the shared time of others is first heard of: until then all were
-    /// renewed by the own clock's reading.
+    /// Shifts every lease when another host's shared time is first received. Until then all leases
+    /// were renewed by this host's own clock.
     pub(crate) fn shift(&mut self, epochs: u32) {
         for entry in self.buckets.iter_mut().flat_map(LeaseBucket::leases_mut) {
             entry.renewed = LeaseEpoch(entry.renewed.0.saturating_add(epochs));
@@ -211,7 +212,7 @@
         AgedRecord { record: entry.record.clone(), age: entry.renewed.age(now) }
     }
 
-    /// The upstreams of each pool, worked out from scratch.
+    /// The upstreams of each pool, rebuilt from scratch.
     pub(crate) fn rebuild_pools(&self, now: LeaseEpoch) -> FastMap<PoolName, UpstreamList> {
         let mut pools: FastMap<PoolName, Vec<UpstreamRecord>> = FastMap::default();
         for entry in self.buckets.iter().flat_map(LeaseBucket::entries) {
@@ -221,12 +222,12 @@
         pools.into_iter().map(|(pool, records)| (pool, UpstreamList::from(records))).collect()
     }
 
-    /// The upstreams of each pool; only what has changed since the last call is worked out.
+    /// The upstreams of each pool. Only changes since the last call are processed.
     pub(crate) fn pools(&mut self, now: LeaseEpoch) -> &FastMap<PoolName, UpstreamList> {
         let mut changes: FastMap<PoolName, Vec<UpstreamChange>> = FastMap::default();
         for (id, pool) in std::mem::take(&mut self.dirty) {
             let record = self.find(&id).map(|entry| self.upstream_record(entry, now));
-            // Its id may stand for an upstream of another pool now.
+            // The same id may now belong to an upstream of another pool.
             if record.as_ref().is_none_or(|record| record.announcement.pool != pool) {
                 let removed = UpstreamChange::Removed(id);
                 changes.entry(pool).or_default().push(removed);
@@ -248,7 +249,8 @@
         &self.pools
     }
 
-    /// Whether another process's live lease on an id forbids an announcement from an address.
+    /// The address of another process whose valid lease on `id` rules out an announcement from
+    /// `from`.
     pub(crate) fn conflicting_address(
         &self,
         id: &UpstreamId,
@@ -262,7 +264,7 @@
             .then_some(entry.record.announcement.address)
     }
 
-    /// What the traffic side is shown of an upstream.
+    /// The record of an upstream as the traffic side sees it.
     fn upstream_record(&self, entry: &LeaseEntry, now: LeaseEpoch) -> UpstreamRecord {
         let announcement = entry.record.announcement.clone();
         UpstreamRecord { announcement, takes_work: self.takes_work(entry, now) }
@@ -283,7 +285,8 @@
         true
     }
 
-    /// Whether there is room, if need be that of the lease that ran out first.
+    /// Whether there is room for another upstream. Removes the leases that expired first if need
+    /// be.
     fn make_room(&mut self, renewed: LeaseEpoch) -> bool {
         if self.count < UPSTREAM_LIMIT {
             return true;
@@ -300,14 +303,14 @@
     }
 }
 
-/// Notes that an upstream is to be shown anew. The pool it was last shown in is the one kept, so
-/// that it is taken out there when it has moved.
+/// Marks an upstream to be listed again. The pool in which it was last listed is kept, so that it
+/// is removed there if it has moved.
 fn mark_dirty(dirty: &mut FastMap<UpstreamId, PoolName>, entry: &LeaseEntry) {
     let announcement = &entry.record.announcement;
     dirty.entry(announcement.id.clone()).or_insert_with(|| announcement.pool.clone());
 }
 
-/// Notes whether an upstream takes work now; returns whether that has changed.
+/// Updates whether an upstream takes work. Returns whether that has changed.
 fn update_took_work(entry: &mut LeaseEntry, now: LeaseEpoch) -> bool {
     let takes_work = entry.takes_work(now);
     std::mem::replace(&mut entry.took_work, takes_work) != takes_work
--- a/crates/pulley_core/src/process/registry/mod.rs
+++ b/crates/pulley_core/src/process/registry/mod.rs
@@ -1,4 +1,4 @@
-//! Which upstreams have announced themselves, as leases that hosts pass on to each other.
+//! The registry of announced upstreams, kept as leases that hosts gossip to each other.
 
 mod lease_bucket;
 mod lease_record;
--- a/crates/pulley_core/src/process/registry/recall_proof.rs
+++ b/crates/pulley_core/src/process/registry/recall_proof.rs
@@ -1,46 +1,48 @@
-//! What a replica has to know before it recalls the upstreams that its disk holds.
+//! The condition under which a replica may recall the upstreams stored on its disk.
 
-/// How far a replica is with the proof that it knows all departures that were acknowledged before it
+/// How far a replica is in proving that it knows every departure that was acknowledged before it
 /// started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RecallProof {
-    /// Nobody was asked yet, or the question was lost.
+    /// No leader was asked yet, or the question was lost.
     #[default]
     NotAsked,
-    /// The leader was asked.
+    /// The leader was asked and has not answered.
     Asked,
-    /// Who has applied this entry of the log knows them all.
+    /// All these departures are known once the log is applied up to this index.
     RequiredIndex(u64),
 }
 
 impl RecallProof {
-    /// Whether the leader is to be asked.
+    /// Whether the leader still has to be asked.
     #[must_use]
     pub fn is_wanted(self) -> bool {
         self == Self::NotAsked
     }
 
-    /// Notes that the question is about to be put; the answer may come before that returns.
+    /// Notes that the question is about to be sent. The answer may arrive before the sending call
+    /// returns.
     pub fn begin_asking(&mut self) {
         *self = Self::Asked;
     }
 
-    /// Notes that the question was not taken, as too many wait already.
+    /// Notes that the question was rejected because too many are already waiting.
     ///
-    /// Taken for asked, it would be waited for in vain until the recall comes too late, and entries
-    /// would know only those upstreams that have announced themselves since.
+    /// If it still counted as asked, the replica would wait for an answer that never comes until it
+    /// is too late to recall. Entries would then know only those upstreams that have announced
+    /// themselves since.
     pub fn give_up_asking(&mut self) {
         if *self == Self::Asked {
             *self = Self::NotAsked;
         }
     }
 
-    /// Takes the leader's word on what is applied; without one, whoever leads next is asked.
+    /// Takes the index that the leader reports as applied. Without one, the next leader is asked.
     pub fn take_answer(&mut self, applied: Option<u64>) {
         *self = applied.map_or(Self::NotAsked, Self::RequiredIndex);
     }
 
-    /// Whether who has applied an entry may recall.
+    /// Whether a replica that has applied the log up to `applied` may recall.
     #[must_use]
     pub fn holds_at(self, applied: u64) -> bool {
         matches!(self, Self::RequiredIndex(index) if applied >= index)
--- a/crates/pulley_core/src/process/registry/registry_gossip.rs
+++ b/crates/pulley_core/src/process/registry/registry_gossip.rs
@@ -1,4 +1,4 @@
-//! What the registry tells other hosts, and what it takes from them.
+//! The registry's gossip with other hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,27 +14,29 @@
 use super::shared_clock::LeaseEpoch;
 use super::{Moment, PeerRing, RegistrySend, UpstreamRegistry};
 
-/// Changes a second that are told at once; more wait for the comparison of buckets, so that a
-/// thousand upstreams starting together don't fill the links. Drains are never held back.
+/// How many changes a second are sent at once. Further ones wait for the comparison of buckets, so
+/// that a thousand upstreams starting together don't fill the links. Drains are never delayed.
 const UPDATE_RATE: f64 = 200.0;
-/// How many changes may be told in one burst.
+/// How many changes may be sent in one burst.
 const UPDATE_BURST: f64 = 400.0;
 /// For how long after a change messages carry each bucket's digest.
 const BUCKET_DIGEST_TIME: Duration = Duration::from_secs(3);
-/// How often one bucket is compared record by record.
+/// The minimum interval between record-by-record comparisons of one bucket.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a bucket is left alone after a change: as long as news takes to reach everybody.
+/// For how long a bucket is not compared after a change: the time that an update takes to reach
+/// every host.
 ///
-/// While upstreams come and go all the time, hosts that are told of a change some hops apart would
-/// else compare whole buckets for it, which costs many times the news and tells nobody anything.
+/// While upstreams come and go all the time, hosts receive a change some hops apart. Without this
+/// pause they would compare whole buckets for it, which costs many times the update itself and
+/// brings no new information.
 const PROPAGATION_TIME: Duration = Duration::from_millis(700);
-/// How often a digest that differs is answered.
+/// The minimum interval between answers to a digest that differs.
 const DIGEST_ANSWER_INTERVAL: Duration = Duration::from_millis(50);
-/// How many messages may wait; more belong to a comparison that is repeated.
+/// How many record messages may wait. Any beyond that belong to a comparison that will be repeated.
 const RECORD_QUEUE_LIMIT: usize = 256;
 
 impl UpstreamRegistry {
-    /// Takes in a message that was authenticated as one of this installation.
+    /// Handles a message that was authenticated as coming from this installation.
     pub fn receive(&mut self, now: Moment, from: SocketAddr, body: &[u8]) -> Vec<RegistrySend> {
         let Some(message) = RegistryMessage::unpack(body) else {
             return Vec::new();
@@ -42,11 +44,13 @@
         let first = !self.clock.is_adopted();
         let jump = self.clock.adopt(now, message.time);
         if first && jump > 0 {
-            // Epochs begin elsewhere by the new time: one fewer, so that no lease grows longer.
+            // The new time shifts the boundaries of epochs. One epoch less, so that no lease is
+            // extended.
             self.table.shift(jump - 1);
         }
         if jump > 0 {
-            // By the new time leases may have run out for which no epoch of the own has ended.
+            // By the new time leases may have expired without an epoch of this host's own clock
+            // ending.
             self.table.expire(self.clock.epoch(now));
         }
         let sent = self.clock.epoch_of(message.time);
@@ -74,14 +78,14 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Telling
+    // Sending
 
     pub(crate) fn refill_budget(&mut self, now: Moment) {
         let refill = now.since(self.last_tick).as_secs_f64() * UPDATE_RATE;
         self.update_budget = (self.update_budget + refill).min(UPDATE_BURST);
     }
 
-    /// Tells every host of the upstreams that said to this one that they leave.
+    /// Sends every host the upstreams that announced their departure to this host.
     pub(crate) fn send_departures(
         &mut self,
         now: Moment,
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Tells others of the changes that were heard of since, each as far as it is to go.
+    /// Forwards the changes received since the last call, each as far as its reach allows.
     pub(crate) fn send_updates(
         &mut self,
         now: Moment,
@@ -112,7 +116,8 @@
             }
             is_departure || has_budget
         });
-        // Whoever stands `2^step` places further on tells those up to the next one told from here.
+        // The host `2^step` places further on forwards to those before the next host addressed
+        // here.
         for step in 0..ring.rounds() {
             let reach = UpdateReach(u8::try_from(step).unwrap_or(u8::MAX));
             let selected = updates.iter().filter(|update| update.reach > reach);
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Tells the round's host the ages of all leases.
+    /// Sends the ages of all leases to this round's host.
     pub(crate) fn send_leases(
         &mut self,
         now: Moment,
@@ -143,7 +148,7 @@
         let codes = self.table.buckets().iter().flat_map(|bucket| bucket.codes(epoch));
         let codes: Vec<u8> = codes.collect();
         let digest = self.table.digest();
-        // An empty list still shows that nothing is known.
+        // An empty list still shows that nothing is known here.
         let parts = codes.chunks(LEASES_PER_MESSAGE).chain(codes.is_empty().then_some(&[][..]));
         for (part, codes) in parts.enumerate() {
             let first = u32::try_from(part * LEASES_PER_MESSAGE).unwrap_or(u32::MAX);
@@ -163,7 +168,7 @@
                 codes: PackedCodes::pack(bucket.codes(epoch)),
             })
             .collect();
-        // An empty list still shows that nothing is known, to which others answer.
+        // An empty list still shows that nothing is known here, and others answer it.
         let parts = if buckets.is_empty() { vec![Vec::new()] } else { split_by_size(buckets) };
         parts
             .into_iter()
@@ -177,7 +182,7 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Taking leases
+    // Receiving leases
 
     fn merge_leases(
         &mut self,
@@ -229,7 +234,7 @@
             }
         }
         if buckets.is_empty() && self.table.len() > 0 {
-            // They know nobody: as good as a summary of empty buckets.
+            // The sender knows no upstreams. This is equivalent to a summary of empty buckets.
             let all: Vec<BucketSummary> = (0..self.table.buckets().len())
                 .map(|index| BucketSummary { bucket: bucket_number(index), items: Vec::new() })
                 .collect();
@@ -238,7 +243,8 @@
         self.summarize(now, from, &differing)
     }
 
-    /// Shows record by record what is held of some buckets, each at most so often.
+    /// Sends summaries of the records in some buckets, each bucket at most once per
+    /// [`COMPARE_INTERVAL`].
     fn summarize(&mut self, now: Moment, to: SocketAddr, indices: &[usize]) -> Vec<RegistrySend> {
         let mut summaries = Vec::new();
         for index in indices {
@@ -260,7 +266,8 @@
     // ---------------------------------------------------------------------------------------------
     // Exchanging records
 
-    /// Sends what another host lacks or holds otherwise, and asks for what this one lacks.
+    /// Sends records that another host lacks or has in a different version, and requests those that
+    /// this host lacks.
     fn answer_summaries(&mut self, now: Moment, to: SocketAddr, summaries: &[BucketSummary]) {
         let epoch = self.clock.epoch(now);
         let mut records = Vec::new();
@@ -315,8 +322,8 @@
         }
     }
 
-    /// Merges one record; true if that changed what is known. A change that is news is passed on as far
-    /// as it is to go.
+    /// Merges one record. Returns whether that changed what is known. A change with a `reach` is
+    /// forwarded that far.
     pub(crate) fn merge_record(
         &mut self,
         now: Moment,
@@ -342,7 +349,7 @@
     }
 }
 
-/// When a lease was renewed by the code a message gives it.
+/// Returns the epoch in which a lease was renewed, from its age code in a message.
 fn renewal(codes: &PackedCodes, index: usize, sent: LeaseEpoch) -> Option<LeaseEpoch> {
     let code = codes.code(index)?;
     (code < CODE_EXPIRED).then(|| sent.minus(u32::from(code)))
--- a/crates/pulley_core/src/process/registry/registry_message.rs
+++ b/crates/pulley_core/src/process/registry/registry_message.rs
@@ -1,4 +1,4 @@
-//! The messages by which hosts share upstream leases.
+//! The messages with which hosts share upstream leases.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 use super::lease_record::LeaseRecord;
 use super::shared_clock::SharedTime;
 
-/// The largest body of a message of the registry, in bytes; see `MEMBER_BODY_LIMIT`.
+/// The largest body of a registry message, in bytes; see `MEMBER_BODY_LIMIT`.
 pub const REGISTRY_BODY_LIMIT: usize = 1_200;
-/// What is left for a message's list after its other fields.
+/// The bytes left for a message's list beside its other fields.
 pub(crate) const LIST_LIMIT: usize = REGISTRY_BODY_LIMIT - 32;
 
-/// How many leases go into one message: three bits each.
+/// How many leases fit into one message, at three bits each.
 pub(crate) const LEASES_PER_MESSAGE: usize = LIST_LIMIT / 3 * 8;
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistrySend {
-    /// Where to.
+    /// The receiver's address.
     pub to: SocketAddr,
     /// The encoded message.
     pub body: Bytes,
 }
 
-/// The leases of some buckets with each bucket's digest.
+/// The digest of one bucket and the age codes of its leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BucketCodes {
     pub(crate) bucket: u8,
@@ -34,73 +34,73 @@
     pub(crate) codes: PackedCodes,
 }
 
-/// Ages of leases, three bits each.
+/// Age codes of leases, packed into three bits each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PackedCodes(pub(crate) Bytes);
 
-/// What a host holds of one upstream, in short.
+/// Hashes that identify one upstream and the record that a host has of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SummaryItem {
     pub(crate) id_hash: u64,
     pub(crate) record_hash: u32,
 }
 
-/// What a host holds of one bucket, in short.
+/// Hashes of all records that a host has in one bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BucketSummary {
     pub(crate) bucket: u8,
     pub(crate) items: Vec<SummaryItem>,
 }
 
-/// A record with the age of its lease in epochs.
+/// A record and the age of its lease in epochs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AgedRecord {
     pub(crate) record: LeaseRecord,
     pub(crate) age: u32,
 }
 
-/// How far news is to be passed on: to the hosts up to `2^n` places further on in the ring.
+/// How far an update is forwarded: to the hosts up to `2^n` places further on in the ring.
 ///
-/// Each host is told by one other only. Told by several, as where everybody tells a few chosen
-/// freely, hosts spent several times the bytes on what they knew already; on links of 2 Mbit/s the
-/// news of a release then left little room for requests.
+/// Each host receives an update from only one other host. If hosts forwarded to a few peers picked
+/// at random, they would spend several times the bytes on repeating known updates; on links of 2
+/// Mbit/s the updates during a release then left little room for requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct UpdateReach(pub(crate) u8);
 
 impl UpdateReach {
-    /// To nobody.
+    /// Not forwarded.
     pub(crate) const NONE: Self = Self(0);
-    /// To the next host: a second way, where everybody is told directly.
+    /// Forwarded to the next host only: a second path where every host is sent the update directly.
     pub(crate) const NEXT: Self = Self(1);
-    /// To all.
+    /// Forwarded to all hosts.
     pub(crate) const ALL: Self = Self(u8::MAX);
 }
 
-/// A record that is to be told of.
+/// A record waiting to be sent to other hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingUpdate {
     pub(crate) reach: UpdateReach,
     pub(crate) aged: AgedRecord,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RegistryContent {
-    /// Leases from a place on, numbered by the order of bucket and id, for a host with the same
-    /// records.
+    /// Leases starting at index `first`, numbered by bucket and then by id, for a host with the
+    /// same records.
     Leases { digest: u32, first: u32, codes: PackedCodes },
-    /// Leases of some buckets, for a host that may lack a change; sent while changes spread.
+    /// Leases by bucket, for a host that may lack a change. Sent while changes spread.
     BucketLeases { buckets: Vec<BucketCodes> },
-    /// Records that have just changed; whoever had not heard of them passes them on to the hosts
-    /// that its reach covers.
+    /// Records that have just changed. A host to which they are new forwards them to the hosts
+    /// within `reach`.
     Updates { reach: UpdateReach, records: Vec<AgedRecord> },
-    /// What the sender holds of buckets in which the receiver holds something else.
+    /// Summaries of the buckets in which the sender's records differ from the receiver's.
     Summaries { buckets: Vec<BucketSummary> },
-    /// Records that the receiver lacks, and the hashes of those that the sender lacks.
+    /// Records that the receiver lacks, and the bucket and id hash of those that the sender lacks.
     Records { records: Vec<AgedRecord>, wanted: Vec<(u8, u64)> },
 }
 
-/// One message.
+/// One message, with the sender's shared time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RegistryMessage {
     pub(crate) time: SharedTime,
@@ -142,7 +142,7 @@
         Self(Bytes::from(bytes))
     }
 
-    /// The code at a place; a place past the end has none.
+    /// Returns the code at an index, or `None` past the end.
     pub(crate) fn code(&self, index: usize) -> Option<u8> {
         let bit = index * 3;
         let low = u16::from(*self.0.get(bit / 8)?);
@@ -151,8 +151,8 @@
     }
 }
 
-/// Splits a list so that each part's encoding stays under the limit; a single item never exceeds
-/// it, as names are bounded.
+/// Splits a list so that each part encodes to at most the limit. A single item never exceeds it
+/// because names are bounded.
 pub(crate) fn split_by_size<T: Serialize>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut parts = Vec::new();
     let mut part = Vec::new();
--- a/crates/pulley_core/src/process/registry/upstream_directory.rs
+++ b/crates/pulley_core/src/process/registry/upstream_directory.rs
@@ -1,4 +1,4 @@
-//! The upstreams that a replica writes down, and what becomes of them after a restart.
+//! The upstreams that a replica stores on its disk, and their recall after a restart.
 
 use std::net::SocketAddr;
 
@@ -10,42 +10,44 @@
 use super::shared_clock::LEASE_EPOCHS;
 use super::{Moment, RegistrySend, UpstreamRegistry, UpstreamStart};
 
-/// How large an encoded directory may be, in bytes: room for [`super::UPSTREAM_LIMIT`] upstreams with
-/// long names.
+/// The size limit of an encoded directory in bytes: room for [`super::UPSTREAM_LIMIT`] upstreams
+/// with long names.
 pub const DIRECTORY_LIMIT: usize = 8 << 20;
 
-/// How many epochs of its lease a recalled upstream has left, if it does not announce itself. Of
-/// a lease of four announcements these are two: enough for one that is late, and an upstream that
-/// died meanwhile is asked in vain for no longer than any other that dies.
+/// How many epochs of its lease a recalled upstream has left if it does not announce itself. A
+/// lease covers four announcements, and these epochs cover two of them: enough for one late
+/// announcement. An upstream that died meanwhile is tried no longer than any other that dies.
 const RECALLED_EPOCHS: u32 = LEASE_EPOCHS / 2;
 
-/// How many messages of introductions may wait: those to all entries of a zone at the planned size.
+/// How many introduction messages may wait: enough for all entries of a zone at the planned size.
 const INTRODUCTION_LIMIT: usize = 4_096;
 
-/// What a replica knows at a moment of upstreams and hosts, to be written to its disk.
+/// A replica's knowledge of upstreams and hosts at one moment, to be written to its disk.
 ///
-/// What goes wrong without it: all hosts lose power, their memory is empty, and upstreams, which
-/// know nothing of it, go on announcing themselves once a pace. For that long entries know only
-/// some of them: over a second in which most requests were refused though every upstream was idle.
-/// What is read back is a hint. It never outranks what an upstream says of itself, its lease is
-/// short, and no start comes back whose leaving was acknowledged.
+/// It guards against a power loss of all hosts. Their memory is then empty, and upstreams, which do
+/// not notice, keep announcing themselves at their usual interval. During that interval entries
+/// know only some of them: for over a second most requests were refused although every upstream was
+/// idle.
+///
+/// Recalled data is a hint. It never overrides an upstream's own announcement, its lease is short,
+/// and no incarnation is recalled whose departure was acknowledged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamDirectory {
-    /// The entry of the log that was applied last when this was written.
+    /// The index of the log entry that was applied last when this was written.
     pub applied: u64,
-    /// Where other replicas were reached.
+    /// The addresses at which other replicas were reached.
     pub peers: Vec<SocketAddr>,
     records: Vec<LeaseRecord>,
 }
 
 impl UpstreamDirectory {
-    /// How many upstreams it names.
+    /// The number of upstreams listed.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether it names no upstream.
+    /// Whether no upstream is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
@@ -53,7 +55,7 @@
 }
 
 impl UpstreamRegistry {
-    /// The upstreams that take work now, but for those that have left.
+    /// Returns a directory of the upstreams that take work now, except those that have left.
     #[must_use]
     pub fn directory(
         &self,
@@ -68,8 +70,8 @@
         UpstreamDirectory { records, ..UpstreamDirectory::default() }
     }
 
-    /// Takes in the upstreams of a directory that nothing is known of, but for those that have
-    /// left; returns how many.
+    /// Merges the upstreams of a directory that are not known yet, except those that have left.
+    /// Returns how many were merged.
     pub fn recall(
         &mut self,
         now: Moment,
@@ -88,12 +90,12 @@
         recalled
     }
 
-    /// Tells a host that has just started of every upstream that takes work.
+    /// Sends every upstream that takes work to a host that has just started.
     ///
-    /// Load it is for: all hosts restart together, or one comes back in a rush. Harm: by comparing
-    /// tables with one host a round, an entry learns of its upstreams within a round or a few,
-    /// while its callers wait. Reason for the limit: an introduction names every upstream, and goes to
-    /// entries of the own zone only, where bytes cost least.
+    /// This is for a restart of all hosts, or of one host under heavy load. If an entry only
+    /// compared tables with one host a round, it would learn of its upstreams after one round or
+    /// several, while its callers wait. Introductions are limited to entries of the own zone
+    /// because each one lists every upstream, and traffic within the zone costs least.
     pub fn introduce(&mut self, now: Moment, to: SocketAddr) {
         let epoch = self.clock.epoch(now);
         let entries = self.table.buckets().iter().flat_map(LeaseBucket::entries);
--- a/crates/pulley_core/src/process/registry/upstream_list.rs
+++ b/crates/pulley_core/src/process/registry/upstream_list.rs
@@ -1,21 +1,21 @@
-//! A pool's upstreams at one moment, and how two moments differ.
+//! Snapshots of a pool's upstreams, and the difference between two of them.
 
 use std::ops::Deref;
 use std::sync::Arc;
 
 use super::{UpstreamId, UpstreamRecord};
 
-/// How a pool's upstreams have changed.
+/// One change of a pool's upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamChange {
-    /// An upstream came, or what holds of it has changed.
+    /// An upstream was added, or its record has changed.
     Put(Arc<UpstreamRecord>),
-    /// An upstream is no longer known, or belongs to another pool now.
+    /// An upstream is no longer known, or now belongs to another pool.
     Removed(UpstreamId),
 }
 
 impl UpstreamChange {
-    /// Which upstream has changed.
+    /// The upstream that has changed.
     #[must_use]
     pub fn id(&self) -> &UpstreamId {
         match self {
@@ -25,29 +25,29 @@
     }
 }
 
-/// The upstreams of one pool in the order of their ids, at one moment.
+/// A snapshot of one pool's upstreams, in the order of their ids.
 ///
-/// Lists share the records that are the same in both, so that a list which differs by one upstream
-/// costs a copy of pointers, and what differs is found by comparing them. Hosts know hundreds of
-/// upstreams and hear of several changes a second: with whole records copied and compared for each
-/// of them, a host's processor time grew with the installation, however little it had to serve.
+/// Lists share unchanged records. A list that differs in one upstream costs a copy of pointers, and
+/// comparing pointers finds the difference. Hosts know hundreds of upstreams and receive several
+/// changes a second: copying and comparing whole records for each change made a host's processor
+/// time grow with the installation, however little it had to serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamList(Arc<[Arc<UpstreamRecord>]>);
 
 impl UpstreamList {
-    /// Whether both are one list; lists that are equal by chance are not.
+    /// Whether both are the same list in memory. Equal lists with separate storage are not.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 
-    /// The record of an upstream.
+    /// Returns the record of an upstream.
     #[must_use]
     pub fn find(&self, id: &UpstreamId) -> Option<&Arc<UpstreamRecord>> {
         self.position(id).ok().map(|position| &self.0[position])
     }
 
-    /// What turns an earlier list into this one.
+    /// Returns the changes that turn `earlier` into this list.
     #[must_use]
     pub fn changes_since(&self, earlier: &Self) -> Vec<UpstreamChange> {
         let mut changes = Vec::new();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// This list with changes, the last one of an upstream counting.
+    /// Returns this list with `changes` applied. The last change of an upstream wins.
     #[must_use]
     pub fn with(&self, changes: impl IntoIterator<Item = UpstreamChange>) -> Self {
         let mut records = self.0.to_vec();
--- a/crates/pulley_core/src/process/registry/upstream_registry.rs
+++ b/crates/pulley_core/src/process/registry/upstream_registry.rs
@@ -17,119 +17,122 @@
     UpstreamList, UpstreamPhase, UpstreamStart, ZoneName,
 };
 
-/// The part of a lease in which news reaches all hosts on its way round the ring. With the time
-/// between two announcements and an epoch it must stay under the shortest lease, or upstreams that
-/// live would lose work now and then: with a lease of 3 s, 0.7 s and a second between two
-/// announcements, 0.8 s are left for late messages.
+/// The fraction of a lease within which renewals reach all hosts round the ring. Together with the
+/// announcement interval and one epoch it must stay below the shortest lease, or live upstreams
+/// would lose work now and then. With a lease of 3 s it takes 0.7 s; with one second between
+/// announcements, 0.8 s remain for late messages.
 const CYCLE_FRACTION: f64 = 0.7 / 3.0;
-/// The shortest pause between two rounds; with 1,000 hosts there are ten in a cycle.
+/// The shortest pause between two rounds. With 1,000 hosts a cycle has ten rounds.
 const MIN_ROUND_PAUSE: Duration = Duration::from_millis(70);
-/// How long news waits for more, so that one message carries a burst.
+/// How long an update waits for others, so that one message carries a burst.
 pub(crate) const UPDATE_DELAY: Duration = Duration::from_millis(5);
-/// The pause between two tellings of news, but for departures.
+/// The minimum interval between sends of updates other than departures.
 ///
-/// Every host hears each change from several others and passes it on to as many, so that a datagram
-/// for each change costs all hosts together more than anything else they do: after a loss of power,
-/// when all upstreams are news, small hosts were too busy with them to serve. News of a calm time
-/// goes at once; what follows within the pause goes together, a few hops later by as much each.
+/// Every host receives each change from several others and forwards it to as many. A datagram for
+/// each change would cost all hosts together more than anything else they do: after a power loss,
+/// when every upstream is an update, small hosts were too busy with them to serve. In quiet times
+/// an update leaves at once. Updates that follow within the interval are sent together, delayed by
+/// up to that much at each hop.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause between bursts of waiting messages.
+/// The pause between bursts of waiting record messages.
 const RECORD_QUEUE_PAUSE: Duration = Duration::from_millis(20);
-/// How many waiting messages leave at once.
+/// How many waiting record messages are sent in one tick.
 const RECORD_MESSAGES_PER_TICK: usize = 8;
-/// How many messages of introductions leave at once: enough that a zone's entries are told within a
-/// second, few enough that they don't fill a replica's link.
+/// How many introduction messages are sent in one tick: enough to reach a zone's entries within a
+/// second, few enough not to fill a replica's link.
 const INTRODUCTIONS_PER_TICK: usize = 32;
-/// How many slots one upstream may announce; more is a mistake in its settings.
+/// The largest number of slots that an upstream may announce. More is a mistake in its settings.
 const SLOT_LIMIT: u32 = 10_000;
-/// How many connections one upstream may announce.
+/// The largest number of connections that an upstream may announce.
 const CONNECTION_LIMIT: u32 = 1_000_000;
 
-/// What the registry's methods return.
+/// The result of the registry's methods.
 pub type RegistryResult<T> = Result<T, RegistryFault>;
 
 /// Why an announcement or a drain was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RegistryFault {
-    /// The address can't be reached by others.
-    #[error("{0} is no address to send requests to")]
+    /// Other hosts can't reach the address.
+    #[error("{0} is not an address that requests can be sent to")]
     BadAddress(SocketAddr),
-    /// The number of slots is zero or absurd.
+    /// The number of slots is zero or unreasonably high.
     #[error("an upstream has 1 to {SLOT_LIMIT} slots, not {0}")]
     BadSlots(u32),
-    /// The number of connections is zero or absurd.
+    /// The number of connections is zero or unreasonably high.
     #[error("an upstream accepts 1 to {CONNECTION_LIMIT} connections, not {0}")]
     BadConnections(u32),
-    /// Another process uses the id.
-    #[error("{id} is in use by {holder}, whose lease holds")]
+    /// Another process with a valid lease uses the id.
+    #[error("{id} is in use by {holder}, whose lease is still valid")]
     IdInUse {
         /// The id in question.
         id: UpstreamId,
-        /// Who holds it.
+        /// The address of the process that uses it.
         holder: SocketAddr,
     },
-    /// A later start of the upstream is known.
+    /// A later incarnation of the upstream is known.
     #[error("{id} has since started as incarnation {}", current.0)]
     StaleIncarnation {
         /// The id in question.
         id: UpstreamId,
-        /// The incarnation known.
+        /// The known incarnation.
         current: Incarnation,
     },
-    /// There is no room for another upstream.
+    /// The registry has no room for another upstream.
     #[error("the registry is full")]
     Full,
-    /// Nobody has announced this id.
+    /// No upstream with this id has announced itself.
     #[error("no upstream {0} is known")]
     UnknownUpstream(UpstreamId),
 }
 
-/// What became of an accepted announcement.
+/// The effect of an accepted announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnounceOutcome {
-    /// The upstream or this start of it was not known.
+    /// The upstream, or this incarnation of it, was not known before.
     Registered,
-    /// It is known and lives on.
+    /// The upstream is known, and its lease was renewed.
     Renewed,
-    /// It announced a change.
+    /// The upstream announced a change.
     Changed,
-    /// A later announcement was heard before; this one changes nothing.
+    /// A later announcement was received before. This one changes nothing.
     Stale,
-    /// It drains and stays so until it starts anew, whatever this announcement says.
+    /// The upstream drains until its next incarnation, whatever this announcement says.
     Draining,
 }
 
 /// The registry of one host.
 ///
-/// Upstreams announce themselves each second to any host. Instead of passing on each heartbeat,
-/// hosts share one table of lease ages, three bits an upstream, which each merges by taking the
+/// Upstreams announce themselves each second to any host. Instead of forwarding each heartbeat,
+/// hosts share one table of lease ages, with three bits an upstream, and merge it by keeping the
 /// latest renewal. Upstreams are numbered by their order among the known ids; a digest shows
-/// whether two hosts number alike. Changes go out at once, ahead of that.
+/// whether two hosts number them in the same way. Changes are sent immediately, without waiting for
+/// the next round.
 #[derive(Clone, Debug)]
 pub struct UpstreamRegistry {
     pub(crate) clock: SharedClock,
     pub(crate) table: LeaseTable,
-    /// Records to tell of at the next tick.
+    /// Records to send at the next tick.
     pub(crate) updates: Vec<PendingUpdate>,
-    /// Upstreams that said to this host that they leave; every host is told of them directly.
+    /// Upstreams that announced their departure to this host. Every host is informed directly.
     pub(crate) departures: Vec<AgedRecord>,
     pub(crate) update_budget: f64,
-    /// When news may next be told.
+    /// The earliest time for the next send of updates.
     next_update: Moment,
     pub(crate) record_queue: VecDeque<RegistrySend>,
-    /// Messages to hosts that have just started; they don't wait behind others' pages.
+    /// Messages to hosts that have just started. They don't wait behind the record messages.
     pub(crate) introductions: VecDeque<RegistrySend>,
-    /// When news last changed each bucket.
+    /// When an update last changed each bucket.
     pub(crate) bucket_changed_at: Vec<Option<Moment>>,
     /// When each bucket was last compared record by record.
     pub(crate) bucket_compared_at: Vec<Option<Moment>>,
-    /// When a digest that differs was last answered.
+    /// When a differing digest was last answered.
     pub(crate) digest_answered_at: Option<Moment>,
-    /// Until when messages carry each bucket's digest, as a change may not have reached everybody.
+    /// Until when messages carry each bucket's digest because a change may not have reached every
+    /// host.
     pub(crate) bucket_digests_until: Moment,
     pub(crate) last_tick: Moment,
     next_epoch: Moment,
-    /// The round told in the last tick, if one was due.
+    /// The round for which the last tick sent leases, if one was due.
     told_round: Option<u32>,
     next_round: Moment,
     pub(crate) round: u32,
@@ -142,7 +145,7 @@
 }
 
 impl UpstreamRegistry {
-    /// Makes a registry that knows nobody.
+    /// Makes an empty registry.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Makes a registry whose leases last so long at most, and a sixth less at least; the same on
-    /// every host. Upstreams that announce themselves rarely need longer ones.
+    /// Makes a registry with leases that last at most `lease` and at least a sixth less. It must be
+    /// the same on every host. Upstreams that announce themselves rarely need longer leases.
     #[must_use]
     pub fn with_lease(lease: Duration) -> Self {
         Self { clock: SharedClock::with_lease(lease), ..Self::new() }
@@ -176,26 +179,27 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// Grows with every change of what [`Self::rebuild_pools`] returns.
+    /// Increases with every change of what [`Self::rebuild_pools`] returns.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.table.changes
     }
 
-    /// How many upstreams are known, expired ones included.
+    /// The number of known upstreams, including expired ones.
     #[must_use]
     pub fn known(&self) -> usize {
         self.table.len()
     }
 
-    /// The upstreams of each pool, worked out from scratch; those without a lease, or draining,
-    /// take no work.
+    /// Returns the upstreams of each pool, rebuilt from scratch. Those that are draining or have no
+    /// valid lease take no work.
     #[must_use]
     pub fn rebuild_pools(&self, now: Moment) -> FastMap<PoolName, UpstreamList> {
         self.table.rebuild_pools(self.clock.epoch(now))
     }
 
-    /// The same as of the last [`Self::tick`], at the cost of what has changed since the last call.
+    /// Returns the same lists as of the last [`Self::tick`]. The cost depends only on the changes
+    /// since the last call.
     pub fn pools(&mut self, now: Moment) -> &FastMap<PoolName, UpstreamList> {
         let epoch = self.clock.epoch(now);
         self.table.pools(epoch)
@@ -225,8 +229,8 @@
         next
     }
 
-    /// What is known of an upstream's leaving, for [`Self::take_departure`] of another host; none
-    /// while it takes work or is unknown.
+    /// Returns the departure of an upstream, to be passed to [`Self::take_departure`] of another
+    /// host. Returns `None` while the upstream takes work or is unknown.
     #[must_use]
     pub fn departure(&self, id: &UpstreamId) -> Option<(UpstreamStart, Bytes)> {
         let entry = self.table.find(id).filter(|entry| !entry.record.takes_work())?;
@@ -234,8 +238,8 @@
         Some((entry.record.start(), Bytes::from(record)))
     }
 
-    /// Takes over which zones are evacuated, in the order of their names: their upstreams are shown
-    /// as taking no work, whatever they announce and whenever they come.
+    /// Sets the evacuated zones, sorted by name. Their upstreams take no work, whatever they
+    /// announce and whenever they start.
     pub fn evacuate(&mut self, zones: &[ZoneName]) {
         self.table.set_evacuated_zones(zones);
     }
@@ -243,11 +247,11 @@
     // ---------------------------------------------------------------------------------------------
     // Announcements and drains
 
-    /// Takes in what an upstream announced to this host.
+    /// Handles an announcement that an upstream sent to this host.
     ///
     /// # Errors
-    /// [`RegistryFault`] if the announcement is impossible, the id is held by another address, a
-    /// later start is known, or there is no room.
+    /// [`RegistryFault`] if the announcement is invalid, another address uses the id, a later
+    /// incarnation is known, or there is no room.
     pub fn announce(
         &mut self,
         now: Moment,
@@ -292,10 +296,11 @@
         outcome
     }
 
-    /// Notes that an upstream has left, on its own word; true if it was known.
+    /// Notes the departure that an upstream announced itself. Returns whether the upstream is
+    /// known.
     ///
-    /// What says so may have been under way for long, while the upstream has started anew under its
-    /// id: `incarnation`, if it is told, then is not the one known, and nothing changes.
+    /// The message may have been delayed while the upstream restarted under the same id. If an
+    /// `incarnation` is given that is not the known one, nothing changes.
     pub fn announce_gone(
         &mut self,
         now: Moment,
@@ -315,7 +320,7 @@
         true
     }
 
-    /// Takes in that an upstream leaves, as another host was told by it.
+    /// Merges a departure that another host received.
     pub fn take_departure(&mut self, now: Moment, body: &[u8]) {
         let Ok(record) = postcard::from_bytes::<LeaseRecord>(body) else { return };
         let id = record.announcement.id.clone();
@@ -324,11 +329,11 @@
         self.queue_departure(now, &id);
     }
 
-    /// Has every host told directly that an upstream leaves.
+    /// Queues a departure to be sent to every host directly.
     ///
-    /// Whoever is told that its leaving is known counts on getting no new work a moment later. News
-    /// that goes from host to host loses its way where hosts have just been cut off or stopped, and
-    /// the next comparison may come too late.
+    /// An upstream whose departure is acknowledged expects to get no new work a moment later. An
+    /// update that travels from host to host gets lost where hosts have just been cut off or
+    /// stopped, and the next comparison may come too late.
     fn queue_departure(&mut self, now: Moment, id: &UpstreamId) {
         let epoch = self.clock.epoch(now);
         let Some(entry) = self.table.find(id).filter(|entry| !entry.record.takes_work()) else {
@@ -339,16 +344,17 @@
         self.departures.push(aged);
     }
 
-    /// Notes that an upstream said in a reply that it drains. It counts at once, for this start.
+    /// Notes that an upstream announced in a reply that it drains. This takes effect at once, for
+    /// this incarnation.
     pub fn observe_drain(&mut self, now: Moment, id: &UpstreamId) {
-        // A reply of an upstream that is not known any more needs no drain.
+        // A drain is not needed for an upstream that is no longer known.
         let _ = self.drain(now, id);
     }
 
-    /// Drains an upstream on an operator's word, until it starts anew.
+    /// Drains an upstream on an operator's request, until its next incarnation.
     ///
     /// # Errors
-    /// [`RegistryFault::UnknownUpstream`] if nobody announced the id.
+    /// [`RegistryFault::UnknownUpstream`] if no upstream has announced the id.
     pub fn operator_drain(&mut self, now: Moment, id: &UpstreamId) -> RegistryResult<()> {
         self.drain(now, id)
     }
@@ -380,8 +386,8 @@
         }
     }
 
-    /// The round that the last tick told leases in, if one was due: others who tell the same host
-    /// may go along.
+    /// Returns the round for which the last tick sent leases, if one was due. Others with messages
+    /// for the same host may send them along.
     #[must_use]
     pub const fn told_round(&self) -> Option<u32> {
         self.told_round
@@ -390,7 +396,7 @@
     // ---------------------------------------------------------------------------------------------
     // Time
 
-    /// Does what is due by now; the ring is that of the live hosts.
+    /// Does the work due by now and returns the messages to send. `ring` is that of the live hosts.
     pub fn tick(&mut self, now: Moment, ring: &PeerRing) -> Vec<RegistrySend> {
         self.refill_budget(now);
         self.last_tick = now;
@@ -420,7 +426,7 @@
     }
 }
 
-/// Checks an announcement's numbers; names were checked when it was decoded.
+/// Checks an announcement's numbers. Names were checked when it was decoded.
 fn validate(announcement: &Announcement) -> RegistryResult<()> {
     let address = announcement.address;
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
