--- a/crates/pulley_core/tests/members/differences_tests.rs
+++ b/crates/pulley_core/tests/members/differences_tests.rs
@@ -1,4 +1,4 @@
-//! Differences handed on one by one, against what is worked out from scratch.
+//! Incremental updates, compared with a rebuild from scratch.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const UPSTREAMS: usize = 60;
 const STEPS: u64 = 150;
 
-/// One thing that happens, of those that change what hosts know of each other and of upstreams.
+/// Applies a random event that changes what hosts know of each other and of upstreams.
 fn apply_random_event(network: &mut Network, rng: &mut SmallRng, step: u64) {
     match rng.random_range(0..12) {
         0 => network.restart(rng.random_range(0..HOSTS)),
@@ -34,7 +34,7 @@
                         2 => UpstreamPhase::Warming,
                         _ => UpstreamPhase::Ready,
                     },
-                    // A later start of it may belong to another pool.
+                    // A later incarnation may belong to another pool.
                     pool: format!("pool{}", rng.random_range(0..3)).parse().unwrap(),
                     ..announcement(upstream, 1 + step / 20, step)
                 };
@@ -44,22 +44,23 @@
     }
 }
 
-/// A while that ends between two milliseconds, so that everything due by then has been done.
+/// A random duration that ends between two milliseconds, so that everything due by then has been
+/// done.
 fn random_pause(rng: &mut SmallRng) -> Duration {
     Duration::from_millis(rng.random_range(5..900))
         + Duration::from_micros(rng.random_range(1..999))
 }
 
-/// Hosts hear of changes of upstreams and of each other one by one and pass on only those. Were one
-/// of them lost on its way through a host, its callers would be sent to an upstream that has left,
-/// or never to one that has come, until the host restarts. Whatever happens, in whatever order, the
-/// lists that were kept up must be those that a host would work out from all that it knows.
+/// Hosts receive changes of upstreams and hosts one by one and pass on only those. If one were lost
+/// within a host, its callers would be sent to an upstream that has left, or never to a new one,
+/// until the host restarts. For any events in any order, the incremental lists must equal those
+/// rebuilt from everything that the host knows.
 #[test]
 fn incremental_lists_equal_rebuilt_lists() {
     for seed in 0..12 {
         let mut network = Network::new(HOSTS, seed);
         let mut rng = SmallRng::seed_from_u64(seed);
-        // What a part of the host would hold that is told of changes only.
+        // The lists of a component that receives only the changes.
         let mut followed: Vec<FastMap<PoolName, UpstreamList>> = vec![FastMap::default(); HOSTS];
         for step in 0..STEPS {
             apply_random_event(&mut network, &mut rng, step);
@@ -83,8 +84,8 @@
     }
 }
 
-/// The same of the ring of live hosts, by which news goes round: a host that is missing from it is
-/// told nothing, and one too many is told in vain.
+/// The same for the ring of live hosts along which updates are forwarded: a host missing from it
+/// gets no updates, and messages to a host that should not be in it are wasted.
 #[test]
 fn an_incremental_ring_equals_a_rebuilt_ring() {
     for seed in 20..32 {
@@ -107,13 +108,14 @@
     }
 }
 
-/// A host follows the earliest clock of all. When it first hears of one that is far ahead, the leases
-/// that it holds have run out by that clock, in the middle of one of its own epochs. Were that noticed
-/// only at the epoch's end, requests would be sent until then to upstreams that are long gone.
+/// A host follows the earliest-started clock of all. When it first receives a reading far ahead,
+/// the leases that it holds have expired by that clock, in the middle of one of its own epochs. If
+/// it noticed that only at the end of the epoch, requests would be sent until then to upstreams
+/// that are long gone.
 #[test]
 fn a_clock_that_jumps_ahead_expires_leases_at_once() {
     let ring = |index| PeerRing::new(&host_name(9), vec![(host_name(index), address(index))]);
-    // What a host says whose clock began so long before the others'.
+    // A message of a host whose clock started this much earlier than the others'.
     let message = |clock: Duration| {
         let mut host = UpstreamRegistry::new();
         host.announce(Moment::ZERO + clock, announcement(1, 1, 1)).unwrap();
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -1,4 +1,4 @@
-//! Which zones are evacuated where, and what that does to their upstreams.
+//! Where evacuations are known, and how they affect the zones' upstreams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,8 +42,8 @@
     network.hosts.iter().filter(|host| **host.plans.evacuated() == *zones).count()
 }
 
-// An operator empties a zone of a large installation. Half of the hosts must know at once, and all
-// of them well before the operator may take the zone's machines away.
+// An operator evacuates a zone of a large installation. Half of the hosts must know of it almost at
+// once, and all of them well before the operator may remove the zone's machines.
 #[test]
 fn an_evacuation_is_in_force_at_hundreds_of_hosts_within_a_second() {
     let mut network = with_leader(300, 41);
@@ -58,9 +58,9 @@
     }
 }
 
-// Hosts are frozen, cut off and restarted while zones are emptied and taken back, and messages are
-// lost and doubled. None of them may say that it serves while an order is unknown to it that was
-// accepted a lease's time ago, and none may go back to an earlier order.
+// Hosts are paused, cut off and restarted while zones are evacuated and restored, and messages are
+// lost and duplicated. No host may report that it serves if it does not know an order that was
+// accepted a lease's time ago, and no host may return to an earlier order.
 #[test]
 fn a_host_that_serves_knows_every_order_of_a_lease_ago() {
     for seed in 0..12 {
@@ -113,8 +113,8 @@
     }
 }
 
-// There is no leader, and one replica's log holds an order for a zone that nobody can tell to be
-// accepted. A host that served on could send work to a zone that is evacuated.
+// There is no leader, and one replica's log holds a zone order that may or may not have been
+// accepted. A host that kept serving could send work to an evacuated zone.
 #[test]
 fn an_order_that_may_have_been_accepted_keeps_hosts_without_a_lease_from_serving() {
     let mut network = with_leader(12, 43);
@@ -138,7 +138,7 @@
 
 fn open_zones(registry: &mut UpstreamRegistry, now: Moment) -> Vec<ZoneName> {
     let pools = registry.pools(now).clone();
-    assert_eq!(pools, registry.rebuild_pools(now), "differences and a rebuild disagree");
+    assert_eq!(pools, registry.rebuild_pools(now), "incremental and rebuilt lists differ");
     let records = pools.values().flat_map(|list| list.iter()).filter(|record| record.takes_work);
     let mut zones: Vec<ZoneName> = records.map(|record| record.announcement.zone.clone()).collect();
     zones.sort();
@@ -146,8 +146,8 @@
     zones
 }
 
-// A zone is emptied: its upstreams must get no work, also those that announce themselves or start
-// anew meanwhile, and must get it again once the zone is taken back.
+// A zone is evacuated. Its upstreams must get no work, including those that announce themselves or
+// restart meanwhile, and must get work again once the zone is restored.
 #[test]
 fn upstreams_of_an_evacuated_zone_get_no_work_whenever_they_come() {
     let now = Moment::from_micros(1_000_000);
--- a/crates/pulley_core/tests/members/link_model.rs
+++ b/crates/pulley_core/tests/members/link_model.rs
@@ -1,47 +1,47 @@
-//! Links of limited rate, for the hosts of the fake network.
+//! Links of limited rate for the hosts of the simulated network.
 
 use std::time::Duration;
 
 use pulley_core::Moment;
 
-/// A datagram that would wait for longer is dropped, as by a small buffer.
+/// A datagram that would wait for longer is dropped, as in a small buffer.
 const QUEUE_LIMIT: Duration = Duration::from_millis(500);
 
-/// What a host's link bears, each way.
+/// The capacity of a host's link in each direction, and the part that callers use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkTerms {
-    /// Bytes a second.
+    /// The rate in bytes a second.
     pub(crate) rate: u32,
-    /// Bytes a second of callers, who send steadily and wait in the same queue.
+    /// The bytes a second of callers, who send steadily and wait in the same queue.
     pub(crate) callers: u32,
 }
 
-/// What was seen of one direction of a link.
+/// Statistics of one direction of a link.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LinkStats {
-    /// The longest time that a byte of a caller waited.
+    /// The longest time that a caller's byte waited.
     pub(crate) longest: Duration,
-    /// How long the queue was a long one.
+    /// For how long the queue counted as long.
     pub(crate) long_time: Duration,
     pub(crate) passed_bytes: u64,
     pub(crate) dropped: u64,
 }
 
-/// One direction of one host's link: who comes first goes first.
+/// One direction of one host's link, a first-in first-out queue.
 #[derive(Clone, Debug)]
 struct LinkQueue {
     terms: LinkTerms,
-    /// Bytes that wait, those of callers included.
+    /// Waiting bytes, including those of callers.
     waiting: f64,
     updated: Moment,
-    /// From which wait on a queue counts as long.
+    /// The wait from which the queue counts as long.
     long: Duration,
     stats: LinkStats,
 }
 
 impl LinkQueue {
     fn new(terms: LinkTerms, now: Moment, long: Duration) -> Self {
-        assert!(terms.callers < terms.rate, "callers leave room: {terms:?}");
+        assert!(terms.callers < terms.rate, "callers must leave room: {terms:?}");
         Self { terms, waiting: 0.0, updated: now, long, stats: LinkStats::default() }
     }
 
@@ -49,7 +49,7 @@
         Duration::from_secs_f64(self.waiting / f64::from(self.terms.rate))
     }
 
-    /// Lets the queue run down; meanwhile callers go on to send.
+    /// Drains the queue up to `now`, while callers keep sending.
     fn advance(&mut self, now: Moment) {
         let elapsed = now.since(self.updated).as_secs_f64();
         self.updated = now;
@@ -60,7 +60,7 @@
         self.waiting = (self.waiting - drain * elapsed).max(0.0);
     }
 
-    /// Takes a datagram; returns when it is through, or nothing if it is dropped.
+    /// Queues a datagram. Returns when it has passed the link, or `None` if it is dropped.
     fn enqueue(&mut self, now: Moment, bytes: usize) -> Option<Moment> {
         self.advance(now);
         if self.wait() > QUEUE_LIMIT {
@@ -78,28 +78,28 @@
 /// The links of all hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkModel {
-    /// By host: what it sends, and what it receives.
+    /// For each host, the queues for sending and for receiving.
     queues: Vec<[LinkQueue; 2]>,
 }
 
 impl LinkModel {
-    /// Makes empty links, by host; a wait of `long` is noted as a long one.
+    /// Makes empty links, one for each host. A wait of `long` counts as a long one.
     pub(crate) fn new(terms: &[LinkTerms], now: Moment, long: Duration) -> Self {
         let queue = |terms: &LinkTerms| LinkQueue::new(*terms, now, long);
         Self { queues: terms.iter().map(|terms| [queue(terms), queue(terms)]).collect() }
     }
 
-    /// When a datagram has left its sender, unless it is dropped there.
+    /// Returns when a datagram has left its sender's link, or `None` if it is dropped there.
     pub(crate) fn leave(&mut self, host: usize, now: Moment, bytes: usize) -> Option<Moment> {
         self.queues[host][0].enqueue(now, bytes)
     }
 
-    /// When a datagram that has come to its receiver's link is through, unless it is dropped there.
+    /// Returns when a datagram has passed its receiver's link, or `None` if it is dropped there.
     pub(crate) fn arrive(&mut self, host: usize, now: Moment, bytes: usize) -> Option<Moment> {
         self.queues[host][1].enqueue(now, bytes)
     }
 
-    /// What was seen of a host's link by now: sending and receiving.
+    /// Returns the statistics of a host's link up to `now`: sending and receiving.
     pub(crate) fn stats(&mut self, host: usize, now: Moment) -> [LinkStats; 2] {
         let queues = &mut self.queues[host];
         queues.iter_mut().for_each(|queue| queue.advance(now));
--- a/crates/pulley_core/tests/members/member_table_tests.rs
+++ b/crates/pulley_core/tests/members/member_table_tests.rs
@@ -1,4 +1,4 @@
-//! Who counts as alive.
+//! Which hosts count as alive.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     assert_eq!(live_counts(&network), vec![30; 30]);
 }
 
-/// A host loses power. Until the others know, its share of everything stays out of use.
+/// A host loses power. Until the others notice, its share of everything is not used.
 #[test]
 fn a_dead_host_is_noticed_by_all() {
     let mut network = Network::new(30, 2);
@@ -30,8 +30,9 @@
     assert_eq!(network.hosts[0].members.state(&host_name(7)), Some(MemberState::Dead));
 }
 
-/// The path between two hosts goes silent both ways, while each reaches everybody else. If either
-/// declared the other dead, its callers' share and counts would be dropped for nothing.
+/// The path between two hosts fails silently in both directions, while each still reaches all
+/// others. If either declared the other dead, the share and the counts for its callers would be
+/// dropped without need.
 #[test]
 fn one_silent_path_declares_nobody_dead() {
     let mut network = Network::new(10, 3);
@@ -43,8 +44,8 @@
     }
 }
 
-/// A host restarts again and again, as a faulty one does. Were each start remembered as another
-/// host, tables and messages would grow until nothing fits.
+/// A faulty host restarts again and again. If each start were remembered as a separate host, tables
+/// and messages would grow beyond their limits.
 #[test]
 fn a_hundred_restarts_leave_no_extra_members() {
     let mut network = Network::new(6, 4);
@@ -60,8 +61,8 @@
     }
 }
 
-/// Hosts are replaced under new names for weeks, or somebody starts far too many. Each host's
-/// memory and messages must stay bounded.
+/// Hosts are replaced under new names for weeks, or far too many are started. Each host's memory
+/// and messages must stay bounded.
 #[test]
 fn the_table_is_bounded() {
     let settings = MemberSettings::default().with_host_limit(100);
@@ -78,8 +79,8 @@
     assert!(sends.map(|send| send.body.len()).all(|length| length <= MEMBER_BODY_LIMIT));
 }
 
-/// The clock of a host goes back before it starts again, so that its new start has a lower number
-/// than what others hold. It would be taken for an old message and never be a member again.
+/// A host's clock is set back before it restarts, so that its new incarnation is lower than the one
+/// the others know. Its messages would be taken for old ones, and it would never be a member again.
 #[test]
 fn a_start_with_an_earlier_clock_is_a_member_again() {
     let mut network = Network::new(6, 7);
@@ -93,9 +94,9 @@
     assert_eq!(live_counts(&network), vec![6; 6]);
 }
 
-/// All hosts lose power, and one of a host's five seeds is back long before the others. Calling on
-/// one seed after the other, two replicas that were up took a fifth of a second to find each other,
-/// and no replica could be elected meanwhile.
+/// All hosts lose power, and one of a host's five seeds is back long before the others. When seeds
+/// were contacted one after another, two replicas that were up took a fifth of a second to find
+/// each other, and no replica could be elected meanwhile.
 #[test]
 fn a_host_without_peers_contacts_all_its_seeds() {
     let mut table = MemberTable::new(record(0, 1), MemberSettings::default(), 3);
--- a/crates/pulley_core/tests/members/network.rs
+++ b/crates/pulley_core/tests/members/network.rs
@@ -1,4 +1,4 @@
-//! Hosts with the real state machines on a fake network in virtual time.
+//! Hosts that run the real state machines on a simulated network in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,10 +18,10 @@
 use super::link_model::LinkModel;
 use super::route_rows::RouteRows;
 
-/// What a datagram costs besides its body: UDP and IP headers, format, name of 8 bytes, tag.
+/// The bytes of a datagram besides its body: UDP and IP headers, format, name of 8 bytes, tag.
 pub(crate) const WIRE_OVERHEAD: usize = 28 + 3 + 8 + 16;
 
-/// Which state machine a message belongs to.
+/// The state machine that a message belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Kind {
     Member,
@@ -36,11 +36,11 @@
     pub(crate) registry: UpstreamRegistry,
     pub(crate) plans: PlanFollower,
     pub(crate) up: bool,
-    /// A stopped process reads and sends nothing until then; messages wait in its socket.
+    /// A stopped process reads and sends nothing until this time. Messages wait in its socket.
     pub(crate) paused_until: Moment,
     pub(crate) sent: BTreeMap<Kind, (u64, u64)>,
     pub(crate) received: u64,
-    /// Real time spent in each state machine: ticks, and messages with their number.
+    /// Real time spent in each state machine, with the numbers of ticks and messages.
     pub(crate) spent: BTreeMap<Kind, TimeSpent>,
     scheduled: Option<Moment>,
 }
@@ -54,7 +54,7 @@
     pub(crate) message_time: Duration,
 }
 
-/// How messages fare.
+/// Loss, duplication and delay of messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkConditions {
     pub(crate) loss: f64,
@@ -68,7 +68,8 @@
     }
 }
 
-/// What happens to a host; where links are limited, a message arrives at one before it is delivered.
+/// An event at a host. Where links are limited, a message first arrives at the host's link and is
+/// delivered later.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Wake(usize),
@@ -80,12 +81,12 @@
     pub(crate) now: Moment,
     pub(crate) hosts: Vec<Host>,
     pub(crate) conditions: NetworkConditions,
-    /// Pairs whose messages vanish, from the first to the second.
+    /// Pairs of hosts whose messages are lost, from the first to the second.
     pub(crate) cuts: BTreeSet<(usize, usize)>,
-    /// The leader's index, if one issues leases.
+    /// The index and term of the leader that issues leases, if there is one.
     pub(crate) leader: Option<(usize, u64)>,
     pub(crate) replicas: ReplicaSet,
-    /// What the hosts' links bear; without, everything.
+    /// The capacity of the hosts' links; unlimited if `None`.
     pub(crate) links: Option<LinkModel>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     event_count: u64,
@@ -147,7 +148,7 @@
         for index in 0..count {
             let host = network.new_host(index, 0);
             network.hosts.push(host);
-            // Hosts don't start in the same instant.
+            // Hosts don't all start at the same instant.
             let start = Moment::from_micros(network.rng.random_range(0..500_000));
             network.wake_at(index, start);
         }
@@ -174,14 +175,14 @@
         }
     }
 
-    /// Ends a host's process and starts it anew, with nothing kept.
+    /// Ends a host's process and starts it again with no state kept.
     pub(crate) fn restart(&mut self, index: usize) {
         let start = self.now.micros() / 1_000 + 1;
         self.hosts[index] = self.new_host(index, start);
         self.wake_at(index, self.now);
     }
 
-    /// Cuts or mends the path between two groups, both ways.
+    /// Cuts or restores the paths between two groups, in both directions.
     pub(crate) fn set_partition(&mut self, left: &[usize], right: &[usize], cut: bool) {
         for a in left {
             for b in right {
@@ -232,7 +233,7 @@
         self.schedule_wakeup(host);
     }
 
-    /// Has a host tell another that has just started of the upstreams.
+    /// Has one host send all upstreams to another that has just started.
     pub(crate) fn introduce(&mut self, host: usize, to: usize) {
         let (now, to) = (self.now, self.hosts[to].address);
         self.hosts[host].registry.introduce(now, to);
@@ -248,7 +249,7 @@
         self.commit(leader, &plan.version(version));
     }
 
-    /// Has a replica know that a version is committed; the leader tells at once.
+    /// Notifies a replica that a version is committed. The leader sends it at once.
     pub(crate) fn commit(&mut self, replica: usize, plan: &StoredPlan) {
         self.hosts[replica].plans.committed(plan);
         match self.leader {
@@ -257,7 +258,7 @@
         }
     }
 
-    /// The moment a leader confirms its majority: the fake takes it as given.
+    /// Renews the leader's confirmation by a majority, which the simulation takes as given.
     fn confirm_leader(&mut self) {
         if let Some((leader, term)) = self.leader
             && self.hosts[leader].up
--- a/crates/pulley_core/tests/members/plan_difference_tests.rs
+++ b/crates/pulley_core/tests/members/plan_difference_tests.rs
@@ -1,4 +1,4 @@
-//! What changes between plans, as it travels.
+//! The encoded difference between two plans.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 
 const LEVEL: u8 = 6;
 
-/// Two plans, the second made out of the first.
+/// Two plans, the second derived from the first by random changes.
 #[derive(Clone, Debug)]
 struct PlanPair {
     before: PolicyPlan,
@@ -109,7 +109,7 @@
     QuickCheck::new().tests(300).quickcheck(round_trips as fn(PlanPair) -> bool);
 }
 
-/// A plan of this many rows, and its packed form.
+/// Makes a plan with this many rows, and its packed form.
 fn packed_rows(rows: usize) -> (PolicyPlan, Vec<u8>) {
     let mut sheet = RouteRows::new(5);
     sheet.add(rows);
@@ -136,7 +136,8 @@
     assert_eq!(arrived, Some(plan));
 }
 
-/// Deflate and its checks hide most of what is behind them from bytes mutated on the wire.
+/// Mutates the data before it is compressed: deflate and its checks would reject most bytes mutated
+/// on the wire before the code behind them is reached.
 #[test]
 fn no_mutated_columns_panic_or_make_more_rows_than_a_plan_may_have() {
     let (plan, packed) = packed_rows(60);
@@ -181,7 +182,7 @@
     assert!(PlanDifference::unpack(&packed(PLAN_ROW_LIMIT + 1)).is_none());
 }
 
-/// Each of 8,000 paths has a byte more than the one before: 24 KB that would make 32 MB.
+/// Each of 8,000 paths is a byte longer than the one before: 24 KB that would expand to 32 MB.
 #[test]
 fn names_that_share_long_parts_are_refused_where_they_sum_up_to_more_than_a_plan() {
     let (plan, _) = packed_rows(1);
--- a/crates/pulley_core/tests/members/plan_follower_tests.rs
+++ b/crates/pulley_core/tests/members/plan_follower_tests.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force where.
+//! Which configuration is in force on which host.
 
 use std::time::Duration;
 
@@ -37,7 +37,8 @@
 }
 
 /// The leader and two replicas are cut off from the rest without a signal. Changes may be accepted
-/// on their side; an entry that went on serving the old version would break what was promised.
+/// on their side. An entry that kept serving the old version would break the guarantee of accepted
+/// changes.
 #[test]
 fn hosts_cut_off_from_a_leader_that_may_have_moved_on_are_not_ready() {
     let mut network = with_leader(12, 22);
@@ -62,8 +63,8 @@
     assert_eq!(at_version(&network, 2), 12);
 }
 
-/// All five replicas can be reached but there is no leader, as after the loss of one and a split
-/// vote. Nothing newer can have been accepted, so refusing every call would help nobody.
+/// All five replicas are reachable but there is no leader, as after the loss of one and a split
+/// vote. Nothing newer can have been accepted, so refusing every call would be of no use.
 #[test]
 fn without_a_leader_a_majority_with_nothing_newer_keeps_entries_serving() {
     let mut network = with_leader(12, 23);
@@ -78,7 +79,7 @@
     for host in &network.hosts {
         assert_eq!(host.plans.standing(network.now), PlanStanding::Static(ConfigVersion(1)));
     }
-    // One replica holds an entry past the version: nobody knows whether it was accepted.
+    // One replica holds a log entry past the version, which may or may not have been accepted.
     let replicas = network.replicas.clone();
     network.hosts[2].plans.set_replica(replicas, ConfigVersion(2), LogIndex::default());
     network.run_for(2 * SECOND);
@@ -87,7 +88,7 @@
     assert_eq!(entry.version(), ConfigVersion(1));
 }
 
-/// A process restarts after many changes. If it served before it knew the current version, it
+/// A process restarts after many changes. If it served before it knows the current version, it
 /// would serve an old one.
 #[test]
 fn a_host_that_starts_serves_the_current_version_or_nothing() {
@@ -105,9 +106,9 @@
     assert_eq!(at_version(&network, 7), 12);
 }
 
-/// Changes come faster than a slow host can fetch one of them. Each used to throw away what was on
-/// its way, and the host stayed at the version before the storm for as long as it lasted: callers
-/// got what an operator had changed two seconds before.
+/// Changes arrive faster than a slow host can fetch one of them. When each change discarded the
+/// fetch in progress, the host stayed at the version before the storm for as long as it lasted:
+/// callers got answers by a configuration that an operator had changed two seconds before.
 #[test]
 fn a_slow_host_follows_a_storm_of_changes() {
     let mut network = with_leader(34, 31);
@@ -127,9 +128,9 @@
     assert!(network.hosts.iter().all(|host| host.plans.version().0 == 52));
 }
 
-/// Every host restarts at once, as after a loss of power, and refuses callers until it knows the
-/// configuration. Hosts used to ask two others picked at random every 250 ms, mostly some that
-/// knew as little as they did; those with a replica say so when they join, and are asked first.
+/// Every host restarts at once, as after a power loss, and refuses callers until it knows the
+/// configuration. Hosts used to ask two others picked at random every 250 ms, most of which did not
+/// know it either. Hosts with a replica announce that when they join, and are asked first.
 #[test]
 fn a_host_that_starts_asks_hosts_that_announce_a_replica() {
     let ring = with_leader(30, 25).hosts[29].members.ring().clone();
@@ -145,9 +146,9 @@
     }
 }
 
-/// All hosts restart together. An entry asks a replica before any replica leads, and the replica
-/// leads a moment later. Told only when it asks again, the entry would refuse its callers for a
-/// tenth of a second with the configuration a millisecond away.
+/// All hosts restart together. An entry asks a replica before any replica leads, and that replica
+/// becomes leader a moment later. If it answered only the next question, the entry would refuse its
+/// callers for a tenth of a second with the configuration a millisecond away.
 #[test]
 fn a_host_that_asked_before_the_election_is_answered_right_after_it() {
     let mut replica = PlanFollower::new(host_name(0), 1);
@@ -158,7 +159,7 @@
     let asked = entry.tick(at(10), &ring);
     let told: Vec<_> =
         asked.iter().flat_map(|send| replica.receive(at(11), &host_name(1), &send.body)).collect();
-    assert_eq!(told.len(), 1, "it says that it knows nothing yet");
+    assert_eq!(told.len(), 1, "the replica answers that it knows nothing yet");
     entry.receive(at(12), &host_name(0), &told[0].body);
     assert_eq!(entry.standing(at(12)), PlanStanding::Starting);
     assert!(replica.tick(at(13), &ring).is_empty());
@@ -169,11 +170,12 @@
         entry.receive(at(16), &host_name(0), &send.body);
     }
     assert_eq!(entry.standing(at(16)), PlanStanding::InForce(ConfigVersion(0)));
-    assert!(replica.tick(at(17), &ring).is_empty(), "once is enough");
+    assert!(replica.tick(at(17), &ring).is_empty(), "the entry is answered only once");
 }
 
-/// Chunks came that were asked for before the host began anew with the version, knowing nobody who
-/// holds it: changes follow each other, and links are slow. The host's follower panicked.
+/// Changes follow each other and links are slow. A host began to fetch a version again without
+/// knowing a host that holds it, and chunks requested earlier arrived. The host's follower
+/// panicked.
 #[test]
 fn chunks_that_arrive_before_a_source_is_known_do_not_panic() {
     let [mut leader, mut first, mut second] =
@@ -196,7 +198,7 @@
             second.receive(at(22), &host_name(1), &answer.body);
         }
     }
-    // The second host has heard of the version from one that lacks it itself.
+    // The second host has learned of the version from a host that does not hold it.
     let asked = first.tick(at(220), &ring);
     let chunks: Vec<_> = asked
         .iter()
@@ -210,7 +212,7 @@
     assert_eq!(second.version(), ConfigVersion(0));
 }
 
-// Guards against hosts that take their version for the newest while they fetch a newer one.
+// Guards against hosts that report their version as the newest while they fetch a newer one.
 #[test]
 fn a_host_awaits_a_version_that_it_has_heard_of_until_that_is_in_force() {
     let mut network = with_leader(12, 41);
@@ -233,7 +235,8 @@
     assert!(network.hosts.iter().all(|host| host.plans.awaited().is_none()));
 }
 
-// Guards against a host that counts leases only: without a leader, what others hold is newer, too.
+// Guards against a host that considers only leases: without a leader, versions that others hold may
+// be newer, too.
 #[test]
 fn a_host_awaits_what_another_holds_without_a_lease() {
     let mut holder = PlanFollower::new(host_name(0), 1);
--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -1,4 +1,5 @@
-//! Whom a host asks for a newer configuration, and what it keeps while they have no room or change.
+//! Which hosts are asked for a newer configuration, and which received chunks are kept while they
+//! are busy or change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 const ENTRY_LINK: LinkTerms = LinkTerms { rate: 175_000, callers: 87_500 };
 const REPLICA_LINK: LinkTerms = LinkTerms { rate: 125_000_000, callers: 0 };
 
-/// Five replicas and entries with links of limited rate, at a version.
+/// Makes five replicas, and entries with links of limited rate, all at one version.
 fn with_links(count: usize, seed: u64, plan: &Arc<StoredPlan>) -> Network {
     let mut network = Network::new(count, seed);
     network.replicas = ReplicaSet { index: 1, hosts: (0..5).map(host_name).collect() };
@@ -39,7 +40,8 @@
     }
 }
 
-// Guards against a start that begins anew with each change, for as long as changes come.
+// Guards against a starting host whose fetch begins again with each change, for as long as changes
+// arrive.
 #[test]
 fn a_host_that_starts_during_a_storm_of_changes_gets_the_configuration() {
     let mut rows = RouteRows::new(61);
@@ -61,7 +63,8 @@
     assert!(had_after.is_some(), "nothing in force after 9 s: {counts:?}");
 }
 
-// Guards against hosts that give up what has come because those asked have no room for a while.
+// Guards against hosts that discard received chunks because the hosts that they ask have no room
+// for a while.
 #[test]
 fn entries_cut_off_from_all_replicas_get_a_wide_change_from_few_peers() {
     let mut rows = RouteRows::new(62);
@@ -80,7 +83,7 @@
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-/// Has a host answer what another sent it; gives the answers.
+/// Delivers the messages addressed to a host and returns its answers.
 fn answers(
     now: Moment,
     from: &HostId,
@@ -109,7 +112,7 @@
         entry.receive(at(12), &old, &answer.body);
     }
     assert_eq!(entry.awaited(), Some(ConfigVersion(1)));
-    // The only replica that it knows of is gone, and another host holds the log now.
+    // The only replica that it knows is gone, and another host holds the log now.
     entry.apply_replicas(std::slice::from_ref(&new));
     let mut later = PlanFollower::new(new.clone(), 3);
     later.committed(&rows.version(1));
@@ -130,7 +133,7 @@
     assert_eq!(entry.version(), ConfigVersion(1), "asked {reached} times");
 }
 
-/// Two hosts that answer each other at once.
+/// Two hosts that exchange messages without delay.
 struct HostPair {
     names: [HostId; 2],
     rings: [PeerRing; 2],
@@ -140,7 +143,7 @@
 }
 
 impl HostPair {
-    /// A replica that leads, with a link of some rate, and an entry that has just started.
+    /// Makes a leading replica with a link of limited rate, and an entry that has just started.
     fn new(seed: u64, rate: f64, plan: &StoredPlan) -> Self {
         let mut network = Network::new(2, seed);
         network.run_for(3 * SECOND);
@@ -165,7 +168,7 @@
         self.confirm_leader();
     }
 
-    /// Lets time pass; what each message to the entry becomes is up to the caller.
+    /// Advances the time. `pass` decides what happens to each message to the entry.
     fn run(&mut self, millis: u64, mut pass: impl FnMut(&[u8]) -> Option<Vec<u8>>) {
         for _ in 0..millis {
             self.now = self.now + Duration::from_millis(1);
@@ -190,7 +193,8 @@
     }
 }
 
-// Guards against a host that gives up what has come because the one asked has no room for a while.
+// Guards against a host that discards received chunks because the host that it asks has no room
+// for a while.
 #[test]
 fn a_host_keeps_received_chunks_while_the_holder_has_no_room() {
     let mut rows = RouteRows::new(64);
@@ -206,7 +210,7 @@
     assert_eq!(counts.chunks_taken, fast.chunks_taken(), "{counts:?}");
 }
 
-// Guards against whole plans for every later change, once one way to a plan was damaged.
+// Guards against fetching a whole plan for every later change after one difference arrived damaged.
 #[test]
 fn a_damaged_difference_does_not_make_later_changes_fetch_whole_plans() {
     let mut rows = RouteRows::new(65);
@@ -238,7 +242,7 @@
     assert!(taken < 3 * whole, "{taken} chunks where a whole plan takes {whole}");
 }
 
-// Guards against a host that knows enough holders, all of them gone, and asks no other one.
+// Guards against a host that knows enough holders, all of them gone, and asks no others.
 #[test]
 fn a_host_asks_others_when_all_holders_that_it_knows_are_silent() {
     let own = host_name(12);
@@ -252,7 +256,8 @@
     let mut holders: Vec<PlanFollower> =
         (0..12).map(|index| PlanFollower::new(host_name(index), index as u64)).collect();
     holders.iter_mut().for_each(|holder| holder.committed(&plan));
-    // The first eight say what they hold, but no chunk of it arrives; then only the others are left.
+    // The first eight hosts announce that they hold the plan, but no chunk from them arrives. Later
+    // only the others are left.
     for round in 0..400 {
         let now = at(1_000 + 50 * round);
         let mut asked = entry.tick(now, &ring);
@@ -271,7 +276,8 @@
     assert_eq!(entry.version(), ConfigVersion(1));
 }
 
-// Guards against a holder that counts what it is asked for: most changes take one small chunk.
+// Guards against a holder that charges its send budget for what is requested: most changes take
+// only one small chunk.
 #[test]
 fn a_holder_charges_its_send_budget_by_bytes_sent() {
     let mut rows = RouteRows::new(67);
--- a/crates/pulley_core/tests/members/restart_tests.rs
+++ b/crates/pulley_core/tests/members/restart_tests.rs
@@ -15,9 +15,9 @@
     sent.map(|(messages, _)| messages).sum()
 }
 
-/// Nobody leads yet, and every entry asks the replicas for the configuration until one can tell. Asked
-/// by each of hundreds ten times a second, the replicas are busy with nothing else and elect a
-/// leader later, while all callers are refused.
+/// There is no leader yet, and every entry asks the replicas for the configuration until one can
+/// answer. If each of hundreds asked ten times a second, the replicas would be busy with nothing
+/// else and elect a leader later, while all callers are refused.
 #[test]
 fn entries_that_wait_for_a_leader_do_not_keep_replicas_busy() {
     const HOSTS: usize = 200;
@@ -28,20 +28,20 @@
     let before = sent(&network, Kind::Plan, 0..REPLICAS);
     network.run_for(SECOND);
     let answers = sent(&network, Kind::Plan, 0..REPLICAS) - before;
-    // Each entry hears from each replica five times a second at most.
+    // Each replica answers each entry five times a second at most.
     let most = 5 * (HOSTS * REPLICAS) as u64;
     assert!(answers <= most, "{answers} answers of the replicas within a second, at most {most}");
 }
 
-/// Three hundred entries wait for a configuration when a leader appears. Those whose question for it
-/// gets no answer ask again a while later and refuse their callers until then, so all of them must
-/// get theirs at once.
+/// Three hundred entries wait for a configuration when a leader appears. Those whose question gets
+/// no answer ask again later and refuse their callers until then, so all of them must be answered
+/// at once.
 #[test]
 fn all_entries_have_the_configuration_as_soon_as_there_is_a_leader() {
     assert_in_force_at_once(false);
 }
 
-// Guards against entries that wait for an answer of replicas that have not heard of the leader yet.
+// Guards against entries that wait for an answer from replicas that do not know of the leader yet.
 #[test]
 fn entries_that_know_the_replicas_have_the_configuration_as_soon_as_one_of_them_does() {
     assert_in_force_at_once(true);
@@ -70,9 +70,9 @@
     assert_eq!(waiting, 0, "hosts without the configuration 0.1 s after the leader");
 }
 
-/// Every upstream is news after a restart, and every host passes news on to several. With a datagram
-/// for each of them small hosts are busy with datagrams for seconds; news that comes together must
-/// go together, and still be everywhere within moments.
+/// After a restart every upstream is an update, and every host forwards updates to several others.
+/// With a datagram for each, small hosts are busy with datagrams for seconds. Updates that arrive
+/// together must be sent together, and still reach every host within moments.
 #[test]
 fn updates_of_many_upstreams_are_batched() {
     const HOSTS: usize = 60;
@@ -85,7 +85,7 @@
         network.run_for(SECOND / 100);
     }
     let messages = (sent(&network, Kind::Upstream, 0..HOSTS) - before) / HOSTS as u64;
-    // Twenty tellings a second to four hosts each, and as many messages again for comparisons.
+    // Twenty sends a second to four hosts each, and as many messages again for comparisons.
     assert!(messages <= 160, "{messages} messages of each host within a second");
     network.run_for(SECOND);
     let id = |upstream| announcement(upstream, 1, 1).id;
--- a/crates/pulley_core/tests/members/route_rows.rs
+++ b/crates/pulley_core/tests/members/route_rows.rs
@@ -1,4 +1,4 @@
-//! Plans with rows of random-looking names, as operators' tools make them.
+//! Plans whose rows have random-looking names, like those made by operators' tools.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const POOLS: [&str; 3] = ["rada90a", "fira61b", "baba60c"];
 const HOSTS: [&str; 4] = ["rawu41.example", "kilo7.example", "wapu220.example", "zetu9.example"];
 
-/// A plan that grows row by row.
+/// A plan to which rows are added one by one.
 #[derive(Clone, Debug)]
 pub(crate) struct RouteRows {
     plan: PolicyPlan,
@@ -28,7 +28,7 @@
         Self { plan: PolicyPlan::default(), rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Adds rows at the end.
+    /// Appends rows.
     pub(crate) fn add(&mut self, rows: usize) {
         for _ in 0..rows {
             let row = self.row();
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Changes what part of the requests one row gets.
+    /// Sets the weight of one row, which determines its share of the requests.
     pub(crate) fn set_weight(&mut self, row: usize, weight: u32) {
         self.plan.kinds[row].route.weight = weight;
     }
 
-    /// The plan as it is accepted: with the sheet it was read from.
+    /// Returns the plan in its accepted form, with the sheet that it was read from.
     pub(crate) fn version(&self, version: u64) -> Arc<StoredPlan> {
         let (plan, sheet) = (self.plan.clone(), SheetPrinter::print(&self.plan));
         Arc::new(StoredPlan { version: ConfigVersion(version), sheet, plan })
--- a/crates/pulley_core/tests/members/schedule_tests.rs
+++ b/crates/pulley_core/tests/members/schedule_tests.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults, with fixed seeds; what must always hold is checked all the way.
+//! Random schedules of faults with fixed seeds. The invariants are checked at every step.
 
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
 const HOSTS: usize = 9;
 const UPSTREAMS: usize = 8;
 const STEP: Duration = Duration::from_millis(100);
-/// The lease, and what the hosts' clocks may differ by: the longest delay of the schedules.
+/// The lease plus the largest difference between the hosts' clocks, which is the longest delay of
+/// the schedules.
 const LEASE_BOUND: Duration = Duration::from_millis(3_000 + 100);
 
 #[derive(Clone, Debug)]
@@ -48,10 +49,10 @@
     }
 }
 
-/// The cluster with what an all-knowing observer remembers.
+/// The cluster, and the state that an observer with full knowledge keeps.
 struct Model {
     network: Network,
-    /// When each version was accepted, by version.
+    /// The time at which each version was accepted, indexed by version.
     accepted: Vec<Moment>,
     versions: [ConfigVersion; HOSTS],
     sequences: [u64; UPSTREAMS],
@@ -81,7 +82,7 @@
         model
     }
 
-    /// Every replica has every entry on its disk: the log itself has tests of its own.
+    /// Reports every entry as stored on every replica. The log itself has tests of its own.
     fn report_logs(&mut self) {
         let last = ConfigVersion(self.accepted.len() as u64 - 1);
         for replica in 0..5 {
@@ -99,7 +100,7 @@
                 if let Some((leader, term)) = self.network.leader
                     && leader == host
                 {
-                    // Whoever is awake is elected: a restarted replica reads its log first.
+                    // Elects a replica that is running: a restarted replica reads its log first.
                     self.network.leader = Some(((host + 1) % 5, term));
                     self.new_leader((host + 1) % 5);
                 }
@@ -130,7 +131,8 @@
         }
     }
 
-    /// A paused leader can't have its majority: another one has been elected by then.
+    /// Publishes a version, unless the leader is paused. A paused leader can't have a majority:
+    /// another one has been elected by then.
     fn publish(&mut self) {
         let Some((leader, _)) = self.network.leader else { return };
         if self.network.now < self.network.hosts[leader].paused_until {
@@ -167,7 +169,7 @@
             announcement.phase = UpstreamPhase::Draining;
         }
         let host = (upstream * 5 + usize::try_from(sequence).unwrap() * 7) % HOSTS;
-        // A stopped host accepts nothing; the platform's balancer asks the next.
+        // A stopped host accepts nothing. The platform's balancer tries the next.
         let awake = |host: &usize| self.network.hosts[*host].paused_until <= self.network.now;
         let Some(host) = (host..host + HOSTS).map(|host| host % HOSTS).find(awake) else {
             return;
@@ -192,11 +194,11 @@
         Ok(())
     }
 
-    /// What must hold in every host that runs, whatever happens to the network.
+    /// Checks the invariants of every running host, which hold whatever happens to the network.
     fn check(&mut self) -> Result<(), String> {
         let now = self.network.now;
         for (index, host) in self.network.hosts.iter().enumerate() {
-            // A stopped process decides nothing until it has looked at the time again.
+            // A stopped process makes no decision until it has read the time again.
             if now < host.paused_until {
                 continue;
             }
@@ -225,7 +227,7 @@
         Ok(())
     }
 
-    /// What must hold some time after the network is whole again.
+    /// Checks the state of every host some time after the network has recovered.
     fn check_settled(&self) -> Result<(), String> {
         let now = self.network.now;
         let latest = ConfigVersion(self.accepted.len() as u64 - 1);
@@ -240,7 +242,7 @@
             for upstream in 0..UPSTREAMS {
                 let works = !self.silent[upstream] && self.drained[upstream].is_none();
                 if host.registry.takes_work(now, &announcement(upstream, 1, 1).id) != works {
-                    return Err(format!("host {index} is wrong of upstream {upstream}"));
+                    return Err(format!("host {index} has a wrong state for upstream {upstream}"));
                 }
             }
         }
@@ -260,11 +262,12 @@
     model.check_settled()
 }
 
-/// Hosts restart, stop and wake up, paths and hosts are cut off for long, messages are lost,
-/// doubled and late, leaders change. A user would notice an old configuration in force, work sent
-/// to an upstream that leaves, or hosts that don't find each other afterwards.
+/// Hosts restart, stop and resume, paths and hosts are cut off for long, messages are lost,
+/// duplicated and delayed, and leaders change. Failures that a user would notice are an old
+/// configuration in force, work sent to an upstream that leaves, and hosts that don't find each
+/// other afterwards.
 #[test]
-#[expect(clippy::needless_pass_by_value, reason = "quickcheck passes its arguments so")]
+#[expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
 fn invariants_hold_through_random_faults() {
     fn property(seed: u64, faults: Vec<Fault>) -> TestResult {
         match run_schedule(seed, &faults) {
@@ -279,10 +282,10 @@
         .quickcheck(property as fn(u64, Vec<Fault>) -> TestResult);
 }
 
-/// Up to three paths are silent, one way each, and messages are lost. If a host that others reach
-/// were declared dead, its callers' counts and shares would be dropped for nothing.
+/// Up to three paths are silent in one direction each, and messages are lost. If a host that others
+/// reach were declared dead, the counts and shares for its callers would be dropped without need.
 #[test]
-#[expect(clippy::needless_pass_by_value, reason = "quickcheck passes its arguments so")]
+#[expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
 fn silent_paths_declare_no_live_host_dead_for_long() {
     fn property(seed: u64, cuts: Vec<(usize, usize)>) -> TestResult {
         let mut network = Network::new(HOSTS, seed);
--- a/crates/pulley_core/tests/members/upstream_directory_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_directory_tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of upstreams when every host loses its memory.
+//! The recall of upstreams after every host has lost its memory.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// What a registry that knows upstreams `0..count` writes down.
+/// Returns the directory that a registry with upstreams `0..count` stores.
 fn saved_directory(count: usize) -> UpstreamDirectory {
     let mut registry = UpstreamRegistry::new();
     let now = Moment::ZERO;
@@ -26,9 +26,10 @@
     UpstreamStart { id: announcement.id.clone(), incarnation: announcement.incarnation }
 }
 
-/// All hosts lose power and are back within a second, while upstreams go on announcing themselves
-/// once a second and a half. Until the last of them has, callers would be refused beside idle
-/// upstreams; what one replica of the zone has written down is known to its entries within 50 ms.
+/// All hosts lose power and are back within a second, while upstreams keep announcing themselves
+/// once a second and a half. Until the last of them has, callers would be refused although
+/// upstreams are idle. The upstreams that one replica of a zone has stored must be known to its
+/// entries within 50 ms.
 #[test]
 fn entries_know_all_upstreams_at_once_after_a_restart_of_all() {
     let mut network = Network::new(40, 21);
@@ -50,9 +51,9 @@
     }
 }
 
-/// An upstream says that it leaves, which is acknowledged; then all hosts lose power. The replica
-/// that comes back has written it down before that. Were it taken for an upstream
-/// again, callers would be sent to a process that is about to end.
+/// An upstream announces its departure, which is acknowledged; then all hosts lose power. The
+/// replica that comes back stored the upstream before that. If it recalled the upstream, callers
+/// would be sent to a process that is about to end.
 #[test]
 fn departed_upstreams_are_not_recalled() {
     let left = start_of(&announcement(1, 1, 1));
@@ -64,8 +65,8 @@
     assert_eq!(kept.len(), 1);
 }
 
-/// An upstream restarts while all hosts are dark, on another address, and announces itself to a
-/// replica before that has read its disk. What the disk says of its earlier start must change
+/// An upstream restarts at another address while all hosts are down, and announces itself to a
+/// replica before that has read its disk. The stored record of its earlier incarnation must change
 /// nothing: callers would be sent to the old address, which another service may use.
 #[test]
 fn an_announcement_takes_precedence_over_a_recalled_record() {
@@ -73,7 +74,7 @@
     let moved = Announcement { address: "10.9.9.9:8000".parse().unwrap(), ..announcement(0, 2, 1) };
     registry.announce(Moment::ZERO, moved.clone()).unwrap();
     assert_eq!(registry.recall(Moment::ZERO, saved_directory(1), |_| false), 0);
-    // The other way round: what was recalled gives way to the first word of the upstream.
+    // The reverse order: a recalled record is replaced by the upstream's first announcement.
     let mut other = UpstreamRegistry::new();
     assert_eq!(other.recall(Moment::ZERO, saved_directory(1), |_| false), 1);
     let late = Moment::ZERO + Duration::from_secs(2);
@@ -84,8 +85,8 @@
     }
 }
 
-/// An upstream ends while all hosts are dark and never announces itself again. It may be asked in
-/// vain for half a lease, and no longer; one that lives renews its lease by announcing itself.
+/// An upstream ends while all hosts are down and never announces itself again. Requests may be sent
+/// to it for half a lease at most. An upstream that is alive renews its lease by announcing itself.
 #[test]
 fn a_recalled_lease_is_short() {
     let mut registry = UpstreamRegistry::with_lease(Duration::from_secs(6));
@@ -99,8 +100,8 @@
     assert!(registry.takes_work(late, &alive.id));
 }
 
-/// An upstream that was recalled says that it drains, and a copy of what was written down arrives
-/// by way of another host. It stays out.
+/// A recalled upstream announces that it drains, and a copy of its stored record arrives from
+/// another host. The upstream must stay out of use.
 #[test]
 fn a_drain_after_a_recall_holds_everywhere() {
     let mut registry = UpstreamRegistry::new();
@@ -113,9 +114,9 @@
     assert_eq!(start.incarnation, Incarnation(1));
 }
 
-/// So many questions wait for a leader when a replica starts that its own is not taken. Were it taken
-/// for asked, the replica would recall nothing, and callers would be refused until all upstreams have
-/// announced themselves again.
+/// A replica starts while so many questions wait for a leader that its own is rejected. If it
+/// counted as asked, the replica would recall nothing, and callers would be refused until all
+/// upstreams have announced themselves again.
 #[test]
 fn a_recall_question_that_was_not_accepted_is_asked_again() {
     let mut proof = RecallProof::default();
@@ -124,7 +125,8 @@
     assert!(!proof.is_wanted());
     proof.give_up_asking();
     assert!(proof.is_wanted());
-    // An answer that came while the question was put goes before the word that it was not taken.
+    // An answer that arrives while the question is being sent takes precedence over the notice that
+    // the question was rejected.
     proof.begin_asking();
     proof.take_answer(Some(7));
     proof.give_up_asking();
--- a/crates/pulley_core/tests/members/upstream_registry_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_registry_tests.rs
@@ -11,7 +11,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Announces upstreams `0..count` once a second, each time to the next of the hosts.
+/// Announces upstreams `0..count` once a second, each time to a different host.
 fn announce_for(network: &mut Network, count: usize, from: u64, seconds: u64) {
     for second in from..from + seconds {
         for upstream in 0..count {
@@ -48,23 +48,23 @@
     }
 }
 
-/// An upstream loses power and announces nothing more. Work sent to it later than its lease would
-/// wait in vain.
+/// An upstream loses power and announces nothing more. Work sent to it after its lease expired
+/// would not be answered.
 #[test]
 fn a_silent_upstream_gets_no_work_after_its_lease() {
     let mut network = Network::new(30, 12);
     network.run_for(3 * SECOND);
     announce_for(&mut network, 10, 1, 5);
     assert_eq!(hosts_using(&network, 9), 30);
-    // Upstreams 0 to 8 live on; the last announcement of 9 is a second old.
+    // Upstreams 0 to 8 are alive. The last announcement of 9 is a second old.
     announce_for(&mut network, 9, 6, 2);
     assert_eq!(hosts_using(&network, 9), 0);
     assert_eq!(hosts_using(&network, 8), 30);
 }
 
-/// An upstream announces that it drains, and a late copy of an earlier announcement arrives at
-/// another host, even one that hadn't heard of the drain. If that brought it back, its callers
-/// would be cut off when it stops.
+/// An upstream announces that it drains, and a late copy of an earlier announcement reaches another
+/// host, even one that does not know of the drain. If that revived the upstream, its callers would
+/// be cut off when it stops.
 #[test]
 fn a_late_announcement_does_not_undo_a_drain() {
     let mut network = Network::new(10, 13);
@@ -80,8 +80,8 @@
     assert_eq!(hosts_using(&network, 2), 10);
 }
 
-/// A reply says that its upstream drains. The host that got it sends nothing more there at once,
-/// and the others follow within their gossip's time.
+/// A reply says that its upstream drains. The host that received it must stop sending work there at
+/// once, and the others within the time that gossip takes.
 #[test]
 fn a_drain_seen_in_a_reply_counts_at_once_and_everywhere() {
     let mut network = Network::new(30, 14);
@@ -92,14 +92,14 @@
     assert!(!network.hosts[4].registry.takes_work(now, &id));
     network.run_for(Duration::from_millis(500));
     assert_eq!(hosts_using(&network, 1), 0);
-    // Its next start works again.
+    // Its next incarnation gets work again.
     network.announce(0, announcement(1, 2, 1));
     network.run_for(SECOND);
     assert_eq!(hosts_using(&network, 1), 30);
 }
 
-/// Two processes are started with one id by mistake. If both were taken in turn, each reply of one
-/// would be taken for the other's.
+/// Two processes are started with the same id by mistake. If both were accepted in turn, replies of
+/// one would be attributed to the other.
 #[test]
 fn one_id_from_two_addresses_is_refused_while_the_first_lives() {
     let mut registry = UpstreamRegistry::new();
@@ -110,7 +110,7 @@
     let refused = registry.announce(now, second.clone());
     let fault = RegistryFault::IdInUse { id: first.id.clone(), holder: first.address };
     assert_eq!(refused, Err(fault));
-    // Once the first's lease has run out, the id is free.
+    // Once the first lease has expired, the id is free.
     let later = now + Duration::from_millis(3_100);
     assert_eq!(registry.announce(later, second), Ok(AnnounceOutcome::Registered));
     let outranked = registry.announce(later + 4 * SECOND, first);
@@ -133,15 +133,16 @@
     assert_eq!(all, Some(10));
 }
 
-/// An upstream says goodbye to a host that has just lost its way to most others. Whoever that host
-/// still reaches must hear of it directly: passed on from host to host it would get lost.
+/// An upstream announces its departure to a host that has just been cut off from most others. Every
+/// host that is still reachable must be informed directly: forwarded from host to host, the message
+/// would be lost.
 #[test]
 fn a_departure_is_sent_to_every_host_directly() {
     let mut network = Network::new(20, 21);
     network.run_for(3 * SECOND);
     announce_for(&mut network, 5, 1, 3);
     assert_eq!(hosts_using(&network, 3), 20);
-    // Every path but those of host 0 is cut.
+    // All paths are cut except those of host 0.
     for from in 1..20 {
         for to in (1..20).filter(|to| *to != from) {
             network.cuts.insert((from, to));
@@ -153,8 +154,8 @@
     assert_eq!(hosts_using(&network, 3), 0);
 }
 
-/// A goodbye was under way for long, while its upstream started anew under the same id. The new
-/// start must go on getting work.
+/// A departure message was delayed while its upstream restarted under the same id. The new
+/// incarnation must keep getting work.
 #[test]
 fn a_late_departure_of_an_earlier_incarnation_changes_nothing() {
     let mut registry = UpstreamRegistry::new();
@@ -168,7 +169,7 @@
     assert!(registry.departure(&first.id).is_none());
     assert!(registry.announce_gone(now, &first.id, Some(second.incarnation)));
     assert!(!registry.takes_work(now, &first.id));
-    // What another host was told holds here as well.
+    // A departure received by one host takes effect at another.
     let mut other = UpstreamRegistry::new();
     other.announce(now, second.clone()).unwrap();
     other.take_departure(now, &registry.departure(&first.id).unwrap().1);
@@ -176,8 +177,8 @@
     assert!(!registry.announce_gone(now, &announcement(9, 1, 1).id, None), "unknown");
 }
 
-/// Upstreams that announce themselves every second and a half, some late, keep their lease where it
-/// is set long enough.
+/// Upstreams that announce themselves every second and a half, sometimes late, must keep their
+/// lease where it is configured long enough.
 #[test]
 fn a_longer_lease_allows_rarer_announcements() {
     let mut registry = UpstreamRegistry::with_lease(6 * SECOND);
@@ -188,9 +189,9 @@
     assert!(!registry.takes_work(now + Duration::from_millis(6_100), &upstream.id));
 }
 
-// An installation has grown to more upstreams than were planned for. Hosts that could hold only some
-// of them would hold different ones, and spend their links on comparing them for ever; what one
-// message cannot carry would let the leases of the others run out.
+// An installation has grown to more upstreams than planned. Hosts that could hold only some of them
+// would hold different ones and spend their links on comparing them forever. If one message could
+// not carry all leases, the others would expire.
 #[test]
 fn thousands_of_upstreams_keep_their_leases_and_hosts_agree() {
     let upstreams = 3_400;
@@ -211,7 +212,7 @@
     for host in &network.hosts {
         assert_eq!(taking(host), upstreams);
         let (_, bytes) = host.sent[&crate::network::Kind::Upstream];
-        // Every lease takes three bits a round; records are compared no more.
+        // Every lease takes three bits a round, and records are no longer compared.
         assert!(bytes / 4 < 16_000, "{} bytes a second", bytes / 4);
     }
 }
--- a/crates/pulley_core/tests/members/wide_change.rs
+++ b/crates/pulley_core/tests/members/wide_change.rs
@@ -1,4 +1,5 @@
-//! A change of many rows, and one of a single row right after, at hosts with links of limited rate.
+//! A change of many rows, followed at once by a change of a single row, at hosts whose links have a
+//! limited rate.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -11,50 +12,52 @@
 use super::network::{Host, Kind, Network, host_name};
 use super::route_rows::RouteRows;
 
-/// How many hosts hold a replica, on links that bear everything.
+/// The number of hosts with a replica. Their links are in effect unlimited.
 pub(crate) const REPLICAS: usize = 5;
 const REPLICA_LINK: LinkTerms = LinkTerms { rate: 125_000_000, callers: 0 };
-/// The rows in force before the change.
+/// The number of rows in force before the change.
 const ROWS_BEFORE: usize = 48;
-/// The versions: before, with the added rows, with one weight changed.
+/// The versions: before the change, with the added rows, and with one weight changed.
 const VERSIONS: [u64; 3] = [3, 6, 8];
-/// How long after the first change the second is accepted.
+/// The time between the acceptances of the two changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long after the one before it a replica learns that a version is committed.
+/// The delay after which each further replica learns that a version is committed.
 const REPLICA_LAG: Duration = Duration::from_millis(2);
 const STEP: Duration = Duration::from_millis(1);
 
-/// What changes, and where.
+/// The change to simulate, and the hosts and links.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WideChange {
     pub(crate) hosts: usize,
     pub(crate) entry_link: LinkTerms,
     pub(crate) added_rows: usize,
-    /// From which wait on a queue at a link counts as long.
+    /// The wait from which a queue at a link counts as long.
     pub(crate) long_queue: Duration,
     pub(crate) seed: u64,
 }
 
-/// What was seen of a change.
+/// The results of a simulated change.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeStats {
-    /// By host, how long after its acceptance the last version was in force; none if not in time.
+    /// For each host, the time from the last version's acceptance until it was in force; `None` if
+    /// it was not in time.
     pub(crate) in_force: Vec<Option<Duration>>,
-    /// By host, how much it sent of messages that spread the configuration.
+    /// For each host, the bytes sent in messages that spread the configuration.
     pub(crate) sent: Vec<u64>,
-    /// By host, what was seen of its link: sending and receiving.
+    /// For each host, the statistics of its link: sending and receiving.
     pub(crate) links: Vec<[LinkStats; 2]>,
-    /// From the first acceptance to the end.
+    /// The time from the first acceptance to the end.
     pub(crate) watched: Duration,
 }
 
 impl ChangeStats {
-    /// How many hosts lack the last version in the end.
+    /// The number of hosts without the last version at the end.
     pub(crate) fn lacking(&self) -> usize {
         self.in_force.iter().filter(|time| time.is_none()).count()
     }
 
-    /// When the so-manieth part of the hosts had the last version, if they came to have it.
+    /// The time after which this fraction of the hosts had the last version, or `None` if they did
+    /// not get it.
     pub(crate) fn part_in_force(&self, part: f64) -> Option<Duration> {
         let mut times: Vec<Option<Duration>> = self.in_force.clone();
         times.sort_by_key(|time| time.unwrap_or(Duration::MAX));
@@ -62,23 +65,23 @@
         times[place]
     }
 
-    /// The longest queue at a link of the entries.
+    /// The longest queue at any entry's link.
     pub(crate) fn longest_queue(&self) -> Duration {
         self.entry_queues().map(|stats| stats.longest).max().unwrap_or_default()
     }
 
-    /// In which part of the entries' time a queue at their links was long.
+    /// The fraction of the entries' time in which a queue at their links was long.
     pub(crate) fn long_share(&self) -> f64 {
         let long: Duration = self.entry_queues().map(|stats| stats.long_time).sum();
         long.as_secs_f64() / (self.watched.as_secs_f64() * self.entry_queues().count() as f64)
     }
 
-    /// How many datagrams were dropped at links of entries.
+    /// The number of datagrams dropped at the entries' links.
     pub(crate) fn dropped(&self) -> u64 {
         self.entry_queues().map(|stats| stats.dropped).sum()
     }
 
-    /// The mean and the most that hosts of a range sent.
+    /// The mean and the maximum of the bytes that the hosts of a range sent.
     pub(crate) fn sent_by(&self, hosts: Range<usize>) -> (u64, u64) {
         let sent = &self.sent[hosts];
         let most = sent.iter().max().copied().unwrap_or(0);
@@ -91,8 +94,8 @@
 }
 
 impl WideChange {
-    /// Makes both changes and watches until the last version is in force everywhere, but at least
-    /// for `min_time` and at most for `max_time` after its acceptance.
+    /// Makes both changes and runs until the last version is in force everywhere, but at least for
+    /// `min_time` and at most for `max_time` after its acceptance.
     pub(crate) fn run(&self, min_time: Duration, max_time: Duration) -> ChangeStats {
         let mut rows = RouteRows::new(self.seed);
         rows.add(ROWS_BEFORE);
@@ -129,7 +132,7 @@
         ChangeStats { in_force, sent, links, watched: now.since(begun) }
     }
 
-    /// Hosts that know each other and have the first version in force, with links at rest.
+    /// Makes hosts that know each other and have the first version in force, with idle links.
     fn network(&self, plan: &Arc<StoredPlan>) -> Network {
         let mut network = Network::new(self.hosts, self.seed);
         let replicas: Vec<HostId> = (0..REPLICAS).map(host_name).collect();
@@ -152,7 +155,8 @@
     }
 }
 
-/// A majority has a version on its disks: the leader tells at once, the other replicas know soon.
+/// Commits a version on all replicas: the leader sends it at once, and the other replicas learn of
+/// it shortly after.
 fn accept(network: &mut Network, plan: &Arc<StoredPlan>) {
     for replica in 0..REPLICAS {
         commit(network, replica, plan);
--- a/crates/pulley_core/tests/members/wide_change_tests.rs
+++ b/crates/pulley_core/tests/members/wide_change_tests.rs
@@ -1,15 +1,16 @@
-//! A change of many rows, at hundreds of hosts with slow links.
+//! A change of many rows at hundreds of hosts with slow links.
 
 use std::time::Duration;
 
 use crate::link_model::LinkTerms;
 use crate::wide_change::{ChangeStats, REPLICAS, WideChange};
 
-/// A change is in force everywhere this long after its acceptance.
+/// The time after its acceptance within which a change must be in force everywhere.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
-/// Callers want answers within 300 ms: a queue at one link may take half of that.
+/// Callers expect answers within 300 ms. A queue at one link may take half of that.
 const LONGEST_QUEUE: Duration = Duration::from_millis(150);
-/// From this on a queue is long, which one link in a hundred may have.
+/// A queue of this length counts as long. Queues may be that long for one part in a hundred of the
+/// links' time.
 const LONG_QUEUE: Duration = Duration::from_millis(100);
 const LONG_SHARE: f64 = 0.01;
 
@@ -47,7 +48,8 @@
     assert_in_force(&change_of(1_400));
 }
 
-/// What spreads the change goes by the same links as callers' requests and answers.
+/// Guards against queues that delay callers: a change is sent over the same links as callers'
+/// requests and answers.
 #[test]
 fn callers_do_not_wait_behind_a_change_of_many_rows() {
     assert_links_free(&change_of(1_400));
