--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -1,4 +1,5 @@
-//! Whom a host asks for a newer configuration, and what it keeps while they have no room or change.
+//! Which hosts are asked for a newer configuration, and which received chunks are kept while they
+//! are busy or change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 const ENTRY_LINK: LinkTerms = LinkTerms { rate: 175_000, callers: 87_500 };
 const REPLICA_LINK: LinkTerms = LinkTerms { rate: 125_000_000, callers: 0 };
 
-/// Five replicas and entries with links of limited rate, at a version.
+/// Makes five replicas, and entries with links of limited rate, all at one version.
 fn with_links(count: usize, seed: u64, plan: &Arc<StoredPlan>) -> Network {
     let mut network = Network::new(count, seed);
     network.replicas = ReplicaSet { index: 1, hosts: (0..5).map(host_name).collect() };
@@ -39,7 +40,8 @@
     }
 }
 
-// Guards against a start that begins anew with each change, for as long as changes come.
+// Guards against a starting host whose fetch begins again with each change, for as long as changes
+// arrive.
 #[test]
 fn a_host_that_starts_during_a_storm_of_changes_gets_the_configuration() {
     let mut rows = RouteRows::new(61);
@@ -50,7 +52,7 @@
     network.hosts[30].plans.apply_replicas(&replicas);
     let mut had_after = None;
     for version in 2..=150 {
-        rows.weigh(version as usize, 90);
+        rows.set_weight(version as usize, 90);
         commit_everywhere(&mut network, &rows.version(version));
         network.run_for(Duration::from_millis(60));
         if network.hosts[30].plans.version() > ConfigVersion(0) && had_after.is_none() {
@@ -61,14 +63,15 @@
     assert!(had_after.is_some(), "nothing in force after 9 s: {counts:?}");
 }
 
-// Guards against hosts that give up what has come because those asked have no room for a while.
+// Guards against hosts that discard received chunks because the hosts that they ask have no room
+// for a while.
 #[test]
 fn entries_cut_off_from_all_replicas_get_a_wide_change_from_few_peers() {
     let mut rows = RouteRows::new(62);
     rows.add(48);
     let mut network = with_links(40, 62, &rows.version(1));
     let (replicas, far): (Vec<usize>, Vec<usize>) = ((0..5).collect(), (7..40).collect());
-    network.split(&replicas, &far, true);
+    network.set_partition(&replicas, &far, true);
     rows.add(1_400);
     commit_everywhere(&mut network, &rows.version(2));
     network.run_for(20 * SECOND);
@@ -80,7 +83,7 @@
     Moment::ZERO + Duration::from_millis(millis)
 }
 
-/// Has a host answer what another sent it; gives the answers.
+/// Delivers the messages addressed to a host and returns its answers.
 fn answers(
     now: Moment,
     from: &HostId,
@@ -94,7 +97,7 @@
 
 // Guards against a host that asks only those that held replicas when it began to fetch.
 #[test]
-fn a_host_asks_the_replicas_of_now_for_what_it_has_awaited_for_long() {
+fn a_host_asks_the_current_replicas_for_an_awaited_version() {
     let ring = PeerRing::default();
     let (old, new, own) = (host_name(1), host_name(2), host_name(3));
     let mut entry = PlanFollower::new(own.clone(), 1);
@@ -109,7 +112,7 @@
         entry.receive(at(12), &old, &answer.body);
     }
     assert_eq!(entry.awaited(), Some(ConfigVersion(1)));
-    // The only replica that it knows of is gone, and another host holds the log now.
+    // The only replica that it knows is gone, and another host holds the log now.
     entry.apply_replicas(std::slice::from_ref(&new));
     let mut later = PlanFollower::new(new.clone(), 3);
     later.committed(&rows.version(1));
@@ -130,7 +133,7 @@
     assert_eq!(entry.version(), ConfigVersion(1), "asked {reached} times");
 }
 
-/// Two hosts that answer each other at once.
+/// Two hosts that exchange messages without delay.
 struct HostPair {
     names: [HostId; 2],
     rings: [PeerRing; 2],
@@ -140,7 +143,7 @@
 }
 
 impl HostPair {
-    /// A replica that leads, with a link of some rate, and an entry that has just started.
+    /// Makes a leading replica with a link of limited rate, and an entry that has just started.
     fn new(seed: u64, rate: f64, plan: &StoredPlan) -> Self {
         let mut network = Network::new(2, seed);
         network.run_for(3 * SECOND);
@@ -151,26 +154,26 @@
         holder.committed(plan);
         entry.apply_replicas(&names[..1]);
         let mut pair = Self { names, rings, holder, entry, now: at(1) };
-        pair.lead();
+        pair.confirm_leader();
         pair
     }
 
-    fn lead(&mut self) {
+    fn confirm_leader(&mut self) {
         let replicas = ReplicaSet { index: 1, hosts: vec![self.names[0].clone()] };
         self.holder.lead(1, replicas, self.now);
     }
 
     fn accept(&mut self, plan: &StoredPlan) {
         self.holder.committed(plan);
-        self.lead();
+        self.confirm_leader();
     }
 
-    /// Lets time pass; what each message to the entry becomes is up to the caller.
+    /// Advances the time. `pass` decides what happens to each message to the entry.
     fn run(&mut self, millis: u64, mut pass: impl FnMut(&[u8]) -> Option<Vec<u8>>) {
         for _ in 0..millis {
             self.now = self.now + Duration::from_millis(1);
             if self.now.micros().is_multiple_of(200_000) {
-                self.lead();
+                self.confirm_leader();
             }
             let mut asked = self.entry.tick(self.now, &self.rings[1]);
             let mut told = self.holder.tick(self.now, &self.rings[0]);
@@ -190,47 +193,48 @@
     }
 }
 
-// Guards against a host that gives up what has come because the one asked has no room for a while.
+// Guards against a host that discards received chunks because the host that it asks has no room
+// for a while.
 #[test]
-fn a_host_keeps_what_has_come_while_the_holder_has_no_room() {
+fn a_host_keeps_received_chunks_while_the_holder_has_no_room() {
     let mut rows = RouteRows::new(64);
     rows.add(1_400);
     let plan = rows.version(1);
-    let mut quick = HostPair::new(64, 125_000_000.0, &plan);
-    quick.run(3_000, |body| Some(body.to_vec()));
-    assert_eq!(quick.entry.version(), ConfigVersion(1));
+    let mut fast = HostPair::new(64, 125_000_000.0, &plan);
+    fast.run(3_000, |body| Some(body.to_vec()));
+    assert_eq!(fast.entry.version(), ConfigVersion(1));
     let mut slow = HostPair::new(64, 60_000.0, &plan);
     slow.run(10_000, |body| Some(body.to_vec()));
     assert_eq!(slow.entry.version(), ConfigVersion(1));
     let counts = slow.entry.spread_counts();
-    assert_eq!(counts.chunks_taken, quick.chunks_taken(), "{counts:?}");
+    assert_eq!(counts.chunks_taken, fast.chunks_taken(), "{counts:?}");
 }
 
-// Guards against whole plans for every later change, once one way to a plan was damaged.
+// Guards against fetching a whole plan for every later change after one difference arrived damaged.
 #[test]
-fn a_way_that_was_damaged_once_makes_no_later_change_a_whole_plan() {
+fn a_damaged_difference_does_not_make_later_changes_fetch_whole_plans() {
     let mut rows = RouteRows::new(65);
     rows.add(1_400);
     let mut pair = HostPair::new(65, 125_000_000.0, &rows.version(1));
     pair.run(3_000, |body| Some(body.to_vec()));
     assert_eq!(pair.entry.version(), ConfigVersion(1));
     let whole = pair.chunks_taken();
-    (0..20).for_each(|row| rows.weigh(row, 90));
+    (0..20).for_each(|row| rows.set_weight(row, 90));
     pair.accept(&rows.version(2));
-    let (mut is_damaged, mut let_through) = (false, 10);
+    let (mut is_damaged, mut messages_left) = (false, 10);
     pair.run(350, |body| {
         let mut body = body.to_vec();
         if !is_damaged && body.len() > 400 {
             is_damaged = true;
             *body.last_mut()? ^= 0x55;
         } else if body.len() > 1_000 {
-            let_through -= 1;
+            messages_left -= 1;
         }
-        (let_through > 0).then_some(body)
+        (messages_left > 0).then_some(body)
     });
     assert!(is_damaged && pair.entry.spread_counts().dropped_paths == 1);
     assert_eq!(pair.entry.version(), ConfigVersion(1));
-    rows.weigh(20, 90);
+    rows.set_weight(20, 90);
     pair.accept(&rows.version(3));
     pair.run(3_000, |body| Some(body.to_vec()));
     assert_eq!(pair.entry.version(), ConfigVersion(3));
@@ -238,7 +242,7 @@
     assert!(taken < 3 * whole, "{taken} chunks where a whole plan takes {whole}");
 }
 
-// Guards against a host that knows enough holders, all of them gone, and asks no other one.
+// Guards against a host that knows enough holders, all of them gone, and asks no others.
 #[test]
 fn a_host_asks_others_when_all_holders_that_it_knows_are_silent() {
     let own = host_name(12);
@@ -252,7 +256,8 @@
     let mut holders: Vec<PlanFollower> =
         (0..12).map(|index| PlanFollower::new(host_name(index), index as u64)).collect();
     holders.iter_mut().for_each(|holder| holder.committed(&plan));
-    // The first eight say what they hold, but no chunk of it arrives; then only the others are left.
+    // The first eight hosts announce that they hold the plan, but no chunk from them arrives. Later
+    // only the others are left.
     for round in 0..400 {
         let now = at(1_000 + 50 * round);
         let mut asked = entry.tick(now, &ring);
@@ -271,14 +276,15 @@
     assert_eq!(entry.version(), ConfigVersion(1));
 }
 
-// Guards against a holder that counts what it is asked for: most changes take one small chunk.
+// Guards against a holder that charges its send budget for what is requested: most changes take
+// only one small chunk.
 #[test]
-fn what_a_holder_may_pass_on_counts_by_what_it_sends() {
+fn a_holder_charges_its_send_budget_by_bytes_sent() {
     let mut rows = RouteRows::new(67);
     rows.add(20);
     let mut pair = HostPair::new(67, 175_000.0, &rows.version(1));
     pair.run(3_000, |body| Some(body.to_vec()));
-    rows.weigh(3, 90);
+    rows.set_weight(3, 90);
     let (later, now) = (rows.version(2), pair.now);
     pair.accept(&later);
     let told = pair.holder.tick(now, &pair.rings[0]);
@@ -299,20 +305,28 @@
 
 // Guards against a control thread that is woken again and again with nothing to do.
 #[test]
-fn a_host_that_has_done_what_is_due_has_nothing_due() {
+fn a_tick_leaves_no_wakeup_due() {
     let mut rows = RouteRows::new(68);
     rows.add(48);
     let mut network = with_links(24, 68, &rows.version(1));
     let replicas = network.replicas.hosts.clone();
     network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
-    network.weather.loss = 0.1;
-    network.weather.doubles = 0.1;
+    network.conditions.loss = 0.1;
+    network.conditions.duplicates = 0.1;
     rows.add(1_400);
     for version in 2..40 {
-        rows.weigh(version as usize, 90);
+        rows.set_weight(version as usize, 90);
         match version {
-            10 => network.split(&(0..5).collect::<Vec<_>>(), &(9..24).collect::<Vec<_>>(), true),
-            20 => network.split(&(0..5).collect::<Vec<_>>(), &(9..24).collect::<Vec<_>>(), false),
+            10 => network.set_partition(
+                &(0..5).collect::<Vec<_>>(),
+                &(9..24).collect::<Vec<_>>(),
+                true,
+            ),
+            20 => network.set_partition(
+                &(0..5).collect::<Vec<_>>(),
+                &(9..24).collect::<Vec<_>>(),
+                false,
+            ),
             25 => network.restart(20),
             30 => (1..5).for_each(|replica| network.restart(replica)),
             _ => {}
