--- a/crates/pulley_core/src/version/replica/cluster_founding.rs
+++ b/crates/pulley_core/src/version/replica/cluster_founding.rs
@@ -1,4 +1,4 @@
-//! How a replica with an empty disk finds out whether to found a cluster or to join one.
+//! Decides whether a replica with an empty disk founds a cluster or joins one.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 };
 use crate::process::{HostId, MemberId, Moment};
 
-/// How often a replica without a log asks around.
+/// Interval at which a replica without a log contacts other hosts.
 const HELLO_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How old a founder's word may be when a promise is made.
+/// Maximum age of a founder's last hello when a promise is made.
 const HELLO_LIFETIME: Duration = Duration::from_secs(2);
 
-/// What a founder said last.
+/// A founder's last hello.
 #[derive(Debug)]
 struct FounderWord {
     disk: DiskId,
@@ -24,7 +24,7 @@
     heard: Moment,
 }
 
-/// How a replica begins once its founding write is on disk.
+/// How a replica starts once its founding write is on disk.
 #[derive(Debug)]
 struct FoundingEnd {
     ticket: PersistTicket,
@@ -32,22 +32,22 @@
     state: RecoveredState,
 }
 
-/// What a founding step brings about.
+/// Effects of a founding step.
 #[derive(Debug, Default)]
 pub(crate) struct FoundingEffects {
     pub(crate) sends: Vec<(HostId, FoundingMessage)>,
     pub(crate) batches: Vec<PersistBatch>,
-    /// The replica begins as this member with this state.
+    /// The replica starts as this member with this state.
     pub(crate) start: Option<(MemberId, RecoveredState)>,
 }
 
-/// How a replica with an empty disk finds out whether to found a cluster or to join one.
+/// Decides whether a replica with an empty disk founds a cluster or joins one.
 ///
-/// What goes wrong without it: a host whose disk was lost restarts with the settings it was first
-/// started with, and votes as the member it was, without what that member had acknowledged; an
-/// accepted change is lost. An empty disk looks the same on the first day and after a loss. So the
-/// founders found only when all of them have an empty disk and have agreed, on disk, on one list of
-/// disks; whoever is not in that list joins as a learner under a new id.
+/// Without it, a host whose disk was lost would restart with the settings of its first start and
+/// vote as its former member, without what that member had acknowledged. An accepted change would
+/// be lost. An empty disk looks the same on the first day and after a loss. The founders therefore
+/// found a cluster only when all of them have an empty disk and have agreed, on disk, on one list
+/// of disks. A host that is not in that list joins as a learner under a new id.
 #[derive(Debug)]
 pub(crate) struct ClusterFounding {
     identity: ReplicaIdentity,
@@ -59,7 +59,7 @@
     end: Option<FoundingEnd>,
     /// Hosts that may know of a cluster, besides the founders.
     replicas: Vec<HostId>,
-    /// The host to ask for a new id, once it is clear that the cluster exists without this disk.
+    /// The host to ask for a new id, once it is known that the cluster exists without this disk.
     join_at: Option<HostId>,
     next_hello: Moment,
     last_ticket: PersistTicket,
@@ -73,8 +73,8 @@
         recovered: &RecoveredState,
         now: Moment,
     ) -> Self {
-        // The settings may name founders at the very first start only. Who has agreed to found
-        // goes on with that after a restart.
+        // The settings may name founders at the first start only. A replica that has agreed to
+        // found a cluster continues with that membership after a restart.
         if let Some(promise) = recovered.promise.as_ref().filter(|_| founders.is_empty()) {
             founders = promise.members.iter().map(|m| (m.host.clone(), m.member)).collect();
             if let Some(own) = promise.find_host(&identity.host) {
@@ -239,7 +239,7 @@
     fn begin_as_founder(&mut self, founders: &ReplicaMembership) {
         let place = SnapshotPlace { members: founders.clone(), ..SnapshotPlace::default() };
         let Ok(snapshot) = ReplicaMachines::default().snapshot(place) else { return };
-        // Its id goes to disk too: the settings may not name it any more at the next start.
+        // Its id is written too, because the settings may no longer name it at the next start.
         let batch = PersistBatch {
             snapshot: Some(Arc::clone(&snapshot)),
             member: Some(self.identity.member),
--- a/crates/pulley_core/src/version/replica/driver_founding.rs
+++ b/crates/pulley_core/src/version/replica/driver_founding.rs
@@ -1,4 +1,4 @@
-//! How a driver founds or joins a cluster, and answers hosts that want to.
+//! Founds or joins a cluster at the driver, and answers hosts that want to join.
 
 use std::time::Duration;
 
@@ -11,18 +11,19 @@
 };
 use crate::process::{HostId, MemberId, Moment};
 
-/// How often a replica that was removed asks to be let in again.
+/// Interval at which a removed replica asks to rejoin.
 const REJOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A replica that is no member any more asks for a new id.
+/// An attempt of a removed replica to get a new id.
 #[derive(Clone, Debug)]
 pub(crate) struct RejoinQuest {
     pub(crate) leader: Option<HostId>,
     pub(crate) ask_at: Moment,
 }
 
-/// Most members of a cluster that grows by itself. Each further one costs the leader a copy of
-/// every entry; beyond nine, a commit waits for more disks than may be lost in any deployment.
+/// Maximum number of members of a cluster that grows automatically. Each further member costs the
+/// leader a copy of every entry; beyond nine, a commit waits for more disks than may be lost in any
+/// deployment.
 const MEMBER_LIMIT: usize = 9;
 
 impl ReplicaDriver {
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Notes that this replica is no member any more, if that is what a committed membership says.
+    /// Records that this replica is no longer a member, if a committed membership says so.
     ///
-    /// A replica that was cut off may have been replaced. It would go on asking for votes that
-    /// nobody gives it, its host would lack a replica for good, and the next losses would find one
-    /// disk less than there are. Ids are never given twice: a membership that has given out later
-    /// ones and lacks this one has removed it, and cannot be one that is only older.
+    /// A replica that was cut off may have been replaced. It would keep asking for votes that
+    /// nobody grants, its host would lack a replica for good, and the next losses would leave one
+    /// usable disk less than there are. Ids are never reused. A membership that has assigned later
+    /// ids and lacks this one has therefore removed it, and cannot just be an older one.
     fn on_removed(&mut self, now: Moment, members: &ReplicaMembership, leader: Option<HostId>) {
         let me = self.identity.member;
         if !self.settings.grows || members.next_member <= me {
@@ -91,7 +92,7 @@
         self.rejoin = Some(RejoinQuest { leader: leader.or(known), ask_at: now });
     }
 
-    /// Asks the leader for a new id, as long as this replica is no member.
+    /// Asks the leader for a new id while this replica is not a member.
     pub(crate) fn ask_to_rejoin(&mut self, now: Moment) {
         let Some(rejoin) = self.rejoin.as_mut().filter(|rejoin| rejoin.ask_at <= now) else {
             return;
@@ -129,10 +130,11 @@
         self.node = ReplicaNode::new(member, state, settings, now, self.seed);
     }
 
-    /// Tells a host with an empty disk that there is a cluster already.
+    /// Tells a host with an empty disk that the cluster already exists.
     ///
-    /// The host takes its id from this, so only what is committed may be told: the entry that gave
-    /// it an id could still be replaced, and the id be given to another disk.
+    /// The host takes its id from this message, so only committed members may be sent. An
+    /// uncommitted entry that assigned an id could still be replaced, and the id be given to
+    /// another disk.
     pub(crate) fn tell_founded(&mut self, to: &HostId) {
         let members = self.node.committed_members().clone();
         if members.members.is_empty() || self.node.failure().is_some() {
@@ -142,7 +144,7 @@
         self.send_founding(to.clone(), FoundingMessage::Founded { members, leader });
     }
 
-    /// Gives a host with an empty disk a new member id, if it is to hold the log.
+    /// Gives a host with an empty disk a new member id, if it may hold the log.
     fn let_join(&mut self, now: Moment, from: &HostId, disk: DiskId) {
         if !self.node.may_change_members() {
             return;
@@ -161,10 +163,10 @@
         }
     }
 
-    /// Makes a learner of a host that no operator has named, if the cluster grows by itself.
+    /// Adds a host that no operator has named as a learner, if the cluster grows automatically.
     ///
-    /// One at a time: with several learners a leader could lose its majority between two changes,
-    /// and a learner that has come to nothing would keep all others out.
+    /// Only one at a time: with several learners a leader could lose its majority between two
+    /// changes, and a learner that has failed would keep all others out.
     fn let_newcomer_join(&mut self, now: Moment, from: &HostId, disk: DiskId) {
         if !self.settings.grows || self.awaits_learner() {
             return;
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Whether a learner is on its way to its vote; one that has fallen silent does not count.
+    /// Whether a learner is catching up to become a voter; a silent one does not count.
     fn awaits_learner(&self) -> bool {
         let mut members = self.node.members().members.iter();
         members.any(|member| !member.voter && !self.node.is_silent(member.member))
@@ -192,14 +194,14 @@
             let what = format!("disk {disk} of {} {}", known.member, known.host);
             return self.members_command(now, members.with_disk(known.member, disk), what);
         }
-        // Two processes that claim to be one host must not throw each other out by turns: only a
-        // member that has fallen silent is replaced.
+        // Two processes that claim to be the same host must not keep replacing each other, so only
+        // a silent member is replaced.
         let last_voter = known.voter && members.voters().count() == 1;
         if last_voter || !self.node.is_silent(known.member) {
             return None;
         }
-        // Two hosts that lost their disks would else leave three voters of five, of which two
-        // could decide; replaced one after the other, it stays three.
+        // Otherwise two hosts that lost their disks would leave three voters of five, of which two
+        // could decide. If they are replaced one after the other, a majority stays three.
         if self.settings.grows && self.awaits_learner() {
             return None;
         }
--- a/crates/pulley_core/src/version/replica/driver_message.rs
+++ b/crates/pulley_core/src/version/replica/driver_message.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica's driver and what comes out.
+//! Inputs and outputs of a replica's driver.
 
 use std::sync::Arc;
 
@@ -12,61 +12,63 @@
 };
 use crate::process::{HostId, MemberId};
 
-/// What a driver is told.
+/// An input of a driver.
 #[derive(Clone, Debug)]
 pub enum DriverInput {
     /// Time has passed.
     Tick,
-    /// Another host's replica sent this.
+    /// A message from another host's replica.
     Peer {
-        /// The host, as the link has authenticated it.
+        /// The host, authenticated by the link.
         from: HostId,
         /// The message.
         body: Bytes,
     },
     /// A write has ended.
     Persisted {
-        /// Which.
+        /// The write's ticket.
         ticket: PersistTicket,
-        /// Whether it is on disk. A failed one is never retried.
+        /// Whether it is on disk. A failed write is never retried.
         ok: bool,
     },
     /// A read of old audit records has ended.
     AuditRead {
-        /// Which.
+        /// The read's number.
         read: u64,
-        /// What was found, the newest first; `None` if a chunk could not be read.
+        /// The records found, newest first; `None` if a chunk could not be read.
         records: Option<Vec<AuditRecord>>,
     },
     /// A question for the leader.
     Ask {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         token: u64,
         /// The question.
         question: ReplicaQuestion,
     },
-    /// The host is to leave: another replica should lead.
+    /// The host is about to leave, so another replica should lead.
     TransferLeadership,
 }
 
-/// What a driver wants done.
+/// An output of a driver.
 #[derive(Clone, Debug)]
 pub enum DriverOutput {
-    /// Send this to another host's replica.
+    /// Send this message to another host's replica.
     Send {
         /// The host.
         to: HostId,
         /// The message.
         body: Bytes,
     },
-    /// Write this, sync it, then say so with [`DriverInput::Persisted`]; batches in order.
+    /// Write and sync this, then report it with [`DriverInput::Persisted`]; batches are written in
+    /// order.
     Persist {
         /// The batch's ticket.
         ticket: PersistTicket,
         /// The batch.
         batch: PersistBatch,
     },
-    /// Read old audit records from the data folder, then say so with [`DriverInput::AuditRead`].
+    /// Read old audit records from the data folder, then report them with
+    /// [`DriverInput::AuditRead`].
     ReadAudit(AuditRead),
     /// The answer to a question.
     Answer {
@@ -75,13 +77,13 @@
         /// The answer.
         answer: ReplicaAnswer,
     },
-    /// A configuration is accepted and applies from now on.
+    /// A configuration is accepted and in force from now on.
     InForce(Arc<StoredPlan>),
     /// These zones are evacuated from now on, and no others.
     ZonesInForce(Arc<EvacuatedZones>),
 }
 
-/// How a replica is doing, for `pulleyctl status` and `pulleyctl replica list`.
+/// Status of a replica, for `pulleyctl status` and `pulleyctl replica list`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ReplicaStatus {
     /// Its host.
@@ -108,6 +110,6 @@
     pub log_bytes: u64,
     /// Messages from peers that could not be read.
     pub unreadable_messages: u64,
-    /// Why it no longer takes part, if so.
+    /// Why it no longer takes part, if it has failed.
     pub failure: Option<SmolStr>,
 }
--- a/crates/pulley_core/src/version/replica/driver_question.rs
+++ b/crates/pulley_core/src/version/replica/driver_question.rs
@@ -1,4 +1,4 @@
-//! How a leader's driver answers questions.
+//! Answers questions at the leader's driver.
 
 use smol_str::SmolStr;
 
@@ -26,9 +26,9 @@
 
 impl ReplicaDriver {
     pub(crate) fn ask_leader(&mut self, now: Moment, token: u64, question: ReplicaQuestion) {
-        // Load: questions come faster than a quorum syncs them, or no quorum answers. Beyond the
-        // limit they would only wait past their deadlines and fill the memory; a refusal says that
-        // nothing was done. The limit is about a second of group commits.
+        // Load: questions arrive faster than a quorum syncs them, or no quorum responds. Beyond the
+        // limit they would only wait past their deadlines and fill the memory. A refusal tells the
+        // asker that nothing was done. The limit is about a second of group commits.
         if self.waiting.len() + self.reads.len() >= self.settings.waiting_limit {
             self.push_answer(token, busy_answer(&question));
             return;
@@ -40,7 +40,7 @@
             | ReplicaQuestion::Audit(_) => {
                 self.begin_read(now, token, question);
             }
-            // Upstreams repeat that they leave until they are gone: one entry of the log is enough.
+            // Upstreams repeat their departure until they are gone, and one log entry is enough.
             ReplicaQuestion::Departure { ref start, .. }
                 if self.machines.departures.has_left(start) =>
             {
@@ -98,7 +98,7 @@
         self.push_answer(waiting.token, ReplicaAnswer::NotLeader { leader });
     }
 
-    /// Answers all that waits: whoever leads next decides what becomes of it.
+    /// Answers all waiting questions as unknown, because the next leader decides their outcome.
     pub(crate) fn abandon_waiting(&mut self) {
         let why = SmolStr::new_static("this replica no longer leads");
         for (_, waiting) in std::mem::take(&mut self.waiting) {
@@ -199,7 +199,7 @@
     }
 }
 
-/// The answer that an applied entry gives to whoever asked for it.
+/// Converts the outcome of an applied entry into the answer to its question.
 pub(crate) fn answer_for(outcome: MachineOutcome) -> ReplicaAnswer {
     match outcome {
         MachineOutcome::Nothing | MachineOutcome::Ledger(LedgerOutcome::Done) => {
--- a/crates/pulley_core/src/version/replica/follower_progress.rs
+++ b/crates/pulley_core/src/version/replica/follower_progress.rs
@@ -1,48 +1,48 @@
-//! What a leader knows of one follower.
+//! A leader's replication state for one follower.
 
 use std::sync::Arc;
 
 use super::{LogIndex, ReplicaSnapshot, SnapshotReply};
 use crate::process::Moment;
 
-/// How many messages with entries may be unanswered. Entries beyond them wait and then go together,
-/// so that a slow follower gets few large messages instead of a queue of small ones.
+/// Maximum number of unanswered messages with entries. Further entries wait and are then sent
+/// together, so that a slow follower gets few large messages instead of a queue of small ones.
 const WINDOW: usize = 4;
 
-/// How entries go to a follower.
+/// How entries are sent to a follower.
 #[derive(Debug)]
 pub(crate) enum ProgressState {
-    /// Where the logs agree is not known; one message at a time.
+    /// The last matching entry is unknown; one message is sent at a time.
     Probing {
         /// Whether a message is unanswered.
         waiting: bool,
     },
-    /// The logs agree; messages follow each other without waiting.
+    /// The logs match; messages are sent without waiting for replies.
     Replicating {
-        /// How many are unanswered.
+        /// Number of unanswered messages.
         in_flight: usize,
     },
-    /// The entries needed are no longer held.
+    /// The entries that the follower needs are no longer held.
     Snapshot {
-        /// The snapshot, once its owner has made it.
+        /// The snapshot, once the driver has made it.
         snapshot: Option<Arc<ReplicaSnapshot>>,
-        /// How much of it the follower has.
+        /// Number of bytes that the follower has.
         offset: usize,
     },
 }
 
-/// What a leader knows of one follower.
+/// A leader's replication state for one follower.
 #[derive(Debug)]
 pub(crate) struct FollowerProgress {
     /// The next entry to send.
     pub(crate) next: LogIndex,
-    /// The last entry known to be on the follower's disk and equal to the leader's.
+    /// The last entry known to be on the follower's disk and to match the leader's.
     pub(crate) matched: LogIndex,
-    /// How entries go to it.
+    /// How entries are sent to it.
     pub(crate) state: ProgressState,
-    /// When it last answered.
+    /// When it last replied.
     pub(crate) heard: Moment,
-    /// The latest round it has answered.
+    /// The latest round it has replied to.
     pub(crate) round: u64,
 }
 
@@ -62,7 +62,7 @@
 
     pub(crate) fn note_sent(&mut self, next: LogIndex) {
         match &mut self.state {
-            // `next` stays: whether the follower takes the entries is not known.
+            // `next_index` stays, because it is unknown whether the follower accepts the entries.
             ProgressState::Probing { waiting } => *waiting = true,
             ProgressState::Replicating { in_flight } => {
                 *in_flight += 1;
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn note_missing(&mut self, prev: LogIndex, hint: LogIndex) {
-        // A late answer to a place that is known to agree by now says nothing.
+        // A late reply about an index that is already known to match carries no information.
         if prev <= self.matched || matches!(self.state, ProgressState::Snapshot { .. }) {
             return;
         }
@@ -104,7 +104,7 @@
         self.state = ProgressState::Probing { waiting: false };
     }
 
-    /// Takes a snapshot to send, if the follower waits for one.
+    /// Sets the snapshot to send, if the follower waits for one. Returns whether it does.
     pub(crate) fn take_snapshot(&mut self, offered: &Arc<ReplicaSnapshot>) -> bool {
         match &mut self.state {
             ProgressState::Snapshot { snapshot, offset } if snapshot.is_none() => {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes note of how much of a snapshot has arrived; returns whether more is to be sent now.
+    /// Records how much of a snapshot has arrived. Returns whether more is to be sent now.
     pub(crate) fn note_received(&mut self, reply: &SnapshotReply) -> bool {
         if reply.installed {
             self.matched = self.matched.max(reply.index);
--- a/crates/pulley_core/src/version/replica/founding_message.rs
+++ b/crates/pulley_core/src/version/replica/founding_message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other before they hold a log.
+//! Messages between replicas before they hold a log.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,27 +8,27 @@
 /// Any message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between replicas that hold a log.
+    /// A message between replicas that hold a log.
     Replica(ReplicaEnvelope),
-    /// From or to one that does not.
+    /// A message from or to a replica without a log.
     Founding(FoundingMessage),
-    /// About old audit records.
+    /// A message about old audit records.
     Audit(AuditMessage),
 }
 
-/// What replicas say to each other before they hold a log.
+/// Messages between replicas before they hold a log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FoundingMessage {
-    /// A replica with an empty disk is here.
+    /// Announces a replica with an empty disk.
     Hello {
-        /// The id it has in the list of founders.
+        /// Its id in the list of founders.
         member: MemberId,
         /// Its disk.
         disk: DiskId,
         /// The founding membership it has agreed to, on disk.
         promise: Option<ReplicaMembership>,
     },
-    /// The cluster was founded before.
+    /// The cluster already exists.
     Founded {
         /// Its members.
         members: ReplicaMembership,
@@ -40,7 +40,7 @@
         /// Its disk.
         disk: DiskId,
     },
-    /// The leader has given it one.
+    /// The leader has assigned a member id.
     Joined {
         /// The id.
         member: MemberId,
--- a/crates/pulley_core/src/version/replica/log_entry.rs
+++ b/crates/pulley_core/src/version/replica/log_entry.rs
@@ -1,4 +1,4 @@
-//! What one place of the replicated log holds.
+//! Entries of the replicated log.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,9 +13,9 @@
 pub enum LogCommand {
     /// Changes nothing; a new leader commits one to learn what is committed.
     Blank,
-    /// Replaces the membership; holds from when it is appended.
+    /// Replaces the membership; takes effect as soon as it is appended.
     Members {
-        /// The membership from here on.
+        /// The new membership.
         members: ReplicaMembership,
         /// Who asked for it.
         actor: ActorName,
@@ -37,18 +37,18 @@
 /// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place.
+    /// Its index.
     pub index: LogIndex,
     /// The term of the leader that appended it.
     pub term: Term,
     /// The leader's log time when it appended it.
     pub time: LogTime,
-    /// What to apply.
+    /// The command to apply.
     pub command: LogCommand,
 }
 
 impl LogEntry {
-    /// About how many bytes the entry takes in memory and in a message.
+    /// Estimates the entry's size in memory and in a message, in bytes.
     #[must_use]
     pub fn weight(&self) -> usize {
         ENTRY_OVERHEAD
--- a/crates/pulley_core/src/version/replica/mod.rs
+++ b/crates/pulley_core/src/version/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated log: elections, replication, members, founding, and what drives a replica.
+//! The replicated log: elections, replication, membership, founding, and the driver of a replica.
 
 mod cluster_founding;
 mod driver_founding;
--- a/crates/pulley_core/src/version/replica/persist_batch.rs
+++ b/crates/pulley_core/src/version/replica/persist_batch.rs
@@ -1,4 +1,4 @@
-//! What a replica asks its storage to write, and what it gets back after a restart.
+//! Writes that a replica hands to its storage, and the state recovered after a restart.
 
 use std::sync::Arc;
 
@@ -10,16 +10,16 @@
 };
 use crate::process::MemberId;
 
-/// What a replica must never forget about elections.
+/// Election state that a replica must keep on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRecord {
     /// The highest term it has taken part in.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The member it voted for in that term.
     pub voted_for: Option<MemberId>,
 }
 
-/// Where a snapshot stands in the log.
+/// The place of a snapshot in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPlace {
     /// The last entry it covers.
@@ -35,26 +35,26 @@
 /// The state machines' state as of one log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSnapshot {
-    /// Where it stands.
+    /// Its place in the log.
     pub place: SnapshotPlace,
     /// The encoded state.
     pub state: Bytes,
 }
 
-/// One write; its parts are durable together and in the order of tickets.
+/// One write. Its parts become durable together, and writes in the order of their tickets.
 ///
-/// Written in this order: the snapshot, the cut, the vote, the entries.
+/// Written in this order: the snapshot, the truncation, the vote, the entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistBatch {
-    /// Numbers the write.
+    /// The number of the write.
     pub ticket: PersistTicket,
-    /// Replaces all entries it covers.
+    /// The snapshot that replaces all entries it covers.
     pub snapshot: Option<Arc<ReplicaSnapshot>>,
     /// Entries from here on are no longer part of the log.
     pub cut_from: Option<LogIndex>,
     /// The election state, if it has changed.
     pub vote: Option<VoteRecord>,
-    /// The member id that this disk has from here on.
+    /// The member id of this disk from now on.
     pub member: Option<MemberId>,
     /// The founding membership that this disk has agreed to; it never agrees to another.
     pub promise: Option<ReplicaMembership>,
--- a/crates/pulley_core/src/version/replica/persist_gate.rs
+++ b/crates/pulley_core/src/version/replica/persist_gate.rs
@@ -1,4 +1,4 @@
-//! Keeps back what must not be said before it is on disk.
+//! Holds messages back until the writes they depend on are on disk.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 };
 use crate::process::{MemberId, Moment};
 
-/// How many writes may be under way. While two are, further entries gather into the next one, so
-/// that under load one sync carries many entries and the queue to the storage stays short.
+/// Maximum number of writes in progress. While two are in progress, further entries collect in the
+/// next batch, so that under load one sync carries many entries and the storage queue stays short.
 const FLIGHT_LIMIT: usize = 2;
 
 /// A message that waits for a write.
 pub(crate) type HeldMessage = (MemberId, ReplicaMessage);
 
-/// A write that has not come back.
+/// A write that has not completed.
 #[derive(Debug)]
 struct WriteFlight {
     ticket: PersistTicket,
@@ -26,11 +26,11 @@
     held: Vec<HeldMessage>,
 }
 
-/// Collects what is to be written, and holds the messages that promise it.
+/// Collects the next write and holds the messages that depend on it.
 ///
-/// What goes wrong without it: a replica grants a vote or acknowledges an entry, loses power before
-/// the write, and comes back without it; two leaders of one term or a lost change follow. So a
-/// promise leaves only when the write behind it has been synced.
+/// A replica that grants a vote or acknowledges an entry and loses power before the write restarts
+/// without it. Two leaders in one term or a lost change follow. A message that depends on a write
+/// is therefore sent only after that write has been synced.
 #[derive(Debug, Default)]
 pub(crate) struct PersistGate {
     last_ticket: PersistTicket,
@@ -66,7 +66,8 @@
         self.building.snapshot = Some(snapshot);
     }
 
-    /// Holds a message until all that was noted so far is written; gives it back if all is.
+    /// Holds a message until everything queued so far is written. Returns it at once if nothing is
+    /// pending.
     pub(crate) fn hold(&mut self, message: HeldMessage) -> Option<HeldMessage> {
         if !self.building.is_empty() {
             self.building_held.push(message);
@@ -77,17 +78,18 @@
         None
     }
 
-    /// Whether a vote or a term is not on disk yet.
+    /// Whether a vote or a new term is not on disk yet.
     pub(crate) fn vote_pending(&self) -> bool {
         self.building.vote.is_some() || self.flights.iter().any(|flight| flight.has_vote)
     }
 
-    /// When the oldest write that has not come back was begun.
+    /// Returns when the oldest incomplete write was started.
     pub(crate) fn oldest_write(&self) -> Option<Moment> {
         self.flights.front().map(|flight| flight.begun)
     }
 
-    /// The next write, if there is something to write and few enough are under way.
+    /// Returns the next write, if there is anything to write and fewer than the maximum are in
+    /// progress.
     pub(crate) fn take_batch(
         &mut self,
         now: Moment,
@@ -109,7 +111,8 @@
         Some(batch)
     }
 
-    /// Takes note of finished writes: the last entry then on disk, and the messages set free.
+    /// Completes all writes up to `ticket`. Returns the last entry that is then on disk and the
+    /// messages released.
     pub(crate) fn persisted(
         &mut self,
         ticket: PersistTicket,
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -18,15 +18,15 @@
 };
 use crate::process::{FastMap, HostId, MemberId, Moment};
 
-/// How many hosts of members unknown to the membership are remembered.
+/// Maximum number of remembered hosts whose members the membership does not list.
 const STRANGER_LIMIT: usize = 64;
 
-/// Voters that are kept although they are silent.
+/// Minimum number of voters; silent ones are kept to preserve it.
 const LEAST_VOTERS: usize = 3;
 
 /// One replica as the control thread uses it.
 ///
-/// Speaks in hosts and encoded messages; has no sockets, no disk and no clock.
+/// Addresses hosts and exchanges encoded messages; has no sockets, no disk and no clock.
 #[derive(Debug)]
 pub struct ReplicaDriver {
     pub(crate) identity: ReplicaIdentity,
@@ -36,7 +36,7 @@
     pub(crate) founding: Option<ClusterFounding>,
     /// The disk that the log is on.
     pub(crate) disk: DiskId,
-    /// Whom to ask for a new id, once it is known that this replica is no member any more.
+    /// The attempt to get a new id, once it is known that this replica is no longer a member.
     pub(crate) rejoin: Option<RejoinQuest>,
     pub(crate) node: ReplicaNode,
     pub(crate) machines: ReplicaMachines,
@@ -46,20 +46,20 @@
     pub(crate) archive: AuditArchive,
     /// Reads that a quorum has confirmed, with the entry that must be applied first.
     confirmed: Vec<(u64, LogIndex)>,
-    /// Hosts of members that this replica's membership does not name yet.
+    /// Hosts of members that this replica's membership does not list yet.
     strangers: FastMap<MemberId, HostId>,
     applied_weight: usize,
     snapshot_size: usize,
     unreadable_messages: u64,
-    /// The last entry held at the start; a version before it may be older than the one that was
-    /// in force here before.
+    /// The last entry held at the start. A version before it may be older than the one that was in
+    /// force here before the restart.
     recovered_last: LogIndex,
     in_force_due: bool,
     pub(crate) outputs: Vec<DriverOutput>,
 }
 
 impl ReplicaDriver {
-    /// Makes a driver from what the storage holds.
+    /// Creates a driver from the state recovered from the storage.
     #[must_use]
     pub fn new(
         mut identity: ReplicaIdentity,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes one input; returns what is to be done.
+    /// Handles one input and returns the outputs.
     pub fn handle(&mut self, now: Moment, input: DriverInput) -> Vec<DriverOutput> {
         match input {
             DriverInput::Tick if self.founding.is_some() => self.tick_founding(now),
@@ -137,7 +137,7 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// When [`DriverInput::Tick`] is next needed.
+    /// Returns when [`DriverInput::Tick`] is next needed.
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         match &self.founding {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The host that leads, as far as this replica knows.
+    /// Returns the host that leads, as far as this replica knows.
     #[must_use]
     pub fn leader(&self) -> Option<HostId> {
         match &self.founding {
@@ -158,19 +158,19 @@
         }
     }
 
-    /// The log engine, for tests and status pages.
+    /// Returns the log engine, for tests and status pages.
     #[must_use]
     pub fn node(&self) -> &ReplicaNode {
         &self.node
     }
 
-    /// The state machines, for tests and status pages.
+    /// Returns the state machines, for tests and status pages.
     #[must_use]
     pub fn machines(&self) -> &ReplicaMachines {
         &self.machines
     }
 
-    /// How the replica is doing.
+    /// Returns the status of the replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         ReplicaStatus {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// What the replica does at the moment, in a word.
+    /// Returns the name of the replica's current role.
     #[must_use]
     pub fn role_name(&self) -> &'static str {
         if self.node.failure().is_some() {
@@ -229,12 +229,13 @@
             return;
         }
         match self.node.members().find(envelope.from) {
-            // A member speaks from its own host only.
+            // A member sends messages from its own host only.
             Some(member) if member.host != *from => return,
             Some(_) => {}
             None => {
                 self.note_stranger(envelope.from, from);
-                // One that was removed while it was cut off would ask for votes for ever.
+                // A replica that was removed while it was cut off would otherwise ask for votes
+                // forever.
                 if envelope.message.asks_for_vote() {
                     self.tell_founded(from);
                 }
@@ -266,7 +267,7 @@
     // ---------------------------------------------------------------------------------------------
     // After each step
 
-    /// Carries out what the last step brought about, until nothing more follows from it.
+    /// Processes the effects of the last step until no further effects follow.
     fn settle(&mut self) {
         loop {
             let effects = self.node.take_effects();
@@ -298,10 +299,11 @@
         }
     }
 
-    /// Announces the version in force and the evacuated zones, once all that this replica held at its start is decided.
+    /// Publishes the version in force and the evacuated zones, once all entries that this replica
+    /// held at its start are decided.
     ///
     /// Just after a restart the replica replays its log and passes versions older than the one it
-    /// had in force before; announcing them would let the host's version go down.
+    /// had in force before. Publishing them would let the host's version go down.
     fn announce_plan(&mut self) {
         let decided = self.recovered_last.min(self.node.last_index());
         let taken = self.node.taken_index();
@@ -354,7 +356,7 @@
             applied = true;
         }
         if applied {
-            // Chunks go to the storage before a snapshot that no longer holds them.
+            // Audit chunks are written before a snapshot that no longer holds them.
             self.write_chunks();
             self.compact_if_due();
         }
@@ -369,7 +371,7 @@
         self.answer_waiting(entry, outcome);
     }
 
-    /// What the state machines hold that hosts are to have in force.
+    /// Returns the configuration version and the zone revision that hosts are to have in force.
     fn in_force(&self) -> (ConfigVersion, LogIndex) {
         let machines = &self.machines;
         (machines.configuration.version(), machines.evacuations.evacuated().revision)
@@ -385,8 +387,8 @@
         self.outputs.push(DriverOutput::Answer { token: waiting.token, answer });
     }
 
-    /// Makes a snapshot once the entries applied since the last one weigh as much as it does, so
-    /// that writing snapshots costs no more than writing the log, however large the state is.
+    /// Makes a snapshot once the entries applied since the last one are as large as that snapshot.
+    /// Writing snapshots then costs no more than writing the log, however large the state is.
     fn compact_if_due(&mut self) {
         let due = self.settings.snapshot_weight.max(self.snapshot_size);
         if self.applied_weight < due {
@@ -408,15 +410,15 @@
         self.machines.snapshot(self.node.snapshot_place()).ok()
     }
 
-    /// Turns a learner that has all that is committed into a voter.
+    /// Promotes a learner that has every committed entry to a voter.
     fn promote_learner(&mut self, now: Moment) {
         if !self.node.may_change_members() {
             return;
         }
-        // Where there are more voters than the disks that may be lost ask for, one that is silent
-        // only makes majorities larger: of six, one of them dead, two more losses leave none. Three
-        // are kept whatever the copies: a set that shrank with each host that is down for a while
-        // would end on a single disk.
+        // If there are more voters than the number of disks that may be lost requires, a silent one
+        // only makes majorities larger: of six voters with one dead, two more losses leave no
+        // majority. Three are kept whatever the copies, because a set that shrank with each host
+        // that is down for a while would end on a single disk.
         let enough = (2 * self.settings.copies).max(LEAST_VOTERS + 1);
         let spare = self.node.members().voters().count() >= enough;
         if self.settings.grows && spare && self.retire_silent(now) {
@@ -431,14 +433,15 @@
         }
     }
 
-    /// Removes a voter that has fallen silent, once there is one more than the losses to be borne ask
-    /// for: its successor votes already.
+    /// Removes a silent voter, once there is one voter more than the tolerated losses require, that
+    /// is, once its successor votes.
     ///
-    /// A host that is gone for good would stay a voter for ever, and the next two losses would leave
-    /// no majority. One successor takes one voter's place, of several that of the one silent for
-    /// longest: the others may be back in a moment. Which of them is gone for good, nobody can tell.
-    /// Removed before its successor voted, one that was only down left four voters, two of them
-    /// lost, and no majority though three of five disks were whole.
+    /// Otherwise a host that is gone for good would stay a voter forever, and the next two losses
+    /// would leave no majority. One successor replaces one voter. If several are silent, it
+    /// replaces the one silent for longest, because the others may return in a moment. Nobody can
+    /// tell which of them is gone for good. If a host that was only down were removed before its
+    /// successor voted, four voters would remain, and with two of them lost there would be no
+    /// majority although three of five disks were intact.
     fn retire_silent(&mut self, now: Moment) -> bool {
         let members = self.node.members();
         let voters = members.voters().count();
@@ -451,8 +454,8 @@
         matches!(self.node.propose_members(now, command), Ok(Some(_)))
     }
 
-    /// Says which hosts hold a replica, as far as is known; one without a log asks them whether
-    /// there is a cluster.
+    /// Sets which hosts are known to hold a replica. A replica without a log asks them whether a
+    /// cluster exists.
     pub fn apply_replicas(&mut self, replicas: &[HostId]) {
         if let Some(founding) = &mut self.founding {
             founding.apply_replicas(replicas);
@@ -485,8 +488,8 @@
     }
 }
 
-/// Settings for the log engine: it learns the founders from its snapshot or its log, never from
-/// settings, which may have changed since.
+/// Returns the settings for the log engine. It learns the founders from its snapshot or its log,
+/// never from settings, which may have changed since.
 fn node_settings(settings: &ReplicaSettings) -> ReplicaSettings {
     ReplicaSettings { bootstrap: Vec::new(), ..settings.clone() }
 }
--- a/crates/pulley_core/src/version/replica/replica_election.rs
+++ b/crates/pulley_core/src/version/replica/replica_election.rs
@@ -1,4 +1,4 @@
-//! How a replica becomes leader: pre-vote, vote, and what it answers to others' requests.
+//! Elections: pre-votes, votes, and replies to other replicas' requests.
 
 use super::replica_node::{ReplicaNode, ReplicaRole};
 use super::{LogIndex, ReplicaMessage};
@@ -49,8 +49,8 @@
     }
 
     pub(crate) fn on_vote_request(&mut self, from: MemberId, request: VoteRequest) {
-        // A replica that was removed or cut off must not depose a leader that a majority hears.
-        // The leader's own request to hand over is the exception.
+        // A replica that was removed or cut off must not depose a leader that a majority hears. The
+        // exception is an election that the leader itself requested to hand over.
         if request.term > self.vote.term && self.hears_leader() && !request.transfer {
             return;
         }
@@ -116,7 +116,7 @@
         for member in self.other_voters() {
             self.send_durable(member, ReplicaMessage::VoteRequest(request));
         }
-        // Its own vote counts like any other: once it is on disk.
+        // Its own vote counts only once it is on disk, like any other.
         let own = VoteReply { term: self.vote.term, granted: true };
         self.send_durable(self.me, ReplicaMessage::VoteReply(own));
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Whether it has heard a leader within the shortest election timeout, or leads itself.
+    /// Whether it leads, or has heard a leader within the shortest election timeout.
     fn hears_leader(&self) -> bool {
         if self.is_leader() {
             return true;
--- a/crates/pulley_core/src/version/replica/replica_following.rs
+++ b/crates/pulley_core/src/version/replica/replica_following.rs
@@ -1,4 +1,4 @@
-//! How a follower takes entries and snapshots from its leader.
+//! Follower behaviour: entries and snapshots from the leader.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 };
 use crate::process::MemberId;
 
-/// The largest snapshot that is taken in, in bytes; a leader gone wrong must not fill the memory.
+/// Maximum size of a received snapshot, in bytes, so that a faulty leader cannot fill the memory.
 const SNAPSHOT_LIMIT: u64 = 256 << 20;
 
 /// A snapshot that is being received.
@@ -44,7 +44,8 @@
             self.take_entry(entry);
         }
         self.commit = self.commit.max(request.commit.min(agreed));
-        // A heartbeat is answered at once with what is on disk; entries are answered when they are.
+        // A heartbeat is answered at once with what is on disk. Entries are acknowledged once they
+        // are on disk.
         if beat {
             let upto = agreed.min(self.durable);
             let reply = self.append_reply(request.round, AppendOutcome::Stored { upto });
@@ -83,7 +84,7 @@
         self.send_durable(from, reply);
     }
 
-    /// Accepts the sender as leader unless its term is over.
+    /// Accepts the sender as leader unless its term is stale. Returns whether it is accepted.
     fn obey(&mut self, from: MemberId, term: Term) -> bool {
         if term < self.vote.term || (term == self.vote.term && self.is_leader()) {
             return false;
@@ -95,11 +96,11 @@
     }
 
     fn agrees_at(&self, index: LogIndex, term: Term) -> bool {
-        // What is committed agrees with every later leader.
+        // Committed entries match the log of every later leader.
         index <= self.commit || self.log.term_at(index) == Some(term)
     }
 
-    /// Where the leader should look next: before the whole term that disagrees.
+    /// Returns where the leader should try next: before all entries of the conflicting term.
     fn conflict_hint(&self, prev: LogIndex) -> LogIndex {
         let last = self.log.last_index();
         if prev > last {
@@ -125,7 +126,7 @@
         self.append_entry(entry);
     }
 
-    /// Adds a part to the snapshot being received; returns how much of it is there.
+    /// Adds a chunk to the snapshot being received. Returns the number of bytes received.
     fn take_chunk(&mut self, chunk: SnapshotChunk) -> u64 {
         if chunk.total > SNAPSHOT_LIMIT {
             return 0;
@@ -147,7 +148,7 @@
         let index = place.index;
         let snapshot =
             Arc::new(ReplicaSnapshot { place: place.clone(), state: Bytes::from(intake.bytes) });
-        // Nothing of the old log beyond the snapshot can be trusted to agree with the leader's.
+        // No entry of the old log beyond the snapshot is known to match the leader's log.
         self.gate.note_cut(index.next());
         self.gate.note_snapshot(snapshot.clone());
         self.log.reset(place);
@@ -158,7 +159,7 @@
         self.effects.installed = Some(snapshot);
     }
 
-    /// Sends at once, unless the term it speaks for is not on disk yet.
+    /// Sends at once, unless the vote or term that the message depends on is not on disk yet.
     fn send_after_vote(&mut self, to: MemberId, message: ReplicaMessage) {
         if self.gate.vote_pending() {
             self.send_durable(to, message);
--- a/crates/pulley_core/src/version/replica/replica_identity.rs
+++ b/crates/pulley_core/src/version/replica/replica_identity.rs
@@ -1,4 +1,4 @@
-//! Who a replica is, and the numbers that order its log.
+//! Identity of a replica, and the numbers that order its log.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use crate::process::{ClusterId, HostId, MemberId, QuantityFault};
 
-/// Who a replica is; its data folder belongs to this identity only.
+/// Identity of a replica; its data folder belongs to this identity only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
     /// The host it runs on.
@@ -18,10 +18,10 @@
     pub cluster: ClusterId,
 }
 
-/// Tells one disk from another; drawn at random when a data folder is made.
+/// Identifies a disk; drawn at random when a data folder is created.
 ///
-/// A host whose disk was lost or exchanged comes back with another id, and so cannot pass for the
-/// member it was: that one may have voted and acknowledged what the new disk knows nothing of.
+/// A host whose disk was lost or replaced returns with another id, so it cannot pass for its former
+/// member. That member may have voted and acknowledged entries that the new disk does not have.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -52,13 +52,13 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number after this one.
+            /// Returns the next number.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
             }
 
-            /// The number before this one; 0 stays 0.
+            /// Returns the previous number; 0 stays 0.
             #[must_use]
             pub const fn previous(self) -> Self {
                 Self(self.0.saturating_sub(1))
@@ -84,16 +84,16 @@
 }
 
 number_types! {
-    /// Numbers a leader's time in office.
+    /// Number of a leader's term.
     Term, "a term number";
-    /// The place of an entry in the log; the first entry has 1.
+    /// The index of an entry in the log; the first entry has 1.
     LogIndex, "a log index";
     /// Milliseconds that leaders have counted since the log began.
     ///
-    /// It runs on monotonic clocks only and stands still while there is no leader, so it never
-    /// runs ahead of real time: whatever is kept for a duration is kept at least that long, even
-    /// where a host's wall clock jumps.
+    /// It advances by monotonic clocks only and stops while there is no leader, so it never runs
+    /// ahead of real time. Anything kept for a duration is kept at least that long, even where a
+    /// host's wall clock jumps.
     LogTime, "a log time in milliseconds";
-    /// Numbers what a replica has asked its storage to write.
+    /// Number of a write that a replica has handed to its storage.
     PersistTicket, "a ticket number";
 }
--- a/crates/pulley_core/src/version/replica/replica_leading.rs
+++ b/crates/pulley_core/src/version/replica/replica_leading.rs
@@ -1,4 +1,5 @@
-//! What a leader does: replicate, commit, confirm reads, change the membership, hand over.
+//! Leader behaviour: replication, commits, read confirmation, membership changes and leadership
+//! transfer.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,7 +12,7 @@
 };
 use crate::process::{MemberId, Moment};
 
-/// How many bytes of entries one message carries at most, unless a single entry is larger.
+/// Maximum bytes of entries per message, unless a single entry is larger.
 const APPEND_BYTES: usize = 128 << 10;
 
 /// A read that waits until a quorum has confirmed that this replica still leads.
@@ -22,11 +23,11 @@
     round: u64,
 }
 
-/// What only a leader has.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     pub(crate) followers: BTreeMap<MemberId, FollowerProgress>,
-    /// The blank entry of this term; nothing is known to be committed before it is.
+    /// The first entry of this term. Until it is committed, nothing is known to be committed.
     first_index: LogIndex,
     pub(crate) round: u64,
     reads: VecDeque<PendingRead>,
@@ -50,9 +51,10 @@
 
 impl ReplicaNode {
     // ---------------------------------------------------------------------------------------------
-    // For the owner
+    // For the driver
 
-    /// Appends commands, if this replica leads and does not hand over; returns the first index.
+    /// Appends commands, if this replica leads and is not handing over leadership. Returns the
+    /// index of the first one.
     pub fn propose(&mut self, now: Moment, commands: Vec<LogCommand>) -> Option<LogIndex> {
         self.now = self.now.max(now);
         let ReplicaRole::Leader(leader) = &self.role else { return None };
@@ -70,8 +72,8 @@
 
     /// Appends a changed membership.
     ///
-    /// One member is added, promoted or removed at a time, and only after the change before it is
-    /// committed in this term: any two majorities of neighbouring memberships then share a member,
+    /// One member is added, promoted or removed at a time, and only after the previous change is
+    /// committed in this term. Any two majorities of consecutive memberships then share a member,
     /// so no second phase (joint consensus) is needed.
     ///
     /// # Errors
@@ -89,7 +91,7 @@
         Ok(index)
     }
 
-    /// Asks a quorum to confirm that this replica still leads; the answer is among the effects.
+    /// Asks a quorum to confirm that this replica still leads; the result is among the effects.
     pub fn read(&mut self, now: Moment, token: u64) {
         self.now = self.now.max(now);
         let commit = self.commit;
@@ -98,7 +100,7 @@
             return;
         };
         leader.round += 1;
-        // Before its first entry is committed a leader does not know what earlier terms committed.
+        // Until its first entry is committed, a leader does not know what earlier terms committed.
         let index = commit.max(leader.first_index);
         leader.reads.push_back(PendingRead { token, index, round: leader.round });
         self.send_beats();
@@ -106,7 +108,7 @@
         self.flush();
     }
 
-    /// Begins to hand leadership to the voter that has the most.
+    /// Starts a leadership transfer to the most up-to-date voter.
     pub fn transfer_leadership(&mut self, now: Moment) {
         self.now = self.now.max(now);
         let until = self.now + self.settings.election_timeout;
@@ -123,7 +125,7 @@
         self.flush();
     }
 
-    /// Gives the leader a snapshot for followers that wait for one.
+    /// Provides a snapshot for followers that wait for one.
     pub fn offer_snapshot(&mut self, snapshot: &Arc<super::ReplicaSnapshot>) {
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let mut waiting = Vec::new();
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Learners that have all that is committed and may become voters.
+    /// Returns the learners that have every committed entry and may become voters.
     #[must_use]
     pub fn caught_up_learners(&self) -> Vec<MemberId> {
         let ReplicaRole::Leader(leader) = &self.role else { return Vec::new() };
@@ -162,7 +164,7 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Term of office
+    // Leadership
 
     pub(crate) fn become_leader(&mut self) {
         self.leader = Some(self.me);
@@ -182,8 +184,8 @@
         self.replicate();
     }
 
-    /// The first entry of a term; the very first of the log names the founders, so that a replica
-    /// that begins with nothing learns them from the log itself.
+    /// Returns the first command of a term. The first entry of the log names the founders, so that
+    /// a replica that starts empty learns them from the log itself.
     fn first_command(&self) -> LogCommand {
         let Ok(actor) = "founders".parse() else { return LogCommand::Blank };
         if self.log.last_index() > LogIndex(0) {
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Whether a member has not answered for two election timeouts.
+    /// Whether a member has not replied for two election timeouts.
     #[must_use]
     pub fn is_silent(&self, member: MemberId) -> bool {
         let ReplicaRole::Leader(leader) = &self.role else { return false };
@@ -206,7 +208,7 @@
         leader.followers.get(&member).is_some_and(silent)
     }
 
-    /// The voter that has not answered for longest, if any has fallen silent.
+    /// Returns the voter that has been silent for longest, if any is silent.
     pub(crate) fn longest_silent(&self) -> Option<MemberId> {
         let ReplicaRole::Leader(leader) = &self.role else { return None };
         let voters = self.log.members().voters().filter(|member| self.is_silent(*member));
@@ -237,11 +239,12 @@
         }
     }
 
-    /// Gives up leadership when the own disk has not finished a write for an election timeout.
+    /// Steps down when the local disk has not finished a write for an election timeout.
     ///
-    /// What goes wrong otherwise: the leader's heartbeats go on while its disk hangs, so nobody
-    /// else stands for election, and it can apply and answer nothing. Its writes' age shows it. It
-    /// cannot be elected again before the disk answers, because its own vote has to be written.
+    /// Otherwise the heartbeats would continue while the leader's disk hangs. Nobody else would
+    /// start an election, and the leader could apply and answer nothing. The age of its oldest
+    /// write shows the fault. It cannot be elected again before the disk responds, because its own
+    /// vote has to be written.
     fn leave_if_stalled(&mut self) -> bool {
         let limit = self.settings.election_timeout;
         let stalled = self.gate.oldest_write().is_some_and(|begun| self.now.since(begun) > limit);
@@ -264,9 +267,9 @@
         true
     }
 
-    /// Steps down when a majority has not answered for an election timeout.
+    /// Steps down when a majority has not replied for an election timeout.
     ///
-    /// A leader that a partition has cut off would otherwise hold on to questions it can never
+    /// Otherwise a leader that is cut off by a partition would hold on to questions it can never
     /// answer, and callers would wait for it instead of asking the new leader.
     fn check_quorum(&mut self) -> bool {
         let now = self.now;
@@ -294,7 +297,7 @@
         self.effects.failed_reads.extend(tokens);
     }
 
-    /// Keeps the followers in step with the membership.
+    /// Updates the followers to match the membership.
     fn sync_followers(&mut self) {
         let members: ReplicaMembership = self.log.members().clone();
         let next = self.log.last_index().next();
@@ -367,8 +370,8 @@
         self.send(member, ReplicaMessage::AppendRequest(request));
     }
 
-    /// Sends a heartbeat to every follower; it also tells what is committed, and its answer shows
-    /// entries that were lost on the way.
+    /// Sends a heartbeat to every follower. It also carries the commit index, and the reply reveals
+    /// entries that were lost in transit.
     pub(crate) fn send_beats(&mut self) {
         let ReplicaRole::Leader(leader) = &self.role else { return };
         let members: Vec<MemberId> = leader.followers.keys().copied().collect();
@@ -399,8 +402,8 @@
         self.effects.wants_snapshot = true;
     }
 
-    /// Notes that a follower has answered in this leader's term; steps down before a later term.
-    /// Returns none for a reply that says nothing to this leader.
+    /// Records that a follower has replied in this leader's term; steps down if the reply has a
+    /// later term. Returns `None` for a reply that does not concern this leader.
     pub(crate) fn hear_reply(
         &mut self,
         from: MemberId,
@@ -436,7 +439,7 @@
 
     /// Commits what a majority has on disk, if it is of this term.
     ///
-    /// An entry of an earlier term could still be replaced although a majority holds it; it counts
+    /// An entry of an earlier term could still be replaced although a majority holds it. It counts
     /// as committed only together with an entry of the leader's own term.
     pub(crate) fn advance_commit(&mut self) {
         let ReplicaRole::Leader(leader) = &self.role else { return };
@@ -465,10 +468,11 @@
         self.leave_if_removed();
     }
 
-    /// The last entry that is on as many disks as the settings ask for, learners' included.
+    /// Returns the last entry that is on as many disks as the settings require, learners' disks
+    /// included.
     ///
-    /// A cluster of three that is to bear the loss of two disks has a majority of two: a change
-    /// that only those two hold would be gone with them, although it was acknowledged.
+    /// A cluster of three that must survive the loss of two disks has a majority of two. A change
+    /// that only those two hosts hold would be lost with them, although it was acknowledged.
     fn copied_index(&self, leader: &LeaderState) -> LogIndex {
         let mut stored: Vec<LogIndex> =
             leader.followers.values().map(|progress| progress.matched).collect();
@@ -478,8 +482,8 @@
         stored.get(place).copied().unwrap_or(LogIndex(0))
     }
 
-    /// Whether followers should learn at once what is committed: a configuration has to be in force
-    /// everywhere soon, a claim matters to its asker only.
+    /// Whether followers should learn of the commit at once. A configuration has to be in force
+    /// everywhere soon, whereas a claim matters only to the host that asked.
     fn spreads_at_once(&self, upto: LogIndex) -> bool {
         let mut index = self.commit.next();
         while index <= upto {
@@ -502,7 +506,7 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Reads and transfer
+    // Reads and leadership transfer
 
     pub(crate) fn finish_reads(&mut self) {
         let me = self.me;
--- a/crates/pulley_core/src/version/replica/replica_log.rs
+++ b/crates/pulley_core/src/version/replica/replica_log.rs
@@ -50,7 +50,7 @@
     }
 
     /// Drops the oldest entries up to `upto`, but keeps about `keep` bytes of the newest, so that a
-    /// follower that is only a little behind needs no snapshot.
+    /// follower that is only slightly behind needs no snapshot.
     pub(crate) fn compact(&mut self, upto: LogIndex, keep: usize) {
         let mut new_base = None;
         while let Some(entry) = self.entries.front() {
@@ -68,7 +68,7 @@
         self.base = SnapshotPlace { index, term, time, members };
     }
 
-    /// Begins anew after a snapshot from the leader.
+    /// Replaces the whole log by a snapshot from the leader.
     pub(crate) fn reset(&mut self, place: SnapshotPlace) {
         self.entries.clear();
         self.memberships.clear();
@@ -92,18 +92,18 @@
         self.entries.back().map_or(self.base.time, |entry| entry.time)
     }
 
-    /// Bytes of the entries held.
+    /// Returns the estimated size of the held entries, in bytes.
     pub(crate) fn weight(&self) -> usize {
         self.weight
     }
 
-    /// The entry at a place, if it is held.
+    /// Returns the entry at an index, if it is held.
     pub(crate) fn entry(&self, index: LogIndex) -> Option<&Arc<LogEntry>> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The term at a place, if it is known.
+    /// Returns the term at an index, if it is known.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -111,7 +111,8 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entries from a place on, up to about `bytes`, one at least if there is one.
+    /// Returns the entries from an index on, up to about `bytes` bytes, but at least one if there
+    /// is one.
     pub(crate) fn slice(&self, from: LogIndex, bytes: usize) -> Vec<Arc<LogEntry>> {
         let mut taken = Vec::new();
         let mut weight = 0;
@@ -127,17 +128,17 @@
         taken
     }
 
-    /// The membership that holds: the last one appended, committed or not.
+    /// Returns the membership in effect: the last one appended, committed or not.
     pub(crate) fn members(&self) -> &ReplicaMembership {
         self.memberships.last().map_or(&self.base.members, |(_, members)| members)
     }
 
-    /// Where that membership was appended.
+    /// Returns the index at which that membership was appended.
     pub(crate) fn members_index(&self) -> LogIndex {
         self.memberships.last().map_or(self.base.index, |(index, _)| *index)
     }
 
-    /// The membership as of a place.
+    /// Returns the membership as of an index.
     pub(crate) fn members_at(&self, index: LogIndex) -> &ReplicaMembership {
         self.memberships
             .iter()
--- a/crates/pulley_core/src/version/replica/replica_machines.rs
+++ b/crates/pulley_core/src/version/replica/replica_machines.rs
@@ -1,4 +1,4 @@
-//! The state machines that every replica runs over the one log.
+//! The state machines that every replica runs on the shared log.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
     ZoneAnswer,
 };
 
-/// What an entry brought about.
+/// The outcome of an applied entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineOutcome {
-    /// Nothing.
+    /// No outcome to report.
     Nothing,
     /// A change of the configuration was decided.
     Change(ChangeAnswer),
-    /// The ledger took a command.
+    /// The ledger applied a command.
     Ledger(LedgerOutcome),
-    /// The membership is this.
+    /// The membership was replaced by this one.
     Members(ReplicaMembership),
     /// An order for a zone was decided.
     Zone(ZoneAnswer),
 }
 
-/// The state machines that every replica runs over the one log.
+/// The state machines that every replica runs on the shared log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReplicaMachines {
     /// The configuration and its audit trail.
@@ -35,15 +35,15 @@
     pub ledger: LedgerMachine,
     /// The upstreams that have left.
     pub departures: DepartureMachine,
-    /// The zones that operators have emptied.
+    /// The zones that operators have evacuated.
     pub evacuations: EvacuationMachine,
 }
 
 impl ReplicaMachines {
-    /// Reads the machines from a snapshot, which may hold no departures or evacuations yet.
+    /// Restores the machines from a snapshot, which may predate departures and evacuations.
     ///
     /// # Errors
-    /// If the snapshot's state is not one that this release or the one before has written.
+    /// If the state was written neither by this release nor by the previous one.
     pub fn restore(snapshot: &ReplicaSnapshot) -> postcard::Result<Self> {
         let (configuration, rest) = postcard::take_from_bytes(&snapshot.state)?;
         let (ledger, rest) = postcard::take_from_bytes(rest)?;
--- a/crates/pulley_core/src/version/replica/replica_membership.rs
+++ b/crates/pulley_core/src/version/replica/replica_membership.rs
@@ -1,34 +1,34 @@
-//! Who holds the replicated log.
+//! Membership of the replicated log.
 
 use serde::{Deserialize, Serialize};
 
 use super::DiskId;
 use crate::process::{HostId, MemberId};
 
-/// One holder of the log.
+/// One member of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaMember {
-    /// Its id, never used again after removal.
+    /// Its id, never reused after removal.
     pub member: MemberId,
     /// The host it runs on.
     pub host: HostId,
-    /// The disk it lives on; unknown until a learner that was asked for has come.
+    /// Its disk; unknown until a learner that an operator added has joined.
     pub disk: Option<DiskId>,
     /// Whether it votes; learners only receive the log.
     pub voter: bool,
 }
 
-/// All holders of the log.
+/// All members of the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaMembership {
-    /// The holders, ordered by id.
+    /// The members, ordered by id.
     pub members: Vec<ReplicaMember>,
     /// The id that the next new member gets.
     pub next_member: MemberId,
 }
 
 impl ReplicaMembership {
-    /// Makes the first membership from an explicit list, all of them voters.
+    /// Creates the first membership from an explicit list of voters.
     #[must_use]
     pub fn of_voters(replicas: &[(HostId, MemberId)]) -> Self {
         let mut members: Vec<ReplicaMember> = replicas
@@ -45,7 +45,7 @@
         Self { members, next_member: MemberId(highest + 1) }
     }
 
-    /// The membership with a new learner, and the learner's id.
+    /// Returns the membership with a new learner, and the learner's id.
     #[must_use]
     pub fn with_learner(&self, host: &HostId, disk: Option<DiskId>) -> (Self, MemberId) {
         let mut next = self.clone();
@@ -55,7 +55,7 @@
         (next, member)
     }
 
-    /// The membership with a learner turned into a voter.
+    /// Returns the membership with a learner promoted to a voter.
     #[must_use]
     pub fn with_voter(&self, promoted: MemberId) -> Self {
         let mut next = self.clone();
@@ -67,7 +67,7 @@
         next
     }
 
-    /// The membership with the disk that a member lives on.
+    /// Returns the membership with a member's disk set.
     #[must_use]
     pub fn with_disk(&self, bound: MemberId, disk: DiskId) -> Self {
         let mut next = self.clone();
@@ -79,7 +79,7 @@
         next
     }
 
-    /// The membership without one member.
+    /// Returns the membership without one member.
     #[must_use]
     pub fn without(&self, removed: MemberId) -> Self {
         let mut next = self.clone();
@@ -105,18 +105,18 @@
         self.find(wanted).is_some_and(|member| member.voter)
     }
 
-    /// The voters' ids.
+    /// Returns the voters' ids.
     pub fn voters(&self) -> impl Iterator<Item = MemberId> + '_ {
         self.members.iter().filter(|member| member.voter).map(|member| member.member)
     }
 
-    /// How many voters make a majority.
+    /// Returns how many voters make a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Whether those voters for whom `holds` is true make a majority.
+    /// Whether the voters for which `holds` is true make a majority.
     #[must_use]
     pub fn majority(&self, holds: impl Fn(MemberId) -> bool) -> bool {
         self.voters().filter(|member| holds(*member)).count() >= self.quorum()
--- a/crates/pulley_core/src/version/replica/replica_message.rs
+++ b/crates/pulley_core/src/version/replica/replica_message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas that hold a log.
 
 use std::sync::Arc;
 
@@ -8,40 +8,40 @@
 use super::{LogEntry, LogIndex, SnapshotPlace, Term};
 use crate::process::MemberId;
 
-/// A message with who sent it and for whom it is.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaEnvelope {
     /// The sender.
     pub from: MemberId,
-    /// The receiver; a host whose replica has another id by now ignores the message.
+    /// The receiver; a host whose replica has since been given another id ignores the message.
     pub to: MemberId,
     /// The message.
     pub message: ReplicaMessage,
 }
 
-/// What one replica says to another.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaMessage {
     /// Asks whether a vote would be granted; changes nothing at the receiver.
     ///
-    /// Without it a replica that comes back from a partition would raise the term and depose a
-    /// leader that serves well.
+    /// Without it a replica that returns from a partition would raise the term and depose a healthy
+    /// leader.
     PreVoteRequest(VoteRequest),
-    /// Answers that.
+    /// Answers a pre-vote request.
     PreVoteReply(VoteReply),
     /// Asks for a vote.
     VoteRequest(VoteRequest),
-    /// Answers that; a grant is on disk before it is sent.
+    /// Answers a vote request; a granted vote is on disk before the reply is sent.
     VoteReply(VoteReply),
-    /// Carries entries, or none as a heartbeat.
+    /// Carries entries; without entries it is a heartbeat.
     AppendRequest(AppendRequest),
-    /// Answers that; what it calls stored is on disk.
+    /// Answers an append request; what it reports as stored is on disk.
     AppendReply(AppendReply),
-    /// Carries a part of a snapshot to a follower whose entries are no longer in the log.
+    /// Carries a chunk of a snapshot to a follower whose entries are no longer in the log.
     SnapshotChunk(SnapshotChunk),
-    /// Answers that.
+    /// Answers a snapshot chunk.
     SnapshotReply(SnapshotReply),
-    /// Tells a caught-up follower to stand for election at once, since the leader leaves.
+    /// Tells an up-to-date follower to start an election at once, because the leader is leaving.
     CampaignNow {
         /// The leader's term.
         term: Term,
@@ -49,7 +49,7 @@
 }
 
 impl ReplicaMessage {
-    /// Whether its sender stands for election.
+    /// Whether it asks for a vote or a pre-vote.
     pub(crate) const fn asks_for_vote(&self) -> bool {
         matches!(self, Self::PreVoteRequest(_) | Self::VoteRequest(_))
     }
@@ -58,9 +58,9 @@
 /// Asks for a vote, or whether it would be granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// The term that the candidate stands for.
+    /// The term that the candidate wants to lead.
     pub term: Term,
-    /// Its last entry.
+    /// The candidate's last entry.
     pub last_index: LogIndex,
     /// That entry's term.
     pub last_term: Term,
@@ -71,24 +71,24 @@
 /// Answers a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// For a grant the term that was asked for, else the receiver's own term.
+    /// The requested term if the vote is granted, otherwise the receiver's own term.
     pub term: Term,
     /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// Entries that follow a place both sides must agree on.
+/// Entries that follow an entry on which both logs must agree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRequest {
     /// The leader's term.
     pub term: Term,
-    /// The place before the entries.
+    /// The index before the entries.
     pub prev_index: LogIndex,
-    /// The term at that place.
+    /// The term at that index.
     pub prev_term: Term,
-    /// What the leader knows to be committed.
+    /// The last entry that the leader knows to be committed.
     pub commit: LogIndex,
-    /// Numbers the leader's rounds, so that a reply proves when it was still obeyed.
+    /// The leader's round, so that a reply proves that the leader was still followed at that time.
     pub round: u64,
     /// The entries.
     pub entries: Vec<Arc<LogEntry>>,
@@ -99,59 +99,59 @@
 pub struct AppendReply {
     /// The receiver's term.
     pub term: Term,
-    /// The round answered.
+    /// The round that is answered.
     pub round: u64,
-    /// What became of it.
+    /// The outcome.
     pub outcome: AppendOutcome,
 }
 
-/// What became of an append request.
+/// Outcome of an append request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log agrees with the leader's up to here, on disk.
+    /// The log matches the leader's up to here, on disk.
     Stored {
-        /// The last entry that agrees.
+        /// The last entry that matches.
         upto: LogIndex,
     },
-    /// The receiver lacks the place before the entries.
+    /// The receiver's log does not match at the index before the entries.
     Missing {
-        /// The place that was asked for.
+        /// The index that was checked.
         prev: LogIndex,
         /// Where the leader should try next.
         hint: LogIndex,
     },
-    /// The sender's term is over.
+    /// The sender's term is stale.
     StaleTerm,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
     /// The leader's round.
     pub round: u64,
-    /// Which snapshot.
+    /// The snapshot's place in the log.
     pub place: SnapshotPlace,
-    /// Where this part begins.
+    /// Offset of this chunk in the snapshot.
     pub offset: u64,
-    /// Size of the whole.
+    /// Size of the whole snapshot.
     pub total: u64,
-    /// The part.
+    /// The chunk's bytes.
     pub bytes: Bytes,
 }
 
-/// Answers a part of a snapshot.
+/// Answers a snapshot chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotReply {
     /// The receiver's term.
     pub term: Term,
-    /// The round answered.
+    /// The round that is answered.
     pub round: u64,
-    /// Which snapshot.
+    /// The last entry that the snapshot covers.
     pub index: LogIndex,
-    /// How much of it the receiver has.
+    /// Number of bytes that the receiver has.
     pub received: u64,
-    /// Whether it is whole and on disk.
+    /// Whether the snapshot is complete and on disk.
     pub installed: bool,
 }
--- a/crates/pulley_core/src/version/replica/replica_node.rs
+++ b/crates/pulley_core/src/version/replica/replica_node.rs
@@ -1,4 +1,4 @@
-//! One replica of the log: its state, and the way in and out.
+//! One replica of the log: its state, inputs and outputs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,35 +18,37 @@
 };
 use crate::process::{MemberId, Moment};
 
-/// The part of a heartbeat after which a replica that has just started asks whether it would be
-/// elected, at the earliest, and how often it then asks again: the others start when they do, and
-/// a question that reaches nobody costs nothing.
+/// Divisor of the heartbeat interval. The result is the shortest delay before a replica that has
+/// just started sends its first pre-vote requests, and before it repeats them. The delay is short
+/// because the other replicas may start at the same time, and a request that reaches nobody costs
+/// nothing.
 const START_PART: u32 = 8;
 
-/// For how many of its questions in a row a replica that has just started lets one with a lower id
-/// go first. Two that ask a majority at the same moment would both stand, and neither win.
+/// How many times in a row a replica that has just started defers its pre-vote requests to a
+/// replica with a lower id. Two that ask a majority at the same moment would both become
+/// candidates, and neither would win.
 pub(crate) const YIELD_LIMIT: u32 = 4;
 
-/// What a replica does at the moment.
+/// The current role of a replica.
 #[derive(Debug)]
 pub(crate) enum ReplicaRole {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks for pre-votes.
     PreCandidate {
-        /// Who would vote for it.
+        /// The members that would vote for it.
         votes: Vec<MemberId>,
     },
-    /// Stands for election.
+    /// Asks for votes.
     Candidate {
-        /// Who voted for it.
+        /// The members that voted for it.
         votes: Vec<MemberId>,
     },
     /// Leads.
     Leader(Box<LeaderState>),
 }
 
-/// What a replica wants done after a step.
+/// Effects of a step, which the driver carries out.
 #[derive(Debug, Default)]
 pub struct NodeEffects {
     /// Messages to other replicas, in order.
@@ -59,13 +61,13 @@
     pub failed_reads: Vec<u64>,
     /// A snapshot from the leader that replaces the state machines' state.
     pub installed: Option<Arc<ReplicaSnapshot>>,
-    /// A follower needs a snapshot: the owner is to offer one.
+    /// A follower needs a snapshot, which the driver is to offer.
     pub wants_snapshot: bool,
 }
 
 /// One replica of the log, without state machines, sockets, disk or clock.
 ///
-/// Time comes in with each call. What it wants done is taken with [`Self::take_effects`], and the
+/// Each call passes the current time. Effects are taken with [`Self::take_effects`], and the
 /// entries to apply with [`Self::take_committed`].
 #[derive(Debug)]
 pub struct ReplicaNode {
@@ -83,7 +85,7 @@
     pub(crate) leader: Option<MemberId>,
     pub(crate) leader_heard: Option<Moment>,
     pub(crate) election_at: Moment,
-    /// How often it has let another ask first since it last asked itself.
+    /// How many times it has deferred to another replica since its own last pre-vote requests.
     pub(crate) yields: u32,
     pub(crate) last_appended: Moment,
     pub(crate) intake: Option<SnapshotIntake>,
@@ -93,7 +95,7 @@
 }
 
 impl ReplicaNode {
-    /// Makes a replica from what its storage holds.
+    /// Creates a replica from the state recovered from its storage.
     #[must_use]
     pub fn new(
         me: MemberId,
@@ -135,7 +137,7 @@
     // ---------------------------------------------------------------------------------------------
     // Input
 
-    /// Lets time pass.
+    /// Advances the time and does what is due.
     pub fn tick(&mut self, now: Moment) {
         self.now = self.now.max(now);
         if self.failure.is_some() {
@@ -148,7 +150,7 @@
         self.flush();
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, now: Moment, envelope: ReplicaEnvelope) {
         self.now = self.now.max(now);
         if self.failure.is_some() || envelope.to != self.me || envelope.from == self.me {
@@ -158,11 +160,12 @@
         self.flush();
     }
 
-    /// Takes note that a write has ended.
+    /// Handles the end of a write.
     ///
-    /// After a failed write the replica falls silent for good: what the disk holds is unknown, and
-    /// a later sync that succeeds says nothing of the pages lost before (the kernel drops the error
-    /// once reported). Only a restart, which reads the folder anew, can tell.
+    /// After a failed write the replica stops taking part for good. What the disk holds is unknown,
+    /// and a later successful sync says nothing about the pages lost before, because the kernel
+    /// drops the error once it has been reported. Only a restart, which reads the folder again, can
+    /// tell.
     pub fn persisted(&mut self, now: Moment, ticket: PersistTicket, ok: bool) {
         self.now = self.now.max(now);
         if self.failure.is_some() {
@@ -189,7 +192,7 @@
         self.flush();
     }
 
-    /// Stops taking part, as its storage or state can no longer be trusted.
+    /// Stops taking part, because its storage or state can no longer be trusted.
     pub fn fail(&mut self, why: SmolStr) {
         self.abandon_reads();
         self.role = ReplicaRole::Follower;
@@ -197,10 +200,10 @@
         self.failure = Some(why);
     }
 
-    /// Goes on under another id, after it was removed and has been let in again.
+    /// Continues under a new id, after it was removed and has rejoined.
     ///
-    /// The log stays: what it holds of it came from leaders, and the leader cuts off what was never
-    /// committed, as with any follower that returns.
+    /// The log stays. Its entries came from leaders, and the leader truncates what was never
+    /// committed, as for any follower that returns.
     pub(crate) fn rename(&mut self, member: MemberId) {
         self.abandon_reads();
         self.me = member;
@@ -227,15 +230,15 @@
     // ---------------------------------------------------------------------------------------------
     // Output
 
-    /// What is to be done after the last step.
+    /// Takes the effects of the last step.
     pub fn take_effects(&mut self) -> NodeEffects {
         std::mem::take(&mut self.effects)
     }
 
-    /// The next committed entry that has not been taken.
+    /// Returns the next committed entry that has not been handed out.
     ///
-    /// Only entries on this replica's own disk are given out: what a host has put in force is then
-    /// still there after its restart, so that its version never goes down.
+    /// Only entries on this replica's own disk are handed out. What a host has put in force is then
+    /// still there after its restart, so its version never goes down.
     pub fn take_committed(&mut self) -> Option<Arc<LogEntry>> {
         if self.taken >= self.commit.min(self.durable) {
             return None;
@@ -245,7 +248,7 @@
         Some(entry)
     }
 
-    /// When [`Self::tick`] is next needed.
+    /// Returns when [`Self::tick`] is next needed.
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         if self.failure.is_some() {
@@ -257,7 +260,7 @@
         }
     }
 
-    /// Writes a snapshot that the owner made of what it has applied, and drops old entries.
+    /// Writes a snapshot that the driver made of the applied state, and drops old entries.
     pub fn compact(&mut self, snapshot: Arc<ReplicaSnapshot>) {
         if self.failure.is_some() {
             return;
@@ -273,7 +276,8 @@
         self.flush();
     }
 
-    /// The place of a snapshot taken now, after all that was taken by [`Self::take_committed`].
+    /// Returns the place of a snapshot taken now, which covers everything handed out by
+    /// [`Self::take_committed`].
     #[must_use]
     pub fn snapshot_place(&self) -> SnapshotPlace {
         let index = self.taken;
@@ -289,13 +293,13 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// This replica's id.
+    /// Returns this replica's id.
     #[must_use]
     pub fn member(&self) -> MemberId {
         self.me
     }
 
-    /// The term.
+    /// Returns the current term.
     #[must_use]
     pub fn term(&self) -> Term {
         self.vote.term
@@ -307,7 +311,7 @@
         matches!(self.role, ReplicaRole::Leader(_))
     }
 
-    /// What it does at the moment, in a word.
+    /// Returns the name of its current role.
     #[must_use]
     pub fn role_name(&self) -> &'static str {
         match self.role {
@@ -317,37 +321,37 @@
         }
     }
 
-    /// Who leads, as far as it knows.
+    /// Returns the leader, if it is known.
     #[must_use]
     pub fn leader(&self) -> Option<MemberId> {
         self.leader
     }
 
-    /// The last committed entry it knows of.
+    /// Returns the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// Its last entry.
+    /// Returns its last entry.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// The entry at a place, if it is still held.
+    /// Returns the entry at an index, if it is still held.
     #[must_use]
     pub fn entry(&self, index: LogIndex) -> Option<&Arc<LogEntry>> {
         self.log.entry(index)
     }
 
-    /// The last entry given out by [`Self::take_committed`].
+    /// Returns the last entry handed out by [`Self::take_committed`].
     #[must_use]
     pub fn taken_index(&self) -> LogIndex {
         self.taken
     }
 
-    /// Whether the log holds a change of the configuration that has not been given out yet.
+    /// Whether the log holds a configuration change that has not been handed out yet.
     #[must_use]
     pub fn holds_untaken_change(&self) -> bool {
         let mut index = self.taken.next();
@@ -360,37 +364,37 @@
         false
     }
 
-    /// The last entry on this replica's disk.
+    /// Returns the last entry on this replica's disk.
     #[must_use]
     pub fn durable_index(&self) -> LogIndex {
         self.durable
     }
 
-    /// Bytes of the entries held.
+    /// Returns the estimated size of the held entries, in bytes.
     #[must_use]
     pub fn log_weight(&self) -> usize {
         self.log.weight()
     }
 
-    /// The membership that holds.
+    /// Returns the membership in effect.
     #[must_use]
     pub fn members(&self) -> &ReplicaMembership {
         self.log.members()
     }
 
-    /// The entry that made the membership, or one after it that a snapshot covers.
+    /// Returns the entry that set the membership, or a later one that a snapshot covers.
     #[must_use]
     pub fn members_index(&self) -> LogIndex {
         self.log.members_index()
     }
 
-    /// The last membership known to be committed.
+    /// Returns the last membership known to be committed.
     #[must_use]
     pub fn committed_members(&self) -> &ReplicaMembership {
         self.log.members_at(self.commit)
     }
 
-    /// Why it no longer takes part.
+    /// Returns why it no longer takes part, if it has failed.
     #[must_use]
     pub fn failure(&self) -> Option<&SmolStr> {
         self.failure.as_ref()
@@ -399,7 +403,7 @@
     // ---------------------------------------------------------------------------------------------
     // Helpers
 
-    /// The log's time now, if this replica were to append an entry.
+    /// Returns the log time that an entry appended now would get.
     pub(crate) fn log_time(&self) -> LogTime {
         let passed = self.now.since(self.last_appended).as_millis();
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
@@ -416,7 +420,7 @@
         self.effects.sends.push(ReplicaEnvelope { from: self.me, to, message });
     }
 
-    /// Sends a message once all that was noted so far is on disk.
+    /// Sends a message once everything queued so far is on disk.
     pub(crate) fn send_durable(&mut self, to: MemberId, message: ReplicaMessage) {
         let Some((to, message)) = self.gate.hold((to, message)) else { return };
         if to == self.me {
@@ -426,7 +430,7 @@
         }
     }
 
-    /// Follows in a term, which may be a new one.
+    /// Becomes a follower in `term`, which may be a new one.
     pub(crate) fn follow(&mut self, term: Term, leader: Option<MemberId>) {
         if term > self.vote.term {
             self.vote = VoteRecord { term, voted_for: None };
@@ -440,23 +444,23 @@
         self.leader = leader;
     }
 
-    /// Sets when it asks first after a start, and again while nobody leads: soon.
+    /// Sets the short election timer that is used after a start while nobody leads.
     ///
-    /// When all replicas restart at once nobody leads, and every host waits for a first leader: a
-    /// wait of heartbeats would be most of the time without service. Where there is a leader, the
+    /// When all replicas restart at once nobody leads, and every host waits for a first leader. A
+    /// wait of several heartbeats would be most of the time without service. If there is a leader,
     /// pre-vote keeps a replica that asks too early from disturbing it.
     fn begin_election(&mut self) {
         let pause = self.settings.heartbeat / START_PART;
         self.election_at = self.now + pause + self.random_part(pause);
     }
 
-    /// Whether the process has just started: the others may have started with it and cannot be
-    /// reached at the first try yet.
+    /// Whether the process has just started. The others may have started with it and may not be
+    /// reachable at the first attempt yet.
     fn has_just_started(&self) -> bool {
         self.now.since(self.started) < self.settings.election_timeout * 3
     }
 
-    /// Sets when to ask again whether it would be elected.
+    /// Sets when to repeat the pre-vote requests.
     pub(crate) fn renew_election(&mut self) {
         if self.has_just_started() {
             self.begin_election();
@@ -465,7 +469,7 @@
         }
     }
 
-    /// Sets when to give up an election in which it stands: votes have to be synced.
+    /// Sets when to give up its candidacy. The delay leaves time to sync the votes.
     pub(crate) fn await_votes(&mut self) {
         if self.has_just_started() {
             let beat = self.settings.heartbeat;
@@ -475,10 +479,11 @@
         }
     }
 
-    /// Lets another that has just started too ask first.
+    /// Defers to another replica that has just started too.
     ///
-    /// What it has asked itself is void: on the answers it would stand for election beside the
-    /// other, each would vote for itself, and nobody would be elected until both give up.
+    /// Its own pre-vote requests become void. Otherwise it would become a candidate on their
+    /// replies, both replicas would vote for themselves, and nobody would be elected until both
+    /// give up.
     pub(crate) fn yield_election(&mut self, to: MemberId) {
         let is_asking =
             matches!(self.role, ReplicaRole::Follower | ReplicaRole::PreCandidate { .. });
@@ -489,7 +494,7 @@
         }
     }
 
-    /// A random time below a limit.
+    /// Returns a random duration below a limit.
     fn random_part(&mut self, limit: Duration) -> Duration {
         let micros = u64::try_from(limit.as_micros()).unwrap_or(u64::MAX / 4).max(1);
         Duration::from_micros(self.random.random_range(0..micros))
--- a/crates/pulley_core/src/version/replica/replica_question.rs
+++ b/crates/pulley_core/src/version/replica/replica_question.rs
@@ -1,4 +1,4 @@
-//! What hosts ask of the leader, and its answers.
+//! Questions from hosts to the leader, and its answers.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -14,10 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
-/// Tells who claims a key; drawn at random for each request.
+/// Identifies who claims a key; drawn at random for each request.
 ///
-/// A claim whose answer was lost is sent again, perhaps to another leader. Without this the second
-/// one would look like a second request with the same key, and be told that the first may have run.
+/// A claim whose answer was lost is sent again, perhaps to another leader. Without this id the
+/// resend would look like a second request with the same key, and be told that the first may have
+/// run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimantId(pub u64);
 
@@ -32,27 +33,27 @@
     pub body: Option<Bytes>,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The asker may send the request, once.
+    /// The claimant may send the request, once.
     Granted(FencingToken),
-    /// It ran before; this is what came of it.
+    /// The request already ran, with this answer.
     AlreadyRan(RecordedAnswer),
-    /// Somebody claimed it and no outcome is known.
+    /// The key was claimed before and no outcome is known.
     MayHaveRun,
-    /// The key stands for a different request.
+    /// The key belongs to a different request.
     Conflict,
-    /// No quorum, or no room: nothing was claimed.
+    /// There is no quorum or no room; nothing was claimed.
     Unavailable,
 }
 
-/// A change of who holds the log.
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaChange {
     /// A host joins, as a learner first.
     Add(HostId),
-    /// A member leaves for good.
+    /// A member is removed permanently.
     Remove(MemberId),
 }
 
@@ -67,23 +68,23 @@
         key: SmolStr,
         /// Digest of method, path and body.
         digest: [u8; 32],
-        /// Who claims; the same for every resend of this question.
+        /// The claimant; the same for every resend of this question.
         claimant: ClaimantId,
     },
     /// The outcome of a claimed request; no answer means that it may have run.
     Record {
         /// The key.
         key: SmolStr,
-        /// What the claim was granted with.
+        /// The token that the claim was granted with.
         token: FencingToken,
         /// The answer, if there was one.
         answer: Option<RecordedAnswer>,
     },
-    /// Gives a claim back, because not a byte was sent.
+    /// Releases a claim, because no byte of the request was sent.
     Release {
         /// The key.
         key: SmolStr,
-        /// What the claim was granted with.
+        /// The token that the claim was granted with.
         token: FencingToken,
     },
     /// The configuration that a quorum confirms to be current.
@@ -92,14 +93,14 @@
     Applied,
     /// The audit trail.
     Audit(AuditFilter),
-    /// A change of who holds the log.
+    /// A change of the membership.
     Change(ReplicaChange),
-    /// An upstream leaves; answered once that is on a quorum's disks, while the leader tells every
-    /// host.
+    /// An upstream leaves. Answered once the departure is on a quorum's disks; meanwhile the leader
+    /// informs every host.
     Departure {
-        /// The start that leaves.
+        /// The start of the upstream that leaves.
         start: UpstreamStart,
-        /// What to tell the hosts; see `UpstreamRegistry::departure`.
+        /// The record to send to the hosts; see `UpstreamRegistry::departure`.
         record: Bytes,
     },
     /// An operator's order for a zone.
@@ -108,7 +109,7 @@
     EvacuatedZones,
 }
 
-/// Why the leader refused; refused always means not done.
+/// Why the leader refused; a refusal always means that nothing was done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum ReplicaRefusal {
     /// Another change of membership has not been committed yet.
@@ -129,7 +130,7 @@
     /// Old audit records are still being copied to the replica that leads.
     #[error("old audit records are still being copied to the leader; ask for newer ones")]
     AuditIncomplete,
-    /// Too much waits for a quorum already.
+    /// Too many questions already wait for a quorum.
     #[error("too many questions wait for a quorum")]
     Busy,
 }
@@ -142,14 +143,14 @@
         /// The host that leads, if it is known.
         leader: Option<HostId>,
     },
-    /// Nobody can say whether it was done.
+    /// It is unknown whether it was done.
     Unknown {
-        /// What is known of the cause.
+        /// What is known about the cause.
         why: SmolStr,
     },
-    /// What became of a change.
+    /// Outcome of a change.
     Change(ChangeAnswer),
-    /// What became of a claim.
+    /// Outcome of a claim.
     Claim(ClaimAnswer),
     /// It was done.
     Done,
@@ -157,14 +158,14 @@
     Refused(ReplicaRefusal),
     /// The sheet in force.
     Sheet(SheetView),
-    /// The last entry applied; whoever has applied it too knows all that was acknowledged before
-    /// the question.
+    /// The last entry applied. A replica that has applied it too knows everything that was
+    /// acknowledged before the question.
     Applied(LogIndex),
     /// The audit records asked for.
     Audit(Vec<AuditRecord>),
     /// The membership after a change of it.
     Members(ReplicaMembership),
-    /// What became of an order for a zone.
+    /// Outcome of an order for a zone.
     Zone(ZoneAnswer),
     /// The zones that are evacuated.
     Zones(EvacuatedZones),
--- a/crates/pulley_core/src/version/replica/replica_sending.rs
+++ b/crates/pulley_core/src/version/replica/replica_sending.rs
@@ -1,12 +1,12 @@
-//! How a leader sends a snapshot to a follower whose entries it no longer holds.
+//! Sends a snapshot from the leader to a follower whose entries are no longer held.
 
 use super::follower_progress::ProgressState;
 use super::replica_node::{ReplicaNode, ReplicaRole};
 use super::{ReplicaMessage, SnapshotChunk, SnapshotReply};
 use crate::process::MemberId;
 
-/// How many bytes of a snapshot one message carries; one part is under way at a time, so that a
-/// transfer leaves room for heartbeats on the same link.
+/// Bytes of a snapshot per message. Only one chunk is in flight at a time, so that a transfer
+/// leaves room for heartbeats on the same link.
 const CHUNK_BYTES: usize = 64 << 10;
 
 impl ReplicaNode {
--- a/crates/pulley_core/src/version/replica/replica_settings.rs
+++ b/crates/pulley_core/src/version/replica/replica_settings.rs
@@ -1,33 +1,34 @@
-//! What may be set of a replica.
+//! Settings of a replica.
 
 use std::time::Duration;
 
 use super::LedgerLimits;
 use crate::process::{HostId, MemberId, Moment};
 
-/// What may be set of a replica.
+/// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// The replicas that found the cluster; without meaning once a log exists.
+    /// The replicas that found the cluster; ignored once a log exists.
     pub bootstrap: Vec<(HostId, MemberId)>,
-    /// How often a leader tells its followers that it lives.
+    /// Interval between a leader's heartbeats.
     pub heartbeat: Duration,
-    /// How long a follower hears nothing before it stands for election, at least; at most twice
-    /// that, by chance, so that two seldom stand at once.
+    /// Shortest time without a heartbeat after which a follower starts an election. The actual
+    /// timeout is random and at most twice as long, so that two followers seldom start at the same
+    /// time.
     pub election_timeout: Duration,
     /// The ledger's limits.
     pub ledger: LedgerLimits,
-    /// How many bytes of entries are kept before a snapshot replaces them, at least.
+    /// Minimum number of bytes of entries that are kept before a snapshot replaces them.
     pub snapshot_weight: usize,
-    /// How many questions may wait for a quorum at once.
+    /// Maximum number of questions that wait for a quorum at once.
     pub waiting_limit: usize,
     /// Unix time in milliseconds at [`crate::Moment::ZERO`]; for the audit trail only.
     pub unix_origin_ms: u64,
-    /// How many disks an entry must be on before it counts as committed, besides being on a
-    /// majority's: one more than disks may be lost at once.
+    /// Number of disks an entry must be on before it counts as committed, in addition to being on a
+    /// majority's: one more than the number of disks that may be lost at once.
     pub copies: usize,
-    /// Whether every host that asks becomes a member, in place of one that has fallen silent if
-    /// there is one. Otherwise operators say who is a member.
+    /// Whether every host that asks becomes a member, replacing a silent member if there is one.
+    /// Otherwise operators decide who is a member.
     pub grows: bool,
 }
 
@@ -54,14 +55,14 @@
         Self { bootstrap, ..Self::default() }
     }
 
-    /// Unix time in milliseconds at a moment; for the audit trail only.
+    /// Returns the Unix time in milliseconds at a moment; for the audit trail only.
     #[must_use]
     pub fn unix_ms(&self, now: Moment) -> u64 {
         let passed = u64::try_from(now.since(Moment::ZERO).as_millis()).unwrap_or(u64::MAX);
         self.unix_origin_ms.saturating_add(passed)
     }
 
-    /// Sets how often a leader tells its followers that it lives.
+    /// Sets the interval between a leader's heartbeats.
     #[must_use]
     pub fn with_heartbeat(mut self, heartbeat: Duration) -> Self {
         self.heartbeat = heartbeat;
@@ -82,21 +83,21 @@
         self
     }
 
-    /// Sets how many bytes of entries are kept before a snapshot replaces them.
+    /// Sets the minimum number of bytes of entries that are kept before a snapshot replaces them.
     #[must_use]
     pub fn with_snapshot_weight(mut self, weight: usize) -> Self {
         self.snapshot_weight = weight;
         self
     }
 
-    /// Sets how many questions may wait for a quorum at once.
+    /// Sets the maximum number of questions that wait for a quorum at once.
     #[must_use]
     pub fn with_waiting_limit(mut self, limit: usize) -> Self {
         self.waiting_limit = limit;
         self
     }
 
-    /// Sets how many disks an entry must be on before it counts as committed.
+    /// Sets the number of disks an entry must be on before it counts as committed.
     #[must_use]
     pub fn with_copies(mut self, copies: usize) -> Self {
         self.copies = copies;
@@ -110,7 +111,7 @@
         self
     }
 
-    /// Sets the Unix time, in milliseconds, at the beginning of the process's clock.
+    /// Sets the Unix time, in milliseconds, at the start of the process's clock.
     #[must_use]
     pub fn with_unix_origin(mut self, unix_ms: u64) -> Self {
         self.unix_origin_ms = unix_ms;
