--- a/crates/pulley_core/tests/replica_promises.rs
+++ b/crates/pulley_core/tests/replica_promises.rs
@@ -1,4 +1,4 @@
-//! What a replica must not say too early, step by step on a single replica.
+//! Messages that a replica must not send too early, tested step by step on a single replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,8 +80,8 @@
 }
 
 // A host loses power right after it granted a vote, forgets it, and grants another one in the same
-// term: two leaders would accept different sheets under one version. So the grant must not leave
-// before the vote is on disk, and after a restart the vote must still count.
+// term. Two leaders would then accept different sheets under one version. The grant must therefore
+// not be sent before the vote is on disk, and the vote must still count after a restart.
 #[test]
 fn a_vote_leaves_only_once_it_is_on_disk() {
     let mut node = node(&RecoveredState::default());
@@ -100,9 +100,9 @@
     assert!(!has_grant(&restarted.take_effects().sends));
 }
 
-// A follower loses power between acknowledging an entry and writing it; the leader has counted it
-// and told the operator "accepted". So the acknowledgement waits for the disk, a doubled message's
-// and a heartbeat's included.
+// A follower loses power after acknowledging an entry and before writing it, when the leader has
+// counted it and told the operator "accepted". The acknowledgement must therefore wait for the
+// disk, also the replies to a duplicated message and to a heartbeat.
 #[test]
 fn an_entry_is_acknowledged_only_once_it_is_on_disk() {
     let mut node = node(&RecoveredState::default());
@@ -132,7 +132,7 @@
 }
 
 // The leader's own disk is slow while one follower has the entry. One disk of three is no quorum:
-// were that host lost, nobody would have what the operator was told is accepted.
+// if that host were lost, nobody would have what the operator was told is accepted.
 #[test]
 fn a_leader_counts_itself_only_once_its_disk_has_the_entry() {
     let mut node = node(&RecoveredState::default());
@@ -146,8 +146,8 @@
 }
 
 // A leader finds an entry of an earlier term on a majority of disks. A replica with a later last
-// term could still win an election and replace it, so an operator must not be told "accepted"
-// until an entry of the leader's own term is on a majority too.
+// term could still win an election and replace the entry. An operator must therefore not be told
+// "accepted" until an entry of the leader's own term is on a majority too.
 #[test]
 fn entries_of_earlier_terms_do_not_commit_by_count() {
     let recovered = RecoveredState {
@@ -167,8 +167,8 @@
     assert_eq!(node.commit_index(), LogIndex(3));
 }
 
-// A replica hears of an entry's commit before its own disk has the entry, puts the sheet in force
-// and loses power: after its restart it would serve an older sheet than before.
+// A replica learns that an entry is committed before the entry is on its own disk, puts the sheet
+// in force and loses power. After its restart it would serve an older sheet than before.
 #[test]
 fn what_is_committed_applies_only_once_it_is_on_the_own_disk() {
     let mut node = node(&RecoveredState::default());
@@ -187,8 +187,8 @@
     assert!(node.take_committed().is_some());
 }
 
-// A replica comes back from a long partition. It must not raise the term and so depose a leader
-// that everyone else hears, or each such return would cost the callers an election.
+// A replica returns from a long partition. It must not raise the term and depose a leader that
+// everyone else hears, otherwise each such return would cost the callers an election.
 #[test]
 fn a_replica_that_hears_its_leader_grants_no_vote() {
     let mut node = node(&RecoveredState::default());
@@ -211,7 +211,7 @@
     assert_eq!(node.term(), Term(7));
 }
 
-/// Delivers a vote request long after the leader was heard last.
+/// Delivers a vote request long after the leader was last heard.
 fn deliver_late(node: &mut ReplicaNode, after: Duration) {
     let message = vote_request(7);
     node.receive(Moment::ZERO + after, ReplicaEnvelope { from: THIRD, to: ME, message });
--- a/crates/pulleyd/tests/replica/audit_tests.rs
+++ b/crates/pulleyd/tests/replica/audit_tests.rs
@@ -1,4 +1,4 @@
-//! The audit trail when it is longer than the memory it may take.
+//! The audit trail when it is longer than what is kept in memory.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use super::fake_cluster::{FakeCluster, change, host_name};
 
-/// Enough for two chunks.
+/// Enough changes for two chunks.
 const CHANGES: u64 = (AUDIT_KEPT + 2 * AUDIT_CHUNK) as u64;
 
-/// Asks for every tenth change.
+/// The actor of every tenth change.
 const TENTH_ACTOR: &str = "night-planner";
 
 fn long_trail() -> FakeCluster {
@@ -44,8 +44,8 @@
     }
 }
 
-// Months after a change somebody asks who made it. The record left the memory long ago; it must
-// still be found, after restarts of all replicas too.
+// Months after a change somebody asks who made it. The record is no longer in memory. It must still
+// be found, also after restarts of all replicas.
 #[test]
 fn an_old_record_is_found_after_restarts() {
     let mut cluster = long_trail();
@@ -62,8 +62,8 @@
     assert!(status >= 2, "{status} chunks");
 }
 
-// All changes of one operator are asked for; some are in memory, most of the rest on disk. No record may be missing or doubled where memory and
-// chunks meet.
+// All changes of one operator are requested. Some are in memory, most of the rest are on disk. No
+// record may be missing or duplicated where memory and chunks meet.
 #[test]
 fn memory_and_chunks_make_one_trail() {
     let mut cluster = long_trail();
@@ -78,8 +78,8 @@
     assert_eq!(some, all[..230]);
 }
 
-// A replica with a new disk comes to lead. Until it has copied the old records it must say that it
-// lacks some, rather than let the trail look shorter than it is.
+// A replica with a new disk becomes leader. Until it has copied the old records it must report that
+// some are missing, so that the trail does not look shorter than it is.
 #[test]
 fn a_new_replica_copies_old_records_and_says_so_until_then() {
     let mut cluster = long_trail();
--- a/crates/pulleyd/tests/replica/departure_tests.rs
+++ b/crates/pulleyd/tests/replica/departure_tests.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have left, and what a replica's disk says of upstreams.
+//! Upstreams that have left, and the upstream directory on a replica's disk.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 use super::fake_disk::FakeDisk;
 use super::schedule_tests::{ScheduleRun, ScheduleStep};
 
-/// How many schedules are run.
+/// Number of schedules run.
 const SCHEDULES: u64 = 300;
 
 fn start(number: u64) -> UpstreamStart {
@@ -34,7 +34,7 @@
 }
 
 fn settings() -> ReplicaSettings {
-    // As many disks may be lost at once as of five replicas, two; every snapshot is small.
+    // Two of the five replicas' disks may be lost at once; every snapshot is small.
     ReplicaSettings::default().with_copies(3).with_snapshot_weight(2_000)
 }
 
@@ -42,7 +42,7 @@
     cluster.driver(number).machines().departures.has_left(&start(upstream))
 }
 
-/// Asks the leader up to where its word may be trusted, as a replica does that has just started.
+/// Asks the leader for its applied index, as a replica does that has just started.
 fn applied_by_leader(cluster: &mut FakeCluster) -> LogIndex {
     match cluster.settle_quickly(&ReplicaQuestion::Applied) {
         ReplicaAnswer::Applied(index) => index,
@@ -50,9 +50,9 @@
     }
 }
 
-// All hosts lose power right after an upstream was told that its leaving is known, and any two of
-// the five disks are lost with it. Whichever replicas come back, each one that has applied what the
-// new leader names must know that this upstream has left, and not offer it from its disk.
+// All hosts lose power right after an upstream's departure was acknowledged, and any two of the
+// five disks are lost. Every returning replica that has applied what the new leader has applied
+// must know of the departure, and must not offer the upstream from its disk.
 #[test]
 fn an_acknowledged_departure_outlives_the_loss_of_any_two_disks() {
     for first in 0..5 {
@@ -84,7 +84,7 @@
     }
 }
 
-/// A replica's start, and what it must know before it may offer what is on its disk.
+/// A replica's start, and the departures it must know before it may offer what is on its disk.
 struct ReplicaStart {
     host: usize,
     life: u64,
@@ -92,9 +92,10 @@
     left_before: Vec<u64>,
 }
 
-// Hosts crash, are cut off, lose disks and race, while upstreams leave. A replica that starts asks
-// the leader what is applied. Once it has applied that too, it must know all that was acknowledged
-// before its start, whatever has happened: else it would offer an upstream that is gone.
+// Hosts crash, are cut off, lose disks and race while upstreams leave. A replica that starts asks
+// the leader for its applied index. Once the replica has applied that too, it must know every
+// departure acknowledged before its start, whatever has happened. Otherwise it would offer an
+// upstream that is gone.
 #[test]
 fn a_replica_knows_what_left_before_its_start_under_any_schedule() {
     let (mut acknowledged, mut proved) = (0, 0);
@@ -109,7 +110,7 @@
     assert!(proved > SCHEDULES, "hardly any start is proved: {proved}");
 }
 
-/// Returns how many departures were acknowledged, and how many starts were proved.
+/// Returns the number of acknowledged departures and the number of verified starts.
 fn run_schedule(seed: u64, steps: Vec<ScheduleStep>) -> (u64, u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let cluster = FakeCluster::in_bad_weather(5, seed, settings());
@@ -120,7 +121,7 @@
     let mut proved = 0;
     for step in steps {
         let lives: Vec<u64> = (0..5).map(|host| run.cluster.life(host)).collect();
-        // What is acknowledged in this step may be so before or after a start within it.
+        // A departure acknowledged in this step may be so before or after a start within it.
         let left_before = left.clone();
         run.take(step);
         let cluster = &mut run.cluster;
@@ -168,8 +169,8 @@
     machines.apply(&entry);
 }
 
-// A replica was off for weeks, and more upstreams have left since than are remembered. What is on
-// its disk can't be told from those any more, so it must not be offered at all.
+// A replica was off for weeks, and more upstreams have left since than are remembered. It cannot
+// tell which upstreams on its disk have left, so it must offer none of them.
 #[test]
 fn a_directory_older_than_the_departures_kept_is_not_covered() {
     let mut machines = ReplicaMachines::default();
@@ -184,8 +185,8 @@
     assert_eq!(machines.departures.len(), DEPARTURES_KEPT, "a resend takes no place");
 }
 
-// A replica is updated to this release with a snapshot that the one before has written, which
-// knows of no departures. It must start as before, and a snapshot of its own must keep them.
+// A replica is updated to this release with a snapshot of the previous one, which has no
+// departures. It must start as before, and its own snapshots must keep departures.
 #[test]
 fn a_snapshot_without_departures_can_still_be_read() {
     let place = SnapshotPlace {
@@ -229,8 +230,9 @@
     directory
 }
 
-// The power goes while a directory is being written, once or several times over. What comes back is
-// the one before it or the new one, whole; never a mixture, and never an older one.
+// Power is lost while a directory is being written, once or several times. The directory that is
+// read back must be the previous one or the new one, complete, never a mixture and never an older
+// one.
 #[test]
 fn a_directory_that_was_synced_is_read_back_after_any_crash() {
     let mut random = StdRng::seed_from_u64(7);
@@ -253,8 +255,8 @@
     }
 }
 
-// A disk is full, or what it gives back is damaged. The replica must start all the same, say which
-// file it could not read, and write again once it can.
+// A disk is full, or returns damaged data. The replica must start all the same, name the file that
+// it could not read, and write again once it can.
 #[test]
 fn a_damaged_directory_is_left_out_and_named() {
     let disk = FakeDisk::new(1);
--- a/crates/pulleyd/tests/replica/evacuation_tests.rs
+++ b/crates/pulleyd/tests/replica/evacuation_tests.rs
@@ -1,4 +1,4 @@
-//! Zones that operators empty and take back, as the replicated log decides it.
+//! Operators evacuate zones and restore them through the replicated log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use super::fake_cluster::{FakeCluster, change};
 use super::schedule_tests::{ScheduleRun, ScheduleStep};
 
-/// How many schedules are run.
+/// Number of schedules run.
 const SCHEDULES: u64 = 300;
 
 fn order(id: &str, zone: u64, zone_use: ZoneUse, based_on: LogIndex) -> ZoneOrder {
@@ -44,8 +44,8 @@
 }
 
 // All hosts lose power right after an evacuation was acknowledged, and any two of the five disks
-// are lost with it. Whoever leads afterwards must know that the zone is evacuated, or callers are
-// sent to machines that are being taken away.
+// are lost. If the next leader does not know the evacuation, callers are sent to machines that are
+// being taken away.
 #[test]
 fn an_acknowledged_evacuation_outlives_the_loss_of_any_two_disks() {
     for first in 0..5 {
@@ -74,10 +74,10 @@
     }
 }
 
-// Hosts crash, are cut off, lose disks and race while several operators empty zones and take them
-// back, and every order may be repeated for seconds. No host may go back to an earlier order, no
-// read may miss an accepted one, and all replicas must come to the same zones. The invariants are
-// checked after every step.
+// Hosts crash, are cut off, lose disks and race while several operators evacuate and restore zones.
+// Every order may be repeated for seconds. No host may return to an earlier order, no read may miss
+// an accepted one, and all replicas must end with the same zones. The invariants are checked after
+// every step.
 #[test]
 fn accepted_orders_hold_under_any_schedule() {
     let (mut accepted, mut overtaken) = (0, 0);
@@ -148,9 +148,9 @@
     }
 }
 
-// An operator's order gets lost on its way to the leader and is repeated there for seconds. The
-// operator sends it to another host meanwhile, and takes the zone back. The repetition that comes
-// last must not empty the zone again: nobody has asked for that.
+// An operator's order is delayed on its way to the leader and repeated there for seconds. Meanwhile
+// the operator sends it to another host and then restores the zone. The delayed repetition must not
+// evacuate the zone again, because nobody has asked for that.
 #[test]
 fn an_order_that_comes_after_its_withdrawal_changes_nothing() {
     let mut machines = ReplicaMachines::default();
@@ -161,12 +161,12 @@
     let late = apply(&mut machines, 12, evacuate("first-try", 1));
     assert_eq!(late, ZoneAnswer::Overtaken { current: ZoneUse::InUse });
     assert!(machines.evacuations.evacuated().zones.is_empty());
-    // Known by its id, a resend of what was accepted before is acknowledged and changes nothing.
+    // A resend of an accepted order is recognised by its id, acknowledged, and changes nothing.
     assert_eq!(apply(&mut machines, 13, evacuate("second-try", 1)), accepted(10));
     assert!(machines.evacuations.evacuated().zones.is_empty());
     let other = order("second-try", 2, ZoneUse::Evacuated, LogIndex(11));
     assert_eq!(apply(&mut machines, 14, other), ZoneAnswer::ChangeIdReused);
-    // What holds already is acknowledged, whatever it is based on.
+    // An order for the use already in force is acknowledged, whatever it is based on.
     assert_eq!(apply(&mut machines, 15, order("x", 1, ZoneUse::InUse, LogIndex(0))), accepted(11));
     let audit = machines.configuration.audit(&Default::default());
     let lines: Vec<&str> = audit.iter().rev().map(|record| record.diff.as_str()).collect();
@@ -174,8 +174,8 @@
     assert_eq!(lines[2], "zone zone-1 evacuated, not done: another order came before");
 }
 
-// Operators name ever new zones. What replicas hold and what goes along with every lease must stay
-// small, and a zone that is no longer remembered must not be emptied by an order of long ago.
+// Operators keep naming new zones. What replicas hold and what is sent with every lease must stay
+// small. A zone that is no longer remembered must not be evacuated by a very old order.
 #[test]
 fn orders_for_ever_new_zones_stay_bounded() {
     let mut machines = ReplicaMachines::default();
@@ -200,8 +200,8 @@
     }
 }
 
-// A replica is updated to this release with a snapshot of the one before, which knows of no orders.
-// It must start as before, and a snapshot of its own must keep them.
+// A replica is updated to this release with a snapshot of the previous one, which has no orders. It
+// must start as before, and its own snapshots must keep orders.
 #[test]
 fn a_snapshot_without_orders_can_still_be_read() {
     let place = SnapshotPlace {
@@ -222,8 +222,9 @@
     assert_eq!(restored.evacuations, machines.evacuations);
 }
 
-// A leader is cut off while it still believes to lead. An order that it takes must not be
-// acknowledged, and the one that the others' leader accepts must hold on all once they meet again.
+// A leader is cut off while it still believes it leads. It must not acknowledge an order that it
+// receives. The order that the other hosts' leader accepts must be in force on all hosts once the
+// partition heals.
 #[test]
 fn a_leader_that_is_cut_off_acknowledges_no_order() {
     let mut cluster = FakeCluster::with_settings(5, 61, settings());
--- a/crates/pulleyd/tests/replica/failure_tests.rs
+++ b/crates/pulleyd/tests/replica/failure_tests.rs
@@ -1,4 +1,4 @@
-//! Single failures, each brought about on purpose.
+//! Single failures, each injected on purpose.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     ReplicaAnswer::Change(ChangeAnswer::Accepted { version: ConfigVersion(version) })
 }
 
-// Two operators change the sheet at the same time, both looking at version 0. Only one of them may
+// Two operators change the sheet at the same time, both based on version 0. Only one of them may
 // win, and the other must be told which version is in force, so that no change is overwritten.
 #[test]
 fn of_two_racing_operators_one_is_refused() {
@@ -30,8 +30,8 @@
     }
 }
 
-// The leader's host dies under a stream of changes, and the operator sends again what was not
-// answered. Whatever was accepted is still there, and nothing is done twice.
+// The leader's host dies during a stream of changes, and the operator resends what was not
+// answered. Everything accepted must still be there, and nothing may be done twice.
 #[test]
 fn a_killed_leader_loses_nothing_accepted() {
     let mut cluster = FakeCluster::new(3, 2);
@@ -55,7 +55,7 @@
 }
 
 // A leader is cut off from both others while an operator still reaches it. It must not accept
-// anything, and the operator must not be told "refused" either, since it may come to pass.
+// anything. It must not answer "refused" either, because the change may still be committed.
 #[test]
 fn a_cut_off_leader_accepts_nothing() {
     let mut cluster = FakeCluster::new(3, 3);
@@ -73,9 +73,8 @@
     assert_eq!(cluster.version(old), ConfigVersion(2));
 }
 
-// The disk of one replica's host fills up, or stops answering a sync. What it holds is then
-// unknown: the replica must not vote or acknowledge anything again, must say why, and the others go
-// on.
+// The disk of one replica's host fills up, or fails to sync. Its content is then unknown. The
+// replica must not vote or acknowledge anything again and must report why, and the others continue.
 #[test]
 fn a_replica_whose_disk_fails_falls_silent() {
     for full in [true, false] {
@@ -93,7 +92,7 @@
         assert_eq!(status.role, "failed");
         assert!(status.failure.is_some());
         assert!(matches!(cluster.answers[&token], ReplicaAnswer::Unknown { .. }));
-        // The disk works again, but nobody knows what the failed write left behind.
+        // The disk works again, but what the failed write left behind is unknown.
         disk.fail_appends(false);
         disk.fail_syncs(false);
         let answer = cluster.settle(&change("first", 0));
@@ -107,8 +106,8 @@
     }
 }
 
-// A host's disk is lost while another replica is behind, and the host restarts with the settings
-// of its first day. Together the two are a majority by count, and know nothing of the last change:
+// A host's disk is lost while another replica is behind, and the host restarts with the settings of
+// its first day. Together the two are a majority by count but do not have the last change, so
 // electing a leader would lose it. They must wait for the replica that has it.
 #[test]
 fn an_empty_disk_never_votes() {
@@ -133,8 +132,8 @@
     assert_eq!(cluster.driver(wiped).status().member, MemberId(4));
 }
 
-// A second host is lost for good right after the first was replaced, before its successor has all.
-// Nothing accepted may be missing, and both successors come to vote under new ids.
+// A second host is lost for good right after the first was replaced, before its successor has
+// caught up. Nothing accepted may be lost, and both successors must become voters under new ids.
 #[test]
 fn two_losses_in_a_row_lose_nothing() {
     let mut cluster = FakeCluster::new(5, 6);
@@ -164,8 +163,8 @@
     assert!(members.contains(&6) && members.contains(&7), "{members:?}");
 }
 
-// The log has been cut behind a snapshot when a new host joins. It must get the snapshot, in parts,
-// and only then a vote.
+// The log has been compacted into a snapshot when a new host joins. It must receive the snapshot in
+// chunks, and only then get a vote.
 #[test]
 fn a_new_host_joins_by_snapshot() {
     let settings = ReplicaSettings::default().with_snapshot_weight(2_000);
@@ -190,8 +189,8 @@
     assert_eq!(cluster.driver(0).status().role, "outsider");
 }
 
-// Hundreds of changes and several restarts later an operator's tool, which never saw the answer,
-// sends its change again. It must get the answer of the first time and change nothing.
+// After hundreds of changes and several restarts, an operator's tool that never saw the answer
+// resends its change. It must get the first answer again, and nothing may change.
 #[test]
 fn a_resend_gets_its_first_answer_after_hundreds_of_changes_and_restarts() {
     let settings = ReplicaSettings::default().with_snapshot_weight(4_000);
@@ -214,8 +213,8 @@
     assert_eq!(cluster.settle(&change("next", 500)), accepted(501));
 }
 
-// The disk of the leader's host stops answering without an error, while its network works. The
-// other hosts hear the leader and would wait for it, and no change or claim would get an answer.
+// The disk of the leader's host hangs without an error while its network works. The other hosts
+// would keep hearing the leader and wait for it, and no change or claim would be answered.
 #[test]
 fn a_leader_whose_disk_hangs_gives_way() {
     let mut cluster = FakeCluster::new(3, 9);
@@ -235,9 +234,9 @@
     assert_eq!(cluster.version(old), ConfigVersion(1));
 }
 
-// The leader's machine stands still for seconds, as under a noisy neighbour, and then goes on where
-// it was. It still believes that it leads; what it then says must not count, and a read through it
-// must not show an older sheet than the one accepted meanwhile.
+// The leader's machine pauses for seconds, as under a noisy neighbour, and then continues. It still
+// believes that it leads. What it then sends must not count, and a read through it must not show an
+// older sheet than the one accepted meanwhile.
 #[test]
 fn a_leader_that_stood_still_serves_nothing_old() {
     let mut cluster = FakeCluster::new(3, 12);
@@ -248,7 +247,7 @@
     cluster.run_until(Duration::from_secs(5), |cluster| cluster.leader() != Some(old));
     cluster.run(Duration::from_secs(1));
     assert_eq!(cluster.settle(&change("meanwhile", 1)), accepted(2));
-    // The first thing that the old leader does once it goes on is to take this question.
+    // The first input that the old leader handles after the pause is this question.
     cluster.hosts[old].paused_until = cluster.now;
     let read = cluster.ask(old, ReplicaQuestion::CurrentPlan);
     let write = cluster.ask(old, change("late", 1));
@@ -258,9 +257,9 @@
     assert_eq!(cluster.version(old), ConfigVersion(2));
 }
 
-// A host with an empty disk meets a leader that has just been cut off together with it. That leader
-// gives it an id which is never committed, and the others may give the same id to another disk
-// later. The host must wait for a committed id, and vote again once the cut has healed.
+// A host with an empty disk and a leader are cut off together. That leader assigns an id that is
+// never committed, and the others may later assign the same id to another disk. The host must wait
+// for a committed id, and vote again once the partition has healed.
 #[test]
 fn an_id_counts_only_once_it_is_committed() {
     let mut cluster = FakeCluster::new(5, 13);
@@ -282,9 +281,9 @@
     cluster.run_until(Duration::from_secs(30), FakeCluster::all_vote);
 }
 
-// All hosts lose power, and two of five replicas are back long before the others. Every host waits
-// for a leader, and callers with it. From when the third replica can be asked a leader must follow
-// at once, whatever the first two have tried in vain before.
+// All hosts lose power, and two of five replicas are back long before the others. Every host and
+// its callers wait for a leader. A leader must be elected as soon as the third replica can be
+// asked, whatever the first two attempted before.
 #[test]
 fn a_leader_follows_the_third_of_five_replicas_at_once() {
     let mut waits = Vec::new();
@@ -303,14 +302,14 @@
         waits.push(cluster.now.since(began));
     }
     waits.sort();
-    // One round of questions within 50 ms, and votes; a round that is split costs two heartbeats.
+    // One round of pre-vote requests within 50 ms, and votes; a split round costs two heartbeats.
     assert!(waits[50] < Duration::from_millis(60), "the median: {:?}", waits[50]);
     assert!(waits[95] < Duration::from_millis(500), "the slowest but four: {:?}", waits[95]);
 }
 
-// The same, but the last three replicas are back within a few milliseconds of each other and all of
-// them ask at once. Where each votes for itself nobody is elected, and callers wait for another
-// round: those that have just let another one ask first must not stand as well.
+// As above, but the last three replicas are back within a few milliseconds of each other and all
+// ask at once. If each votes for itself, nobody is elected and callers wait for another round. A
+// replica that has just deferred to another one must not become a candidate as well.
 #[test]
 fn replicas_that_start_together_do_not_split_their_votes() {
     let mut waits = Vec::new();
@@ -335,6 +334,6 @@
         waits.push(cluster.now.since(began));
     }
     waits.sort();
-    // A round that is split costs a heartbeat of 200 ms at least.
+    // A split round costs at least one heartbeat of 200 ms.
     assert!(waits[199] < Duration::from_millis(200), "the slowest: {:?}", waits[199]);
 }
--- a/crates/pulleyd/tests/replica/fake_cluster.rs
+++ b/crates/pulleyd/tests/replica/fake_cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas over a network and disks in memory, in virtual time.
+//! Replicas on an in-memory network and in-memory disks, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use super::fake_disk::FakeDisk;
 use super::invariants::Invariants;
 
-/// What happens next to a host.
+/// A scheduled event at a host.
 #[derive(Debug)]
 enum FakeEvent {
     Message { from: HostId, to: usize, body: Bytes },
@@ -27,13 +27,13 @@
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// How the network treats messages and the disks treat writes.
+/// Faults of the network and delays of the disks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkFaults {
     pub(crate) loss: f64,
     pub(crate) doubled: f64,
     pub(crate) slowest: Duration,
-    /// The longest time that a write takes.
+    /// Longest duration of a write.
     pub(crate) slowest_write: Duration,
 }
 
@@ -49,15 +49,15 @@
     pub(crate) driver: Option<ReplicaDriver>,
     storage: Option<LogStorage<FakeDisk>>,
     life: u64,
-    /// Loses its power as soon as it has sent something.
+    /// Whether it loses power as soon as it has sent a message.
     pub(crate) dies_on_send: bool,
-    /// Its disk does not finish any write.
+    /// Whether its disk hangs and finishes no write.
     pub(crate) disk_hangs: bool,
-    /// Its process does nothing until then; what comes in waits.
+    /// The process is paused until then; incoming events wait.
     pub(crate) paused_until: Moment,
 }
 
-/// Replicas over a network and disks in memory.
+/// Replicas on an in-memory network and in-memory disks.
 #[derive(Debug)]
 pub(crate) struct FakeCluster {
     pub(crate) now: Moment,
@@ -105,7 +105,8 @@
         cluster
     }
 
-    /// A cluster all of whose hosts vote, on a network that loses, doubles and delays messages.
+    /// Creates a cluster whose hosts all vote, on a network that loses, duplicates and delays
+    /// messages.
     pub(crate) fn in_bad_weather(size: usize, seed: u64, settings: ReplicaSettings) -> Self {
         let mut cluster = Self::with_settings(size, seed, settings);
         cluster.faults = NetworkFaults {
@@ -152,11 +153,11 @@
         self.invariants.forget_host(number);
     }
 
-    /// Ends a host's process; its disk loses what was not synced.
+    /// Kills a host's process; its disk loses unsynced data.
     pub(crate) fn kill(&mut self, number: usize) {
         let torn = self.random.random_bool(0.5);
         let life = self.hosts[number].life;
-        // One disk writes in order: the earliest batch is the one that may be half written.
+        // A disk writes in order, so the earliest batch is the one that may be half written.
         let waiting = self
             .queue
             .iter()
@@ -172,7 +173,7 @@
         if let (true, Some(at), Some(storage)) = (torn, waiting, &mut host.storage)
             && let Some(FakeEvent::Write { batch, .. }) = self.queue.remove(&at)
         {
-            // The power goes while a batch is being written.
+            // Power is lost while a batch is being written.
             host.disk.fail_syncs(true);
             let _ = storage.write(&[batch]);
         }
@@ -184,14 +185,14 @@
         host.disk.crash(&mut self.random);
     }
 
-    /// Opens a host's data folder anew in the same process, as after a full disk.
+    /// Reopens a host's data folder in the same process, as after a full disk.
     pub(crate) fn reopen(&mut self, number: usize) {
         self.hosts[number].driver = None;
         self.hosts[number].storage = None;
         self.start(number);
     }
 
-    /// Starts hosts from here on without being told who founds.
+    /// Starts hosts from now on without naming the founders in their settings.
     pub(crate) fn forget_founders(&mut self) {
         self.settings.bootstrap.clear();
         for host in &mut self.hosts {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Says to each replica which hosts hold one, as membership does.
+    /// Tells each replica which hosts hold one, as host membership does.
     pub(crate) fn introduce_all(&mut self) {
         let all: Vec<HostId> = self.hosts.iter().map(|host| host.identity.host.clone()).collect();
         for host in &mut self.hosts {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Adds a host that nobody has named and introduces it.
+    /// Adds a host that no settings name and updates the replica lists.
     pub(crate) fn add_newcomer(&mut self) -> usize {
         let name = host_name(self.hosts.len());
         let number = self.add_host(name, MemberId::default());
@@ -217,20 +218,20 @@
         number
     }
 
-    /// The hosts that vote, by the membership of whoever leads.
+    /// Returns the hosts that vote, according to the leader's membership.
     pub(crate) fn voters(&self) -> Vec<HostId> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let members = &self.driver(leader).node().members().members;
         members.iter().filter(|member| member.voter).map(|member| member.host.clone()).collect()
     }
 
-    /// Ends a host's process and gives it an empty disk.
+    /// Kills a host's process and replaces its disk by an empty one.
     pub(crate) fn wipe(&mut self, number: usize) {
         self.kill(number);
         self.hosts[number].disk = FakeDisk::new(self.random.random());
     }
 
-    /// Whether a host's present disk has a vote, in the eyes of the leader.
+    /// Whether a host is up and its current disk votes, according to the leader.
     pub(crate) fn votes(&self, number: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let member = self.driver(number).node().member();
@@ -239,12 +240,12 @@
             && self.driver(leader).node().members().is_voter(member)
     }
 
-    /// Whether a host is up and its present disk has a vote.
+    /// Whether a host is up and its current disk votes.
     pub(crate) fn votes_now(&self, number: usize) -> bool {
         self.is_up(number) && self.votes(number)
     }
 
-    /// Whether a host has taken a lost disk's place by a committed change of members.
+    /// Whether a host has replaced a lost disk by a committed membership change.
     pub(crate) fn has_replaced(&self, lost: MemberId, successor: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let members = self.driver(leader).node().committed_members();
@@ -254,7 +255,8 @@
         is_in && !members.is_voter(lost)
     }
 
-    /// The member id of a host's disk, by any host that knows it; the default if it has none.
+    /// Returns the member id of a host's disk according to the host with the longest log, or the
+    /// default if it has none.
     pub(crate) fn member(&self, number: usize) -> MemberId {
         let host = &self.hosts[number].identity.host;
         let statuses = self.statuses();
@@ -267,12 +269,12 @@
         (0..self.hosts.len()).all(|number| self.votes_now(number))
     }
 
-    /// Stops a host's process for a while, as a busy machine or a signal does.
+    /// Pauses a host's process, as a busy machine or a signal does.
     pub(crate) fn pause(&mut self, number: usize, time: Duration) {
         self.hosts[number].paused_until = self.now + time;
     }
 
-    /// Lets a host lose its power right after the next message it sends.
+    /// Makes a host lose power right after the next message it sends.
     pub(crate) fn kill_on_send(&mut self, number: usize) {
         self.hosts[number].dies_on_send = true;
     }
@@ -285,7 +287,7 @@
         self.hosts[number].driver.as_ref().expect("the host is up")
     }
 
-    /// Changes with each start and end of a host's process.
+    /// Returns a number that changes with each start and end of a host's process.
     pub(crate) fn life(&self, number: usize) -> u64 {
         self.hosts[number].life
     }
@@ -295,7 +297,7 @@
         self.cuts.insert(pair);
     }
 
-    /// Cuts a host off in both directions.
+    /// Cuts off a host in both directions.
     pub(crate) fn isolate(&mut self, number: usize) {
         for other in (0..self.hosts.len()).filter(|other| *other != number) {
             self.cut(number, other);
@@ -310,14 +312,14 @@
     // ---------------------------------------------------------------------------------------------
     // Time
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.step(until) {}
         self.now = until;
     }
 
-    /// Runs until something holds.
+    /// Runs until the condition holds; panics if it does not within the limit.
     pub(crate) fn run_until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) {
         let came = self.comes_about(limit, holds);
         assert!(
@@ -327,7 +329,7 @@
         );
     }
 
-    /// Runs until something holds; false if it does not in time.
+    /// Runs until the condition holds. Returns false if it does not within the limit.
     pub(crate) fn comes_about(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
         let until = self.now + limit;
         while !holds(self) {
@@ -338,12 +340,12 @@
         true
     }
 
-    /// What each host that is up says of itself.
+    /// Returns the status of each host that is up.
     fn statuses(&self) -> Vec<ReplicaStatus> {
         self.hosts.iter().filter_map(|host| Some(host.driver.as_ref()?.status())).collect()
     }
 
-    /// One line a host: where it stands and whom it takes for a member.
+    /// Returns one line per host with its status and the members it knows.
     pub(crate) fn summary(&self) -> String {
         let lines = self.statuses().into_iter().map(|status| {
             let members = status.members.iter().map(|known| {
@@ -415,7 +417,7 @@
                 if self.hosts[host].life != life {
                     return;
                 }
-                // One disk writes in order, also when it works again.
+                // A disk writes in order, also after it has recovered.
                 let behind = self.queue.values().any(|queued| {
                     matches!(queued, FakeEvent::Write { host: other, life: of, batch: earlier }
                         if *other == host && *of == life && earlier.ticket < batch.ticket)
@@ -455,7 +457,7 @@
             DriverOutput::Send { to, body } => self.send(number, &to, &body),
             DriverOutput::Persist { batch, .. } => {
                 let at = self.now + self.delay(self.faults.slowest_write);
-                // One disk writes in order.
+                // A disk writes in order.
                 let last = self.queue.iter().rev().find_map(|(key, event)| match event {
                     FakeEvent::Write { host, .. } if *host == number => Some(key.0),
                     _ => None,
@@ -507,7 +509,7 @@
     // ---------------------------------------------------------------------------------------------
     // Questions
 
-    /// Asks a host; the answer turns up under the token that is returned.
+    /// Asks a host. The answer is stored under the returned token.
     pub(crate) fn ask(&mut self, number: usize, question: ReplicaQuestion) -> u64 {
         self.next_token += 1;
         let token = self.next_token;
@@ -516,12 +518,12 @@
         token
     }
 
-    /// Tells a host to hand leadership over.
+    /// Tells a host to transfer leadership.
     pub(crate) fn transfer(&mut self, number: usize) {
         self.feed(number, DriverInput::TransferLeadership);
     }
 
-    /// Hands leadership over until a certain host has it.
+    /// Transfers leadership until the given host leads.
     pub(crate) fn hand_to(&mut self, number: usize) {
         for _ in 0..50 {
             let leader = self.wait_for_leader();
@@ -534,7 +536,7 @@
         panic!("host {number} never leads");
     }
 
-    /// Asks whoever leads until there is an answer that says what became of it.
+    /// Asks the current leader until there is a definite answer.
     pub(crate) fn settle(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
         for _ in 0..200 {
             let Some(leader) = self.leader() else {
@@ -551,7 +553,8 @@
         panic!("no answer to {question:?}");
     }
 
-    /// Asks the leader and runs only until its answer is there.
+    /// Asks the current leader until there is a definite answer, and runs only until each answer
+    /// arrives.
     pub(crate) fn settle_quickly(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
         loop {
             let leader = self.wait_for_leader();
@@ -564,7 +567,7 @@
         }
     }
 
-    /// A host that leads in the highest term that is led.
+    /// Returns the host that leads in the highest term, if any.
     pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |number: &usize| self.is_up(*number) && self.driver(*number).node().is_leader();
         (0..self.hosts.len()).filter(leads).max_by_key(|number| self.driver(*number).node().term())
--- a/crates/pulleyd/tests/replica/fake_disk.rs
+++ b/crates/pulleyd/tests/replica/fake_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets what was not synced.
+//! An in-memory disk that loses unsynced data in a crash.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -26,11 +26,11 @@
     syncs: u64,
 }
 
-/// A folder in memory.
+/// An in-memory folder.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeDisk(Arc<Mutex<DiskState>>);
 
-/// A file of it.
+/// A file in the folder.
 #[derive(Debug)]
 pub(crate) struct FakeFile {
     disk: FakeDisk,
@@ -42,15 +42,15 @@
         act(&mut self.0.lock().expect("no test thread panicked while holding it"))
     }
 
-    /// Makes an empty disk.
+    /// Creates an empty disk.
     pub(crate) fn new(id: u64) -> Self {
         let disk = Self::default();
         disk.with(|state| state.id = id);
         disk
     }
 
-    /// Loses what was not synced: of each file's unsynced bytes a part may remain, damaged or not,
-    /// and names may be as before or after the last change.
+    /// Loses unsynced data. A part of each file's unsynced bytes may remain, damaged or not, and
+    /// file names may be as before or after the last change.
     pub(crate) fn crash(&self, random: &mut StdRng) {
         self.with(|state| {
             for file in state.files.values_mut() {
@@ -81,7 +81,7 @@
         self.with(|state| state.fail_appends = fail);
     }
 
-    /// How many syncs of files there were.
+    /// Returns the number of file syncs.
     pub(crate) fn syncs(&self) -> u64 {
         self.with(|state| state.syncs)
     }
--- a/crates/pulleyd/tests/replica/given_version_tests.rs
+++ b/crates/pulleyd/tests/replica/given_version_tests.rs
@@ -1,4 +1,4 @@
-//! Versions that operators give: the highest wins.
+//! Versions given by operators: the highest one wins.
 
 use std::time::Duration;
 
@@ -29,8 +29,9 @@
     answer(ChangeAnswer::Accepted { version: ConfigVersion(version) })
 }
 
-// Two operators send changes in uneven steps, and an older one arrives after a newer. The newer
-// must stay in force, and the older one's operator must not be told that it was refused.
+// Two operators send changes with uneven version steps, and an older one arrives after a newer one.
+// The newer one must stay in force, and the older one's operator must not be told that it was
+// refused.
 #[test]
 fn a_lower_version_is_done_with_and_changes_nothing() {
     let mut cluster = FakeCluster::new(3, 1);
@@ -39,7 +40,8 @@
     assert_eq!(cluster.settle(&given("b", 12, "twelve")), accepted(12));
     let late = cluster.settle(&given("c", 9, "nine"));
     assert_eq!(late, answer(ChangeAnswer::Superseded { current: ConfigVersion(12) }));
-    // What was accepted once is acknowledged again, though a higher one is in force by now.
+    // A change that was accepted once is acknowledged again, although a higher version is in force
+    // by now.
     assert_eq!(cluster.settle(&given("a", 7, "seven")), accepted(7));
     cluster.run(Duration::from_secs(1));
     for number in 0..3 {
@@ -48,8 +50,8 @@
     }
 }
 
-// The same number comes with another content. Acknowledged, two operators would each believe that
-// theirs is in force; one of them must be told.
+// The same version arrives with different content. If it were acknowledged, two operators would
+// each believe that theirs is in force, so one of them must be told.
 #[test]
 fn the_same_version_with_other_content_is_refused() {
     let mut cluster = FakeCluster::new(3, 2);
@@ -62,7 +64,8 @@
     assert_eq!(cluster.driver(leader).machines().configuration.current().sheet, "seven");
 }
 
-// All processes are killed after hundreds of such changes and come back: the highest is in force.
+// All processes are killed after hundreds of such changes and restarted. The highest version must
+// be in force.
 #[test]
 fn the_highest_version_survives_restarts_of_all() {
     let mut cluster = FakeCluster::new(3, 3);
--- a/crates/pulleyd/tests/replica/growth_schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/growth_schedule_tests.rs
@@ -1,4 +1,4 @@
-//! Random schedules of failures over a replica set that grows and heals itself.
+//! Random schedules of failures on a replica set that grows and heals itself.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,26 +10,27 @@
 use super::fake_cluster::{FakeCluster, NetworkFaults};
 use super::schedule_tests::{ScheduleRun, ScheduleStep};
 
-/// How many schedules the test runs.
+/// Number of schedules run.
 const SCHEDULES: u64 = 500;
 
-/// Disks that may be lost at the same time.
+/// Number of disks that may be lost at the same time.
 const TOLERATED: usize = 2;
 
-/// Steps after which all that is only down, cut or paused comes back for a while.
+/// Number of steps after which all hosts that are only down, cut off or paused come back for a
+/// while.
 const SPELL: usize = 45;
 
-/// A cluster whose hosts lose disks or go for good while others take their places.
+/// A cluster whose hosts lose disks or are gone for good while others replace them.
 struct GrowthRun {
     run: ScheduleRun,
     /// Hosts that never come back.
     gone: BTreeSet<usize>,
-    /// Disks that are missing: no other has taken their place yet.
+    /// Lost disks that no other disk has replaced yet.
     missing: Vec<MissingDisk>,
     lost: u64,
 }
 
-/// A disk that was lost, and the host whose empty one is to take its place.
+/// A lost disk, and the host whose empty disk is to replace it.
 #[derive(Clone, Copy)]
 struct MissingDisk {
     lost: MemberId,
@@ -72,10 +73,10 @@
         self.run.cluster.introduce_all();
     }
 
-    /// Takes a disk away, with its host or without, as long as no more are missing than may be.
+    /// Loses a disk, with or without its host, unless too many are missing already.
     ///
-    /// A disk is missing until its successor's vote is committed and the lost one's is gone: before,
-    /// a third loss leaves two of five, from which no replica set can recover.
+    /// A disk is missing until its successor's vote is committed and the lost disk's vote is gone.
+    /// Before that, a third loss leaves two of five, from which no replica set can recover.
     fn lose(&mut self, host: usize) {
         let cluster = &mut self.run.cluster;
         self.missing.retain(|disk| !cluster.has_replaced(disk.lost, disk.successor));
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Lets all come back that did not lose its disk; every host that lives must then get a vote.
+    /// Restores every host that did not lose its disk. Every host that is not gone must then get a
+    /// vote.
     fn settle(&mut self, seed: u64) {
         let living = self.living();
         let cluster = &mut self.run.cluster;
@@ -114,7 +116,7 @@
         let all_vote = |cluster: &FakeCluster| living.iter().all(|host| cluster.votes_now(*host));
         let came = cluster.comes_about(Duration::from_secs(40), all_vote);
         assert!(came, "seed {seed}: not every host has a vote again:\n{}", cluster.summary());
-        // A host may be paused for three seconds still.
+        // A host may still be paused for three seconds.
         cluster.run(Duration::from_secs(6));
         for number in living {
             cluster.invariants.check_nothing_lost(cluster.driver(number));
@@ -122,10 +124,10 @@
     }
 }
 
-// Hosts with a disk are lost for good, come back empty, are cut off and return with an old view of
-// who votes, all beside crashes with half-written files. Two disks may be missing at a time. Nothing
-// that was acknowledged may be gone, there may never be two leaders in a term, and once all is
-// calm every host that lives must have a vote, or the next two losses would leave no majority.
+// Hosts with a disk are lost for good, come back empty, or are cut off and return with an outdated
+// membership, while others crash with half-written files. Two disks may be missing at a time.
+// Nothing acknowledged may be lost, and no term may have two leaders. Once the faults end, every
+// remaining host must have a vote, or the next two losses would leave no majority.
 #[test]
 fn growing_replicas_keep_their_promises_under_any_schedule() {
     let (mut accepted, mut lost) = (0, 0);
--- a/crates/pulleyd/tests/replica/growth_tests.rs
+++ b/crates/pulleyd/tests/replica/growth_tests.rs
@@ -13,7 +13,7 @@
     ReplicaAnswer::Change(ChangeAnswer::Accepted { version: ConfigVersion(version) })
 }
 
-/// Three founders, of a cluster that grows and bears the loss of two disks.
+/// Creates three founders of a cluster that grows and tolerates the loss of two disks.
 fn founders(seed: u64) -> FakeCluster {
     let settings = ReplicaSettings::default().with_growth(true).with_copies(3);
     let mut cluster = FakeCluster::with_settings(3, seed, settings);
@@ -21,7 +21,7 @@
     cluster
 }
 
-/// The founders and two that came after them, all with a vote.
+/// Creates the founders and two later hosts, all with a vote.
 fn five(seed: u64) -> FakeCluster {
     let mut cluster = founders(seed);
     cluster.add_newcomer();
@@ -30,8 +30,8 @@
     cluster
 }
 
-// An installation is started with the names of three of its five hosts with a disk. The other two
-// must hold the log as well soon after, or the loss of two disks could take what was acknowledged.
+// An installation starts with settings that name three of its five hosts with a disk. The other two
+// must hold the log soon after, or the loss of two disks could lose what was acknowledged.
 #[test]
 fn hosts_that_nobody_named_become_replicas() {
     let mut cluster = five(1);
@@ -42,8 +42,9 @@
     }
 }
 
-// Only three disks exist yet and two losses are to be borne. While one founder is down, a majority
-// of two could commit a change; were it acknowledged, the loss of those two would take it away.
+// Only three disks exist yet and two losses must be tolerated. While one founder is down, a
+// majority of two could commit a change. If it were acknowledged, the loss of those two would lose
+// it.
 #[test]
 fn nothing_is_acknowledged_on_too_few_disks() {
     let mut cluster = founders(2);
@@ -59,8 +60,8 @@
     assert_eq!(cluster.answers[&token], accepted(2));
 }
 
-// A host is gone for good and an empty one comes at another address. Right after it has taken the
-// place, two more hosts are lost: three of five are left, and nothing accepted may be gone.
+// A host is gone for good and an empty one joins at another address. Right after it has replaced
+// the lost one, two more hosts are lost. Three of five are left, and nothing accepted may be lost.
 #[test]
 fn a_lost_replica_is_replaced_and_two_more_may_be_lost() {
     let mut cluster = five(3);
@@ -79,9 +80,9 @@
     assert_eq!(cluster.settle(&change("second", 1)), accepted(2));
 }
 
-// A host is down for some seconds while another one is gone for good and its successor comes. Both
-// are silent at that moment, and one successor takes one place: with both places gone, the voters
-// would be one fewer than the disks, and the next two losses would leave no majority.
+// A host is down for some seconds while another one is gone for good and its successor joins. Both
+// are silent at that moment, and one successor must replace only one voter. If both were removed,
+// there would be one voter fewer than disks, and the next two losses would leave no majority.
 #[test]
 fn one_newcomer_takes_one_place() {
     let mut cluster = five(4);
@@ -102,9 +103,10 @@
     assert_eq!(cluster.voters().len(), 5);
 }
 
-// An operator lets replicas grow and leaves the number of copies at its default of one. One of three
-// hosts is down for some seconds and then a second one. Removed for its silence, the first would not
-// count any more, and then the second: one disk would be left to hold everything.
+// An operator lets replicas grow and leaves the number of copies at its default of one. One of
+// three hosts is down for some seconds, and then a second one. If silent voters were removed here,
+// first the one and then the other would no longer count, and one disk would be left to hold
+// everything.
 #[test]
 fn a_small_set_is_not_emptied_by_hosts_that_are_down() {
     let settings = ReplicaSettings::default().with_growth(true);
@@ -122,9 +124,9 @@
     assert_eq!(cluster.settle(&change("second", 1)), accepted(2));
 }
 
-// A host is cut off for long, a newcomer takes its place, and the host comes back with the log and
-// the membership of that time. It asked for votes for ever and nobody gave it one; after the next
-// two losses no majority was left, though three disks were whole. It must be let in again.
+// A host is cut off for long, a new host replaces it, and it returns with the log and the
+// membership of that time. It asked for votes forever and nobody granted them. After the next two
+// losses no majority was left, although three disks were intact. It must be able to rejoin.
 #[test]
 fn a_replaced_replica_that_returns_is_let_in_again() {
     let mut cluster = five(5);
@@ -145,15 +147,15 @@
     assert_eq!(cluster.voters().len(), 6);
     cluster.run(Duration::from_secs(2));
     assert_eq!(cluster.version(cut), ConfigVersion(2));
-    // It keeps its new id over a restart.
+    // It keeps its new id across a restart.
     cluster.kill(cut);
     cluster.start(cut);
     cluster.run(Duration::from_secs(3));
     assert!(cluster.votes(cut));
 }
 
-// The settings name founders on the first day only. All processes are killed and start again
-// without the names; each founder must still know which member it is, or nobody could vote.
+// The settings name founders on the first day only. All processes are killed and restarted without
+// the names. Each founder must still know its member id, or nobody could vote.
 #[test]
 fn founders_know_themselves_when_the_settings_no_longer_name_them() {
     let mut cluster = five(6);
@@ -165,8 +167,9 @@
     assert_eq!(cluster.settle(&change("second", 1)), accepted(2));
 }
 
-// The disk of the leader's host is full for some seconds. The replica says so and falls silent;
-// once there is room it opens its folder again, goes on, and has lost nothing it had acknowledged.
+// The disk of the leader's host is full for some seconds. The replica reports this and stops taking
+// part. Once there is space it reopens its folder, continues, and has lost nothing that it
+// acknowledged.
 #[test]
 fn a_full_disk_is_opened_again_once_it_has_room() {
     let mut cluster = five(7);
--- a/crates/pulleyd/tests/replica/invariants.rs
+++ b/crates/pulleyd/tests/replica/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step, whatever fails.
+//! Invariants that must hold after every step, whatever fails.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -12,7 +12,7 @@
 };
 use smol_str::SmolStr;
 
-/// Watches all hosts of a test.
+/// Checks the invariants over all hosts of a test.
 #[derive(Debug, Default)]
 pub(crate) struct Invariants {
     leaders: BTreeMap<Term, MemberId>,
@@ -21,14 +21,14 @@
     in_force: BTreeMap<usize, ConfigVersion>,
     /// The latest order for a zone in force on each host.
     zones: BTreeMap<usize, LogIndex>,
-    /// The latest order for a zone that was accepted, and what held as of it.
+    /// The latest accepted order for a zone.
     pub(crate) newest_order: LogIndex,
-    /// The same when a read of the evacuated zones began.
+    /// The latest accepted order when a read of the evacuated zones began.
     zone_reads: BTreeMap<u64, LogIndex>,
     questions: BTreeMap<u64, ReplicaQuestion>,
     /// The newest version accepted when a read began.
     reads: BTreeMap<u64, ConfigVersion>,
-    /// A change is the same one if its id and its base are.
+    /// Two changes are the same if their ids and their bases are equal.
     outcomes: BTreeMap<(ChangeId, ConfigVersion), ChangeAnswer>,
     grants: BTreeMap<SmolStr, FencingToken>,
     releases: Vec<(SmolStr, FencingToken)>,
@@ -37,7 +37,8 @@
 }
 
 impl Invariants {
-    /// A restarted host may hold different memory, but no older version may get in force on it.
+    /// Forgets what was checked on a host. A restarted host may hold different memory, but no older
+    /// version may come into force on it.
     pub(crate) fn forget_host(&mut self, number: usize) {
         self.checked.remove(&number);
     }
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Checks that a host holds all that was ever accepted.
+    /// Checks that a host holds every change that was ever accepted.
     pub(crate) fn check_nothing_lost(&self, driver: &ReplicaDriver) {
         let configuration = &driver.machines().configuration;
         let filter = pulley_core::version::AuditFilter {
--- a/crates/pulleyd/tests/replica/large_configuration_tests.rs
+++ b/crates/pulleyd/tests/replica/large_configuration_tests.rs
@@ -1,4 +1,4 @@
-//! Configurations of thousands of routes: what is accepted must get through everywhere.
+//! Configurations of thousands of routes: an accepted one must reach every replica.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// Ten times the routes that an operator has added at once.
 const MANY_ROUTES: usize = 14_000;
 
-/// A configuration as operators send it, in one line, with names that have little in common.
+/// A configuration as operators send it, on one line, with names that have little in common.
 pub(crate) struct RouteSheet {
     routes: Vec<(String, KindPlan)>,
 }
@@ -31,7 +31,7 @@
         Self { routes }
     }
 
-    /// Gives one route another weight.
+    /// Changes the weight of one route.
     fn weigh(&mut self, place: usize, weight: u32) {
         self.routes[place].1.route.weight = weight;
     }
@@ -104,7 +104,7 @@
     ReplicaAnswer::Change(ChangeAnswer::Accepted { version: ConfigVersion(version) })
 }
 
-/// Bytes of the latest change in the leader's log.
+/// Returns the size of the latest change in the leader's log, in bytes.
 fn last_change_bytes(cluster: &FakeCluster) -> usize {
     let node = cluster.driver(cluster.leader().expect("one leads")).node();
     let mut index = node.last_index();
@@ -117,7 +117,8 @@
     }
 }
 
-// A change of 14,000 routes was put into the log, fitted no frame and held up all that came after it.
+// Guards against a change that is logged but fits no frame. A change of 14,000 routes was put into
+// the log like that and blocked all later entries.
 #[test]
 fn many_routes_at_once_do_not_hold_up_the_log() {
     let mut cluster = FakeCluster::new(5, 1);
@@ -133,7 +134,8 @@
     }
 }
 
-// One weight of 14,000 routes was changed, and every replica was sent all of them.
+// Guards against logging unchanged routes: after a change of one weight in 14,000 routes, every
+// replica was sent all of them.
 #[test]
 fn one_weight_of_many_routes_is_small_in_the_log() {
     let mut cluster = FakeCluster::new(3, 2);
@@ -152,7 +154,8 @@
     }
 }
 
-// Kept against the version in force while another change was under way, it met another base.
+// A change was stored as a difference from the version in force while another change was pending.
+// It was then applied to a different base.
 #[test]
 fn a_change_right_behind_another_builds_what_was_sent() {
     let mut cluster = FakeCluster::new(3, 3);
@@ -173,8 +176,8 @@
     assert_eq!((&plan.sheet, &plan.plan), (&routes.request(5).sheet, &routes.request(5).plan));
 }
 
-// Leaders die and messages are lost while changes come in bursts: what is in force under a version
-// is what was sent under it, on every replica.
+// Leaders die and messages are lost while changes arrive in bursts. On every replica, the
+// configuration in force under a version must be the one sent under it.
 #[test]
 fn bursts_of_changes_in_bad_weather_build_what_was_sent() {
     for seed in 0..40 {
@@ -212,7 +215,7 @@
     }
 }
 
-// What is too large for a frame was put into the log; it is to be refused before.
+// A configuration too large for a frame was put into the log. It must be refused before.
 #[test]
 fn what_is_too_large_is_refused_and_never_logged() {
     let mut cluster = FakeCluster::new(3, 4);
@@ -235,7 +238,8 @@
     assert_eq!(cluster.driver(leader).node().last_index(), last);
 }
 
-// The largest that is accepted, of characters that nothing packs, must pass through all the same.
+// The largest configuration that is accepted must still fit a frame, even if its characters do not
+// compress.
 #[test]
 fn the_largest_configuration_accepted_passes_through() {
     let mut random = StdRng::seed_from_u64(5);
@@ -262,7 +266,7 @@
     }
 }
 
-/// Bytes of a question on its way to the leader.
+/// Returns the size of a question on its way to the leader, in bytes.
 fn routed(question: &ReplicaQuestion) -> usize {
     let mut router = QuestionRouter::new(host_name(0), 1);
     router.apply_replicas(vec![host_name(1)]);
@@ -270,7 +274,7 @@
     sent_bytes(&outputs)
 }
 
-/// Bytes of an answer on its way back.
+/// Returns the size of an answer on its way back, in bytes.
 fn answered(answer: &ReplicaAnswer) -> usize {
     let mut asker = QuestionRouter::new(host_name(0), 1);
     asker.apply_replicas(vec![host_name(1)]);
--- a/crates/pulleyd/tests/replica/main.rs
+++ b/crates/pulleyd/tests/replica/main.rs
@@ -1,5 +1,5 @@
-//! Replicas with their real state machines and storage, over a network and disks in memory, in
-//! virtual time.
+//! Tests replicas with their real state machines and storage, on an in-memory network and in-memory
+//! disks, in virtual time.
 
 mod audit_tests;
 mod departure_tests;
--- a/crates/pulleyd/tests/replica/schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/schedule_tests.rs
@@ -10,10 +10,10 @@
 
 use super::fake_cluster::{FakeCluster, NetworkFaults, change, sheet_of};
 
-/// How many schedules each test runs.
+/// Number of schedules that each test runs.
 const SCHEDULES: u64 = 700;
 
-/// One thing that happens in a schedule.
+/// One step of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ScheduleStep {
     Change { host: usize, id: u16, expect: u64 },
@@ -66,7 +66,7 @@
 }
 
 impl ScheduleStep {
-    /// The same step at other hosts.
+    /// Returns the same step at other hosts.
     pub(crate) fn with_hosts(mut self, pick: impl Fn(usize) -> usize) -> Self {
         match &mut self {
             Self::Change { host, .. }
@@ -90,7 +90,7 @@
     }
 }
 
-/// What a schedule remembers between its steps.
+/// The state of a schedule between its steps.
 pub(crate) struct ScheduleRun {
     pub(crate) cluster: FakeCluster,
     claims: Vec<(u64, u8)>,
@@ -102,7 +102,7 @@
         let ledger = LedgerLimits { capacity: 4, ..LedgerLimits::default() };
         let settings = ReplicaSettings::default().with_ledger(ledger).with_snapshot_weight(2_000);
         let cluster = FakeCluster::in_bad_weather(size, seed, settings);
-        // As many disks may be lost as the cluster can do without.
+        // At most as many disks may be lost as the cluster can do without.
         Self { disks_to_lose: (size - 1) / 2, ..Self::of(cluster) }
     }
 
@@ -121,7 +121,7 @@
         match step {
             ScheduleStep::Change { host, id, expect } => {
                 let newest = cluster.invariants.accepted.keys().max().map_or(0, |last| last.0);
-                // Near the newest version, so that some changes win and some lose.
+                // Close to the newest version, so that some changes win and some lose.
                 let expect = (newest + 1).saturating_sub(expect % 3);
                 self.ask(host % size, change(&format!("change-{id}-{expect}"), expect));
             }
@@ -176,7 +176,7 @@
     }
 
     fn ask(&mut self, host: usize, question: ReplicaQuestion) -> Option<u64> {
-        // Hosts forward to the leader they know of; an outdated one is asked now and then.
+        // Hosts forward to the leader they know; an outdated one is asked now and then.
         let host = match self.cluster.leader() {
             Some(leader) if self.cluster.random.random_bool(0.8) => leader,
             _ => host,
@@ -201,7 +201,7 @@
         self.ask(host, question);
     }
 
-    /// Heals everything; all hosts must then agree and hold all that was accepted.
+    /// Ends all faults. All hosts must then agree and hold everything that was accepted.
     fn finish(mut self) -> FakeCluster {
         let cluster = &mut self.cluster;
         cluster.heal();
@@ -245,9 +245,9 @@
     (accepted, granted)
 }
 
-// Hosts crash with half-written files, links lose, double, delay and reorder messages or pass them
-// in one direction only, while operators race and resend. Whatever the order, no operator and no
-// caller may see a change undone, a key granted twice or a version go down.
+// Hosts crash with half-written files, and links lose, duplicate, delay and reorder messages or
+// pass them in one direction only, while operators race and resend. Whatever the order, no operator
+// and no caller may see a change undone, a key granted twice or a version go down.
 #[test]
 fn three_replicas_keep_their_promises_under_any_schedule() {
     let (accepted, granted) = run_schedules(3, 10_000);
--- a/crates/pulleyd/tests/replica/storage_tests.rs
+++ b/crates/pulleyd/tests/replica/storage_tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A folder with entries 1 to 9, written in three groups.
+/// Creates a folder with entries 1 to 9, written in three groups.
 fn filled_disk() -> FakeDisk {
     let disk = FakeDisk::default();
     let (mut storage, _) =
@@ -46,8 +46,8 @@
     disk
 }
 
-// Power is lost in the middle of a write, so the last record is cut short or holds garbage. Nobody
-// was told of it: the replica cuts it off, starts, and goes on writing behind what is whole.
+// Power is lost during a write, so the last record is cut short or holds garbage. It was never
+// acknowledged: the replica truncates it, starts, and continues after the last intact record.
 #[test]
 fn a_torn_tail_is_cut_off() {
     for seed in 0..200 {
@@ -69,13 +69,13 @@
     }
 }
 
-// A sector of the disk goes bad in entries that were synced and acknowledged long ago. Cutting the
-// log there would silently lose accepted changes, so the replica refuses to start and names the
-// place; the operator replaces the disk and the host joins as a new member.
+// A sector of the disk fails in entries that were synced and acknowledged long ago. Truncating the
+// log there would silently lose accepted changes. The replica must refuse to start and name the
+// place, so that the operator replaces the disk and the host joins as a new member.
 #[test]
 fn damage_in_the_middle_is_refused_with_file_and_offset() {
     let length = filled_disk().read(SEGMENT).expect("reads").expect("is there").len();
-    // All but the last group: behind it nothing shows whether it was ever synced.
+    // All but the last group, because nothing after that group shows whether it was ever synced.
     for at in 0..length * 2 / 3 {
         let disk = filled_disk();
         disk.damage(SEGMENT, isize::try_from(at).expect("small"));
@@ -86,8 +86,8 @@
     }
 }
 
-// After a failed sync the kernel may have dropped the pages, and the next sync reports success.
-// A storage that tried again would acknowledge entries that are nowhere.
+// After a failed sync the kernel may have dropped the pages, and the next sync reports success. A
+// storage that retried would acknowledge entries that are on no disk.
 #[test]
 fn a_failed_sync_is_never_retried() {
     let disk = filled_disk();
@@ -102,7 +102,7 @@
 }
 
 // An operator starts a second process on the same data folder, or points a host at another host's
-// folder. Two writers, or one voter with two votes, would break the log.
+// folder. Two writers, or one voter with two votes, would corrupt the log.
 #[test]
 fn a_folder_serves_one_process_and_one_replica() {
     let folder = tempfile::tempdir().expect("a temporary folder");
@@ -135,8 +135,8 @@
     assert_eq!(recovered.entries.len(), 5);
 }
 
-// Many questions arrive while the disk is busy. One sync must carry them all, or claims would come
-// no faster than the disk turns.
+// Many questions arrive while the disk is busy. One sync must cover them all, otherwise the rate of
+// claims would be limited to one per sync.
 #[test]
 fn waiting_batches_share_a_sync() {
     let disk = FakeDisk::default();
