--- a/crates/pulley_core/src/version/replica/cluster_founding.rs
+++ b/crates/pulley_core/src/version/replica/cluster_founding.rs
@@ -18,7 +18,7 @@
 
 /// A founder's last hello.
 #[derive(Debug)]
-struct FounderWord {
+struct FounderHello {
     disk: DiskId,
     promise: Option<ReplicaMembership>,
     heard: Moment,
@@ -26,7 +26,7 @@
 
 /// How a replica starts once its founding write is on disk.
 #[derive(Debug)]
-struct FoundingEnd {
+struct PendingStart {
     ticket: PersistTicket,
     member: MemberId,
     state: RecoveredState,
@@ -53,14 +53,14 @@
     identity: ReplicaIdentity,
     founders: Vec<(HostId, MemberId)>,
     disk: DiskId,
-    words: BTreeMap<MemberId, FounderWord>,
+    hellos: BTreeMap<MemberId, FounderHello>,
     promise: Option<ReplicaMembership>,
     promise_write: Option<(PersistTicket, ReplicaMembership)>,
-    end: Option<FoundingEnd>,
+    pending_start: Option<PendingStart>,
     /// Hosts that may know of a cluster, besides the founders.
     replicas: Vec<HostId>,
     /// The host to ask for a new id, once it is known that the cluster exists without this disk.
-    join_at: Option<HostId>,
+    join_host: Option<HostId>,
     next_hello: Moment,
     last_ticket: PersistTicket,
     effects: FoundingEffects,
@@ -85,12 +85,12 @@
             identity,
             founders,
             disk: recovered.disk,
-            words: BTreeMap::new(),
+            hellos: BTreeMap::new(),
             promise: recovered.promise.clone(),
             promise_write: None,
-            end: None,
+            pending_start: None,
             replicas: Vec::new(),
-            join_at: None,
+            join_host: None,
             next_hello: now,
             last_ticket: PersistTicket::default(),
             effects: FoundingEffects::default(),
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn leader(&self) -> Option<&HostId> {
-        self.join_at.as_ref()
+        self.join_host.as_ref()
     }
 
     pub(crate) fn apply_replicas(&mut self, replicas: &[HostId]) {
@@ -121,8 +121,8 @@
             return;
         }
         self.next_hello = now + HELLO_INTERVAL;
-        self.say_hello();
-        if let Some(leader) = self.join_at.clone() {
+        self.send_hellos();
+        if let Some(leader) = self.join_host.clone() {
             let message = FoundingMessage::Join { disk: self.disk };
             self.effects.sends.push((leader, message));
         }
@@ -135,25 +135,25 @@
                 self.on_hello(now, from, member, disk, promise);
             }
             FoundingMessage::Founded { members, leader } => self.on_founded(&members, leader),
-            FoundingMessage::Joined { member } => self.begin_as_learner(member),
+            FoundingMessage::Joined { member } => self.start_as_learner(member),
             FoundingMessage::Join { .. } => {}
         }
     }
 
     pub(crate) fn persisted(&mut self, now: Moment, ticket: PersistTicket) {
-        if let Some((of, promise)) = self.promise_write.take() {
-            if of == ticket {
+        if let Some((expected, promise)) = self.promise_write.take() {
+            if expected == ticket {
                 self.promise = Some(promise);
-                self.say_hello();
+                self.send_hellos();
                 self.advance(now);
             } else {
-                self.promise_write = Some((of, promise));
+                self.promise_write = Some((expected, promise));
             }
         }
-        if self.end.as_ref().is_some_and(|end| end.ticket == ticket)
-            && let Some(end) = self.end.take()
+        if self.pending_start.as_ref().is_some_and(|pending_start| pending_start.ticket == ticket)
+            && let Some(pending_start) = self.pending_start.take()
         {
-            self.effects.start = Some((end.member, end.state));
+            self.effects.start = Some((pending_start.member, pending_start.state));
         }
     }
 
@@ -172,9 +172,9 @@
         if !is_founder || member == self.identity.member {
             return;
         }
-        let word = FounderWord { disk, promise, heard: now };
-        if self.words.insert(member, word).is_none() {
-            self.say_hello();
+        let hello = FounderHello { disk, promise, heard: now };
+        if self.hellos.insert(member, hello).is_none() {
+            self.send_hellos();
         }
         self.advance(now);
     }
@@ -182,12 +182,12 @@
     fn on_founded(&mut self, members: &ReplicaMembership, leader: Option<HostId>) {
         let own = members.find_host(&self.identity.host);
         let Some(own) = own.filter(|own| own.disk == Some(self.disk)) else {
-            self.join_at = leader.or(self.join_at.take());
+            self.join_host = leader.or(self.join_host.take());
             return;
         };
         match self.promise.clone() {
-            Some(promise) if own.member == self.identity.member => self.begin_as_founder(&promise),
-            _ => self.begin_as_learner(own.member),
+            Some(promise) if own.member == self.identity.member => self.start_as_founder(&promise),
+            _ => self.start_as_learner(own.member),
         }
     }
 
@@ -197,12 +197,12 @@
             .founders
             .iter()
             .any(|(host, member)| *host == self.identity.host && *member == self.identity.member);
-        if !is_founder || self.join_at.is_some() {
+        if !is_founder || self.join_host.is_some() {
             return;
         }
         match self.promise.clone() {
             None => self.make_promise(now),
-            Some(promise) if self.all_promised(&promise) => self.begin_as_founder(&promise),
+            Some(promise) if self.all_promised(&promise) => self.start_as_founder(&promise),
             Some(_) => {}
         }
     }
@@ -225,18 +225,21 @@
         if member.member == self.identity.member {
             return Some(self.disk);
         }
-        let word = self.words.get(&member.member)?;
-        (now.since(word.heard) <= HELLO_LIFETIME).then_some(word.disk)
+        let hello = self.hellos.get(&member.member)?;
+        (now.since(hello.heard) <= HELLO_LIFETIME).then_some(hello.disk)
     }
 
     fn all_promised(&self, promise: &ReplicaMembership) -> bool {
         self.founders.iter().all(|(_, member)| {
             *member == self.identity.member
-                || self.words.get(member).is_some_and(|word| word.promise.as_ref() == Some(promise))
+                || self
+                    .hellos
+                    .get(member)
+                    .is_some_and(|hello| hello.promise.as_ref() == Some(promise))
         })
     }
 
-    fn begin_as_founder(&mut self, founders: &ReplicaMembership) {
+    fn start_as_founder(&mut self, founders: &ReplicaMembership) {
         let place = SnapshotPlace { members: founders.clone(), ..SnapshotPlace::default() };
         let Ok(snapshot) = ReplicaMachines::default().snapshot(place) else { return };
         // Its id is written too, because the settings may no longer name it at the next start.
@@ -246,20 +249,20 @@
             ..PersistBatch::default()
         };
         let state = RecoveredState { snapshot: Some(snapshot), ..RecoveredState::default() };
-        self.begin(self.identity.member, batch, state);
+        self.prepare_start(self.identity.member, batch, state);
     }
 
-    fn begin_as_learner(&mut self, member: MemberId) {
+    fn start_as_learner(&mut self, member: MemberId) {
         let batch = PersistBatch { member: Some(member), ..PersistBatch::default() };
-        self.begin(member, batch, RecoveredState::default());
+        self.prepare_start(member, batch, RecoveredState::default());
     }
 
-    fn begin(&mut self, member: MemberId, batch: PersistBatch, state: RecoveredState) {
-        if self.end.is_some() {
+    fn prepare_start(&mut self, member: MemberId, batch: PersistBatch, state: RecoveredState) {
+        if self.pending_start.is_some() {
             return;
         }
         let ticket = self.write(batch);
-        self.end = Some(FoundingEnd { ticket, member, state });
+        self.pending_start = Some(PendingStart { ticket, member, state });
     }
 
     fn write(&mut self, mut batch: PersistBatch) -> PersistTicket {
@@ -269,7 +272,7 @@
         self.last_ticket
     }
 
-    fn say_hello(&mut self) {
+    fn send_hellos(&mut self) {
         let hello = FoundingMessage::Hello {
             member: self.identity.member,
             disk: self.disk,
--- a/crates/pulley_core/src/version/replica/driver_founding.rs
+++ b/crates/pulley_core/src/version/replica/driver_founding.rs
@@ -16,9 +16,9 @@
 
 /// An attempt of a removed replica to get a new id.
 #[derive(Clone, Debug)]
-pub(crate) struct RejoinQuest {
+pub(crate) struct RejoinAttempt {
     pub(crate) leader: Option<HostId>,
-    pub(crate) ask_at: Moment,
+    pub(crate) next_request_at: Moment,
 }
 
 /// Maximum number of members of a cluster that grows automatically. Each further member costs the
@@ -32,7 +32,7 @@
         if let Some(founding) = &mut self.founding {
             founding.tick(now);
         }
-        self.settle_founding(now);
+        self.process_founding_effects(now);
     }
 
     pub(crate) fn persisted_founding(&mut self, now: Moment, ticket: PersistTicket, ok: bool) {
@@ -44,7 +44,7 @@
         if let Some(founding) = &mut self.founding {
             founding.persisted(now, ticket);
         }
-        self.settle_founding(now);
+        self.process_founding_effects(now);
     }
 
     pub(crate) fn receive_founding(
@@ -55,12 +55,12 @@
     ) {
         if let Some(founding) = &mut self.founding {
             founding.receive(now, from, message);
-            self.settle_founding(now);
+            self.process_founding_effects(now);
             return;
         }
         match message {
-            FoundingMessage::Hello { .. } => self.tell_founded(from),
-            FoundingMessage::Join { disk } => self.let_join(now, from, disk),
+            FoundingMessage::Hello { .. } => self.send_founded(from),
+            FoundingMessage::Join { disk } => self.admit_host(now, from, disk),
             FoundingMessage::Founded { members, leader } => {
                 self.on_removed(now, &members, leader);
             }
@@ -89,15 +89,16 @@
             return;
         }
         let known = self.rejoin.take().and_then(|rejoin| rejoin.leader);
-        self.rejoin = Some(RejoinQuest { leader: leader.or(known), ask_at: now });
+        self.rejoin = Some(RejoinAttempt { leader: leader.or(known), next_request_at: now });
     }
 
     /// Asks the leader for a new id while this replica is not a member.
-    pub(crate) fn ask_to_rejoin(&mut self, now: Moment) {
-        let Some(rejoin) = self.rejoin.as_mut().filter(|rejoin| rejoin.ask_at <= now) else {
+    pub(crate) fn request_rejoin(&mut self, now: Moment) {
+        let Some(rejoin) = self.rejoin.as_mut().filter(|rejoin| rejoin.next_request_at <= now)
+        else {
             return;
         };
-        rejoin.ask_at = now + REJOIN_INTERVAL;
+        rejoin.next_request_at = now + REJOIN_INTERVAL;
         let Some(leader) = rejoin.leader.clone() else { return };
         self.send_founding(leader, FoundingMessage::Join { disk: self.disk });
     }
@@ -105,11 +106,11 @@
     fn rejoin_as(&mut self, member: MemberId) {
         if self.rejoin.take().is_some() && member > self.identity.member {
             self.identity.member = member;
-            self.node.rename(member);
+            self.node.set_member_id(member);
         }
     }
 
-    fn settle_founding(&mut self, now: Moment) {
+    fn process_founding_effects(&mut self, now: Moment) {
         let Some(founding) = &mut self.founding else { return };
         let effects = founding.take_effects();
         for (to, message) in effects.sends {
@@ -119,11 +120,11 @@
             self.outputs.push(DriverOutput::Persist { ticket: batch.ticket, batch });
         }
         if let Some((member, state)) = effects.start {
-            self.begin(now, member, &state);
+            self.start_node(now, member, &state);
         }
     }
 
-    fn begin(&mut self, now: Moment, member: MemberId, state: &RecoveredState) {
+    fn start_node(&mut self, now: Moment, member: MemberId, state: &RecoveredState) {
         self.founding = None;
         self.identity.member = member;
         let settings = self.node_settings();
@@ -135,7 +136,7 @@
     /// The host takes its id from this message, so only committed members may be sent. An
     /// uncommitted entry that assigned an id could still be replaced, and the id be given to
     /// another disk.
-    pub(crate) fn tell_founded(&mut self, to: &HostId) {
+    pub(crate) fn send_founded(&mut self, to: &HostId) {
         let members = self.node.committed_members().clone();
         if members.members.is_empty() || self.node.failure().is_some() {
             return;
@@ -145,12 +146,12 @@
     }
 
     /// Gives a host with an empty disk a new member id, if it may hold the log.
-    fn let_join(&mut self, now: Moment, from: &HostId, disk: DiskId) {
+    fn admit_host(&mut self, now: Moment, from: &HostId, disk: DiskId) {
         if !self.node.may_change_members() {
             return;
         }
         let Some(known) = self.node.members().find_host(from).cloned() else {
-            self.let_newcomer_join(now, from, disk);
+            self.admit_new_host(now, from, disk);
             return;
         };
         if known.disk == Some(disk) {
@@ -158,7 +159,7 @@
             self.send_founding(from.clone(), message);
             return;
         }
-        if let Some(command) = self.plan_join(now, &known, disk) {
+        if let Some(command) = self.join_command(now, &known, disk) {
             let _ = self.node.propose_members(now, command);
         }
     }
@@ -167,8 +168,8 @@
     ///
     /// Only one at a time: with several learners a leader could lose its majority between two
     /// changes, and a learner that has failed would keep all others out.
-    fn let_newcomer_join(&mut self, now: Moment, from: &HostId, disk: DiskId) {
-        if !self.settings.grows || self.awaits_learner() {
+    fn admit_new_host(&mut self, now: Moment, from: &HostId, disk: DiskId) {
+        if !self.settings.grows || self.has_pending_learner() {
             return;
         }
         let members = self.node.members();
@@ -183,12 +184,12 @@
     }
 
     /// Whether a learner is catching up to become a voter; a silent one does not count.
-    fn awaits_learner(&self) -> bool {
+    fn has_pending_learner(&self) -> bool {
         let mut members = self.node.members().members.iter();
         members.any(|member| !member.voter && !self.node.is_silent(member.member))
     }
 
-    fn plan_join(&self, now: Moment, known: &ReplicaMember, disk: DiskId) -> Option<LogCommand> {
+    fn join_command(&self, now: Moment, known: &ReplicaMember, disk: DiskId) -> Option<LogCommand> {
         let members = self.node.members();
         if known.disk.is_none() {
             let what = format!("disk {disk} of {} {}", known.member, known.host);
@@ -202,7 +203,7 @@
         }
         // Otherwise two hosts that lost their disks would leave three voters of five, of which two
         // could decide. If they are replaced one after the other, a majority stays three.
-        if self.settings.grows && self.awaits_learner() {
+        if self.settings.grows && self.has_pending_learner() {
             return None;
         }
         let (next, member) = members.without(known.member).with_learner(&known.host, Some(disk));
--- a/crates/pulley_core/src/version/replica/driver_question.rs
+++ b/crates/pulley_core/src/version/replica/driver_question.rs
@@ -62,7 +62,7 @@
             }
             ReplicaQuestion::Record { key, token: claim, answer } => {
                 let key = KeyDigest::of(&key);
-                let answer = answer.map(|answer| self.trimmed(answer));
+                let answer = answer.map(|answer| self.without_large_body(answer));
                 let budget = self.settings.ledger.answer_budget;
                 let command = LedgerCommand::Record { key, token: claim, answer, budget };
                 self.append_ledger(now, token, command);
@@ -119,7 +119,7 @@
             return;
         }
         let current = self.machines.configuration.current();
-        let change = match self.node.holds_untaken_change() {
+        let change = match self.node.holds_unapplied_change() {
             false => StoredChange::new(request, current),
             true => StoredChange::behind_others(request, current),
         };
@@ -179,7 +179,7 @@
             .ok_or(ReplicaRefusal::ChangeUnderWay)
     }
 
-    fn trimmed(&self, mut answer: RecordedAnswer) -> RecordedAnswer {
+    fn without_large_body(&self, mut answer: RecordedAnswer) -> RecordedAnswer {
         let limit = self.settings.ledger.answer_limit as usize;
         if answer.body.as_ref().is_some_and(|body| body.len() > limit) {
             answer.body = None;
--- a/crates/pulley_core/src/version/replica/follower_progress.rs
+++ b/crates/pulley_core/src/version/replica/follower_progress.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of unanswered messages with entries. Further entries wait and are then sent
 /// together, so that a slow follower gets few large messages instead of a queue of small ones.
-const WINDOW: usize = 4;
+const IN_FLIGHT_LIMIT: usize = 4;
 
 /// How entries are sent to a follower.
 #[derive(Debug)]
@@ -35,59 +35,59 @@
 #[derive(Debug)]
 pub(crate) struct FollowerProgress {
     /// The next entry to send.
-    pub(crate) next: LogIndex,
+    pub(crate) next_index: LogIndex,
     /// The last entry known to be on the follower's disk and to match the leader's.
-    pub(crate) matched: LogIndex,
+    pub(crate) match_index: LogIndex,
     /// How entries are sent to it.
     pub(crate) state: ProgressState,
     /// When it last replied.
-    pub(crate) heard: Moment,
+    pub(crate) last_reply: Moment,
     /// The latest round it has replied to.
     pub(crate) round: u64,
 }
 
 impl FollowerProgress {
-    pub(crate) fn new(next: LogIndex, now: Moment) -> Self {
+    pub(crate) fn new(next_index: LogIndex, now: Moment) -> Self {
         let state = ProgressState::Probing { waiting: false };
-        Self { next, matched: LogIndex(0), state, heard: now, round: 0 }
+        Self { next_index, match_index: LogIndex(0), state, last_reply: now, round: 0 }
     }
 
     pub(crate) fn has_room(&self) -> bool {
         match &self.state {
             ProgressState::Probing { waiting } => !waiting,
-            ProgressState::Replicating { in_flight } => *in_flight < WINDOW,
+            ProgressState::Replicating { in_flight } => *in_flight < IN_FLIGHT_LIMIT,
             ProgressState::Snapshot { .. } => false,
         }
     }
 
-    pub(crate) fn note_sent(&mut self, next: LogIndex) {
+    pub(crate) fn record_sent(&mut self, next_index: LogIndex) {
         match &mut self.state {
             // `next_index` stays, because it is unknown whether the follower accepts the entries.
             ProgressState::Probing { waiting } => *waiting = true,
             ProgressState::Replicating { in_flight } => {
                 *in_flight += 1;
-                self.next = next;
+                self.next_index = next_index;
             }
             ProgressState::Snapshot { .. } => {}
         }
     }
 
-    pub(crate) fn note_heard(&mut self, now: Moment, round: u64) {
-        self.heard = self.heard.max(now);
+    pub(crate) fn record_reply(&mut self, now: Moment, round: u64) {
+        self.last_reply = self.last_reply.max(now);
         self.round = self.round.max(round);
     }
 
-    pub(crate) fn note_stored(&mut self, upto: LogIndex) {
-        self.matched = self.matched.max(upto);
+    pub(crate) fn record_stored(&mut self, upto: LogIndex) {
+        self.match_index = self.match_index.max(upto);
         match &mut self.state {
             ProgressState::Probing { .. } => {
-                self.next = self.matched.next();
+                self.next_index = self.match_index.next();
                 self.state = ProgressState::Replicating { in_flight: 0 };
             }
             ProgressState::Replicating { in_flight } => {
                 *in_flight = in_flight.saturating_sub(1);
-                self.next = self.next.max(self.matched.next());
-                if self.matched.next() == self.next {
+                self.next_index = self.next_index.max(self.match_index.next());
+                if self.match_index.next() == self.next_index {
                     *in_flight = 0;
                 }
             }
@@ -95,17 +95,17 @@
         }
     }
 
-    pub(crate) fn note_missing(&mut self, prev: LogIndex, hint: LogIndex) {
+    pub(crate) fn record_mismatch(&mut self, prev: LogIndex, hint: LogIndex) {
         // A late reply about an index that is already known to match carries no information.
-        if prev <= self.matched || matches!(self.state, ProgressState::Snapshot { .. }) {
+        if prev <= self.match_index || matches!(self.state, ProgressState::Snapshot { .. }) {
             return;
         }
-        self.next = hint.min(prev.previous()).max(self.matched).next();
+        self.next_index = hint.min(prev.previous()).max(self.match_index).next();
         self.state = ProgressState::Probing { waiting: false };
     }
 
     /// Sets the snapshot to send, if the follower waits for one. Returns whether it does.
-    pub(crate) fn take_snapshot(&mut self, offered: &Arc<ReplicaSnapshot>) -> bool {
+    pub(crate) fn set_snapshot(&mut self, offered: &Arc<ReplicaSnapshot>) -> bool {
         match &mut self.state {
             ProgressState::Snapshot { snapshot, offset } if snapshot.is_none() => {
                 *snapshot = Some(offered.clone());
@@ -117,12 +117,12 @@
     }
 
     /// Records how much of a snapshot has arrived. Returns whether more is to be sent now.
-    pub(crate) fn note_received(&mut self, reply: &SnapshotReply) -> bool {
+    pub(crate) fn record_snapshot_reply(&mut self, reply: &SnapshotReply) -> bool {
         if reply.installed {
-            self.matched = self.matched.max(reply.index);
-            self.next = self.next.max(self.matched.next());
+            self.match_index = self.match_index.max(reply.index);
+            self.next_index = self.next_index.max(self.match_index.next());
             if matches!(self.state, ProgressState::Snapshot { .. }) {
-                self.next = self.matched.next();
+                self.next_index = self.match_index.next();
                 self.state = ProgressState::Replicating { in_flight: 0 };
             }
             return false;
--- a/crates/pulley_core/src/version/replica/mod.rs
+++ b/crates/pulley_core/src/version/replica/mod.rs
@@ -20,8 +20,8 @@
 mod replica_message;
 mod replica_node;
 mod replica_question;
-mod replica_sending;
 mod replica_settings;
+mod snapshot_sending;
 
 pub use driver_message::{DriverInput, DriverOutput, ReplicaStatus};
 pub use founding_message::{FoundingMessage, PeerMessage};
--- a/crates/pulley_core/src/version/replica/persist_gate.rs
+++ b/crates/pulley_core/src/version/replica/persist_gate.rs
@@ -11,18 +11,18 @@
 
 /// Maximum number of writes in progress. While two are in progress, further entries collect in the
 /// next batch, so that under load one sync carries many entries and the storage queue stays short.
-const FLIGHT_LIMIT: usize = 2;
+const PENDING_WRITE_LIMIT: usize = 2;
 
 /// A message that waits for a write.
 pub(crate) type HeldMessage = (MemberId, ReplicaMessage);
 
 /// A write that has not completed.
 #[derive(Debug)]
-struct WriteFlight {
+struct PendingWrite {
     ticket: PersistTicket,
     last: (LogIndex, Term),
     has_vote: bool,
-    begun: Moment,
+    started: Moment,
     held: Vec<HeldMessage>,
 }
 
@@ -34,58 +34,58 @@
 #[derive(Debug, Default)]
 pub(crate) struct PersistGate {
     last_ticket: PersistTicket,
-    building: PersistBatch,
-    building_held: Vec<HeldMessage>,
-    flights: VecDeque<WriteFlight>,
+    next_batch: PersistBatch,
+    next_held: Vec<HeldMessage>,
+    pending_writes: VecDeque<PendingWrite>,
 }
 
 impl PersistGate {
-    pub(crate) fn note_vote(&mut self, vote: VoteRecord) {
-        self.building.vote = Some(vote);
+    pub(crate) fn queue_vote(&mut self, vote: VoteRecord) {
+        self.next_batch.vote = Some(vote);
     }
 
-    pub(crate) fn note_member(&mut self, member: MemberId) {
-        self.building.member = Some(member);
+    pub(crate) fn queue_member(&mut self, member: MemberId) {
+        self.next_batch.member = Some(member);
     }
 
-    pub(crate) fn note_entry(&mut self, entry: Arc<LogEntry>) {
-        self.building.entries.push(entry);
+    pub(crate) fn queue_entry(&mut self, entry: Arc<LogEntry>) {
+        self.next_batch.entries.push(entry);
     }
 
-    pub(crate) fn note_cut(&mut self, index: LogIndex) {
-        self.building.entries.retain(|entry| entry.index < index);
-        let cut = self.building.cut_from.map_or(index, |earlier| earlier.min(index));
-        self.building.cut_from = Some(cut);
+    pub(crate) fn queue_truncation(&mut self, index: LogIndex) {
+        self.next_batch.entries.retain(|entry| entry.index < index);
+        let truncation = self.next_batch.cut_from.map_or(index, |earlier| earlier.min(index));
+        self.next_batch.cut_from = Some(truncation);
     }
 
-    pub(crate) fn note_chunk(&mut self, chunk: Arc<AuditChunk>) {
-        self.building.audit.push(chunk);
+    pub(crate) fn queue_chunk(&mut self, chunk: Arc<AuditChunk>) {
+        self.next_batch.audit.push(chunk);
     }
 
-    pub(crate) fn note_snapshot(&mut self, snapshot: Arc<ReplicaSnapshot>) {
-        self.building.snapshot = Some(snapshot);
+    pub(crate) fn queue_snapshot(&mut self, snapshot: Arc<ReplicaSnapshot>) {
+        self.next_batch.snapshot = Some(snapshot);
     }
 
     /// Holds a message until everything queued so far is written. Returns it at once if nothing is
     /// pending.
     pub(crate) fn hold(&mut self, message: HeldMessage) -> Option<HeldMessage> {
-        if !self.building.is_empty() {
-            self.building_held.push(message);
+        if !self.next_batch.is_empty() {
+            self.next_held.push(message);
             return None;
         }
-        let Some(flight) = self.flights.back_mut() else { return Some(message) };
-        flight.held.push(message);
+        let Some(write) = self.pending_writes.back_mut() else { return Some(message) };
+        write.held.push(message);
         None
     }
 
     /// Whether a vote or a new term is not on disk yet.
-    pub(crate) fn vote_pending(&self) -> bool {
-        self.building.vote.is_some() || self.flights.iter().any(|flight| flight.has_vote)
+    pub(crate) fn has_pending_vote(&self) -> bool {
+        self.next_batch.vote.is_some() || self.pending_writes.iter().any(|write| write.has_vote)
     }
 
     /// Returns when the oldest incomplete write was started.
-    pub(crate) fn oldest_write(&self) -> Option<Moment> {
-        self.flights.front().map(|flight| flight.begun)
+    pub(crate) fn oldest_write_started(&self) -> Option<Moment> {
+        self.pending_writes.front().map(|write| write.started)
     }
 
     /// Returns the next write, if there is anything to write and fewer than the maximum are in
@@ -95,18 +95,18 @@
         now: Moment,
         last: (LogIndex, Term),
     ) -> Option<PersistBatch> {
-        if self.building.is_empty() || self.flights.len() >= FLIGHT_LIMIT {
+        if self.next_batch.is_empty() || self.pending_writes.len() >= PENDING_WRITE_LIMIT {
             return None;
         }
         self.last_ticket = self.last_ticket.next();
-        let mut batch = std::mem::take(&mut self.building);
+        let mut batch = std::mem::take(&mut self.next_batch);
         batch.ticket = self.last_ticket;
-        self.flights.push_back(WriteFlight {
+        self.pending_writes.push_back(PendingWrite {
             ticket: batch.ticket,
             last,
             has_vote: batch.vote.is_some(),
-            begun: now,
-            held: std::mem::take(&mut self.building_held),
+            started: now,
+            held: std::mem::take(&mut self.next_held),
         });
         Some(batch)
     }
@@ -118,12 +118,12 @@
         ticket: PersistTicket,
     ) -> (Option<(LogIndex, Term)>, Vec<HeldMessage>) {
         let mut last = None;
-        let mut free = Vec::new();
-        while self.flights.front().is_some_and(|flight| flight.ticket <= ticket) {
-            let Some(flight) = self.flights.pop_front() else { break };
-            last = Some(flight.last);
-            free.extend(flight.held);
+        let mut released = Vec::new();
+        while self.pending_writes.front().is_some_and(|write| write.ticket <= ticket) {
+            let Some(write) = self.pending_writes.pop_front() else { break };
+            last = Some(write.last);
+            released.extend(write.held);
         }
-        (last, free)
+        (last, released)
     }
 }
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -8,7 +8,7 @@
 
 use super::AuditArchive;
 use super::cluster_founding::ClusterFounding;
-use super::driver_founding::RejoinQuest;
+use super::driver_founding::RejoinAttempt;
 use super::driver_question::{WaitingQuestion, WaitingRead};
 use super::{
     ConfigVersion, DiskId, DriverInput, DriverOutput, LogCommand, LogEntry, LogIndex,
@@ -19,10 +19,10 @@
 use crate::process::{FastMap, HostId, MemberId, Moment};
 
 /// Maximum number of remembered hosts whose members the membership does not list.
-const STRANGER_LIMIT: usize = 64;
+const UNLISTED_LIMIT: usize = 64;
 
 /// Minimum number of voters; silent ones are kept to preserve it.
-const LEAST_VOTERS: usize = 3;
+const MIN_VOTERS: usize = 3;
 
 /// One replica as the control thread uses it.
 ///
@@ -37,7 +37,7 @@
     /// The disk that the log is on.
     pub(crate) disk: DiskId,
     /// The attempt to get a new id, once it is known that this replica is no longer a member.
-    pub(crate) rejoin: Option<RejoinQuest>,
+    pub(crate) rejoin: Option<RejoinAttempt>,
     pub(crate) node: ReplicaNode,
     pub(crate) machines: ReplicaMachines,
     pub(crate) waiting: BTreeMap<LogIndex, WaitingQuestion>,
@@ -45,16 +45,16 @@
     pub(crate) next_read: u64,
     pub(crate) archive: AuditArchive,
     /// Reads that a quorum has confirmed, with the entry that must be applied first.
-    confirmed: Vec<(u64, LogIndex)>,
+    confirmed_reads: Vec<(u64, LogIndex)>,
     /// Hosts of members that this replica's membership does not list yet.
-    strangers: FastMap<MemberId, HostId>,
+    unlisted_hosts: FastMap<MemberId, HostId>,
     applied_weight: usize,
     snapshot_size: usize,
     unreadable_messages: u64,
     /// The last entry held at the start. A version before it may be older than the one that was in
     /// force here before the restart.
     recovered_last: LogIndex,
-    in_force_due: bool,
+    publish_due: bool,
     pub(crate) outputs: Vec<DriverOutput>,
 }
 
@@ -100,13 +100,13 @@
             reads: FastMap::default(),
             next_read: 0,
             archive,
-            confirmed: Vec::new(),
-            strangers: FastMap::default(),
+            confirmed_reads: Vec::new(),
+            unlisted_hosts: FastMap::default(),
             applied_weight: 0,
             snapshot_size,
             unreadable_messages: 0,
             recovered_last,
-            in_force_due: snapshot_size > 0,
+            publish_due: snapshot_size > 0,
             outputs: Vec::new(),
         }
     }
@@ -120,7 +120,7 @@
             }
             DriverInput::Tick => {
                 self.node.tick(now);
-                self.ask_to_rejoin(now);
+                self.request_rejoin(now);
                 self.promote_learner(now);
                 self.fetch_chunk(now);
             }
@@ -130,7 +130,7 @@
             DriverInput::Ask { token, question } => self.ask(now, token, question),
             DriverInput::TransferLeadership => self.node.transfer_leadership(now),
         }
-        self.settle();
+        self.process_effects();
         std::mem::take(&mut self.outputs)
     }
 
@@ -143,7 +143,7 @@
         match &self.founding {
             Some(founding) => founding.next_wakeup(),
             None => {
-                let rejoin = self.rejoin.as_ref().map(|rejoin| rejoin.ask_at);
+                let rejoin = self.rejoin.as_ref().map(|rejoin| rejoin.next_request_at);
                 rejoin.map_or(self.node.next_wakeup(), |at| at.min(self.node.next_wakeup()))
             }
         }
@@ -233,28 +233,28 @@
             Some(member) if member.host != *from => return,
             Some(_) => {}
             None => {
-                self.note_stranger(envelope.from, from);
+                self.record_unlisted_host(envelope.from, from);
                 // A replica that was removed while it was cut off would otherwise ask for votes
                 // forever.
                 if envelope.message.asks_for_vote() {
-                    self.tell_founded(from);
+                    self.send_founded(from);
                 }
             }
         }
         self.node.receive(now, envelope);
     }
 
-    fn note_stranger(&mut self, member: MemberId, host: &HostId) {
-        if self.strangers.len() >= STRANGER_LIMIT {
-            self.strangers.clear();
+    fn record_unlisted_host(&mut self, member: MemberId, host: &HostId) {
+        if self.unlisted_hosts.len() >= UNLISTED_LIMIT {
+            self.unlisted_hosts.clear();
         }
-        self.strangers.insert(member, host.clone());
+        self.unlisted_hosts.insert(member, host.clone());
     }
 
     fn host_of(&self, member: MemberId) -> Option<HostId> {
         match self.node.members().find(member) {
             Some(known) => Some(known.host.clone()),
-            None => self.strangers.get(&member).cloned(),
+            None => self.unlisted_hosts.get(&member).cloned(),
         }
     }
 
@@ -268,13 +268,13 @@
     // After each step
 
     /// Processes the effects of the last step until no further effects follow.
-    fn settle(&mut self) {
+    fn process_effects(&mut self) {
         loop {
             let effects = self.node.take_effects();
             let wants_snapshot = effects.wants_snapshot;
-            self.carry_out(effects);
+            self.emit_effects(effects);
             let applied = self.apply_committed();
-            self.finish_confirmed();
+            self.finish_confirmed_reads();
             if wants_snapshot {
                 self.offer_snapshot();
             }
@@ -282,17 +282,18 @@
                 break;
             }
         }
-        self.announce_plan();
+        self.publish_in_force();
         if !self.node.is_leader() {
             self.abandon_waiting();
         }
     }
 
     /// Answers the reads that a quorum has confirmed and whose entries are applied.
-    fn finish_confirmed(&mut self) {
-        let taken = self.node.taken_index();
-        let (ready, later) = self.confirmed.drain(..).partition(|(_, index)| *index <= taken);
-        self.confirmed = later;
+    fn finish_confirmed_reads(&mut self) {
+        let applied = self.node.taken_index();
+        let (ready, later) =
+            self.confirmed_reads.drain(..).partition(|(_, index)| *index <= applied);
+        self.confirmed_reads = later;
         let ready: Vec<(u64, LogIndex)> = ready;
         for (read, _) in ready {
             self.finish_read(read);
@@ -304,13 +305,13 @@
     ///
     /// Just after a restart the replica replays its log and passes versions older than the one it
     /// had in force before. Publishing them would let the host's version go down.
-    fn announce_plan(&mut self) {
+    fn publish_in_force(&mut self) {
         let decided = self.recovered_last.min(self.node.last_index());
-        let taken = self.node.taken_index();
-        if !self.in_force_due || taken < decided || taken > self.node.durable_index() {
+        let applied = self.node.taken_index();
+        if !self.publish_due || applied < decided || applied > self.node.durable_index() {
             return;
         }
-        self.in_force_due = false;
+        self.publish_due = false;
         self.recovered_last = LogIndex::default();
         let plan = self.machines.configuration.current().clone();
         self.outputs.push(DriverOutput::InForce(plan));
@@ -318,9 +319,9 @@
         self.outputs.push(DriverOutput::ZonesInForce(zones));
     }
 
-    fn carry_out(&mut self, effects: NodeEffects) {
+    fn emit_effects(&mut self, effects: NodeEffects) {
         if let Some(snapshot) = &effects.installed {
-            self.install(snapshot);
+            self.install_snapshot(snapshot);
         }
         if let Some(batch) = effects.batch {
             self.outputs.push(DriverOutput::Persist { ticket: batch.ticket, batch });
@@ -331,16 +332,16 @@
         for read in effects.failed_reads {
             self.fail_read(read);
         }
-        self.confirmed.extend(effects.reads);
+        self.confirmed_reads.extend(effects.reads);
     }
 
-    fn install(&mut self, snapshot: &ReplicaSnapshot) {
+    fn install_snapshot(&mut self, snapshot: &ReplicaSnapshot) {
         match ReplicaMachines::restore(snapshot) {
             Ok(machines) => {
                 self.machines = machines;
                 self.applied_weight = 0;
                 self.snapshot_size = snapshot.state.len();
-                self.in_force_due = true;
+                self.publish_due = true;
             }
             Err(_) => {
                 let why = "the leader's snapshot cannot be read by this release";
@@ -367,7 +368,7 @@
         let before = self.in_force();
         let outcome = self.machines.apply(entry);
         self.applied_weight += entry.weight();
-        self.in_force_due |= self.in_force() > before;
+        self.publish_due |= self.in_force() > before;
         self.answer_waiting(entry, outcome);
     }
 
@@ -419,9 +420,9 @@
         // only makes majorities larger: of six voters with one dead, two more losses leave no
         // majority. Three are kept whatever the copies, because a set that shrank with each host
         // that is down for a while would end on a single disk.
-        let enough = (2 * self.settings.copies).max(LEAST_VOTERS + 1);
-        let spare = self.node.members().voters().count() >= enough;
-        if self.settings.grows && spare && self.retire_silent(now) {
+        let enough = (2 * self.settings.copies).max(MIN_VOTERS + 1);
+        let has_spare = self.node.members().voters().count() >= enough;
+        if self.settings.grows && has_spare && self.remove_silent_voter(now) {
             return;
         }
         let Some(learner) = self.node.caught_up_learners().first().copied() else { return };
@@ -442,7 +443,7 @@
     /// tell which of them is gone for good. If a host that was only down were removed before its
     /// successor voted, four voters would remain, and with two of them lost there would be no
     /// majority although three of five disks were intact.
-    fn retire_silent(&mut self, now: Moment) -> bool {
+    fn remove_silent_voter(&mut self, now: Moment) -> bool {
         let members = self.node.members();
         let voters = members.voters().count();
         let silent = self.node.longest_silent().filter(|_| voters > self.settings.copies.max(1));
--- a/crates/pulley_core/src/version/replica/replica_election.rs
+++ b/crates/pulley_core/src/version/replica/replica_election.rs
@@ -10,20 +10,21 @@
         if self.now < self.election_at {
             return;
         }
-        self.renew_election();
+        self.renew_election_timer();
         if !self.log.members().is_voter(self.me) {
             return;
         }
         self.leader = None;
-        self.yields = 0;
+        self.deferrals = 0;
         self.ask_pre_votes();
     }
 
     pub(crate) fn on_pre_vote_request(&mut self, from: MemberId, request: VoteRequest) {
-        let granted =
-            request.term > self.vote.term && self.is_up_to_date(&request) && !self.hears_leader();
+        let granted = request.term > self.vote.term
+            && self.is_up_to_date(&request)
+            && !self.has_recent_leader();
         if granted {
-            self.yield_election(from);
+            self.defer_election(from);
         }
         let term = if granted { request.term } else { self.vote.term };
         self.send(from, ReplicaMessage::PreVoteReply(VoteReply { term, granted }));
@@ -32,7 +33,7 @@
     pub(crate) fn on_pre_vote_reply(&mut self, from: MemberId, reply: VoteReply) {
         if !reply.granted {
             if reply.term > self.vote.term {
-                self.follow(reply.term, None);
+                self.become_follower(reply.term, None);
             }
             return;
         }
@@ -43,7 +44,7 @@
         if !votes.contains(&from) {
             votes.push(from);
         }
-        if self.has_votes() {
+        if self.has_majority() {
             self.campaign(false);
         }
     }
@@ -51,20 +52,20 @@
     pub(crate) fn on_vote_request(&mut self, from: MemberId, request: VoteRequest) {
         // A replica that was removed or cut off must not depose a leader that a majority hears. The
         // exception is an election that the leader itself requested to hand over.
-        if request.term > self.vote.term && self.hears_leader() && !request.transfer {
+        if request.term > self.vote.term && self.has_recent_leader() && !request.transfer {
             return;
         }
         if request.term > self.vote.term {
-            self.follow(request.term, None);
+            self.become_follower(request.term, None);
         }
-        let free = self.vote.voted_for.is_none_or(|voted| voted == from);
-        let granted = request.term == self.vote.term && free && self.is_up_to_date(&request);
+        let can_vote = self.vote.voted_for.is_none_or(|voted| voted == from);
+        let granted = request.term == self.vote.term && can_vote && self.is_up_to_date(&request);
         if granted && self.vote.voted_for.is_none() {
             self.vote.voted_for = Some(from);
-            self.gate.note_vote(self.vote);
+            self.gate.queue_vote(self.vote);
         }
         if granted {
-            self.reset_election();
+            self.reset_election_timer();
         }
         let reply = VoteReply { term: self.vote.term, granted };
         self.send_durable(from, ReplicaMessage::VoteReply(reply));
@@ -72,7 +73,7 @@
 
     pub(crate) fn on_vote_reply(&mut self, from: MemberId, reply: VoteReply) {
         if reply.term > self.vote.term {
-            self.follow(reply.term, None);
+            self.become_follower(reply.term, None);
             return;
         }
         if reply.term < self.vote.term || !reply.granted {
@@ -82,7 +83,7 @@
         if !votes.contains(&from) {
             votes.push(from);
         }
-        if self.has_votes() {
+        if self.has_majority() {
             self.become_leader();
         }
     }
@@ -96,7 +97,7 @@
 
     fn ask_pre_votes(&mut self) {
         self.role = ReplicaRole::PreCandidate { votes: vec![self.me] };
-        if self.has_votes() {
+        if self.has_majority() {
             self.campaign(false);
             return;
         }
@@ -108,10 +109,10 @@
 
     fn campaign(&mut self, transfer: bool) {
         self.vote = VoteRecord { term: self.vote.term.next(), voted_for: Some(self.me) };
-        self.gate.note_vote(self.vote);
+        self.gate.queue_vote(self.vote);
         self.role = ReplicaRole::Candidate { votes: Vec::new() };
         self.leader = None;
-        self.await_votes();
+        self.set_vote_timer();
         let request = self.vote_request(self.vote.term, transfer);
         for member in self.other_voters() {
             self.send_durable(member, ReplicaMessage::VoteRequest(request));
@@ -121,17 +122,17 @@
         self.send_durable(self.me, ReplicaMessage::VoteReply(own));
     }
 
-    fn has_votes(&self) -> bool {
+    fn has_majority(&self) -> bool {
         match &self.role {
             ReplicaRole::PreCandidate { votes } | ReplicaRole::Candidate { votes } => {
-                self.log.members().majority(|member| votes.contains(&member))
+                self.log.members().is_majority(|member| votes.contains(&member))
             }
             ReplicaRole::Follower | ReplicaRole::Leader(_) => false,
         }
     }
 
     /// Whether it leads, or has heard a leader within the shortest election timeout.
-    fn hears_leader(&self) -> bool {
+    fn has_recent_leader(&self) -> bool {
         if self.is_leader() {
             return true;
         }
--- a/crates/pulley_core/src/version/replica/replica_following.rs
+++ b/crates/pulley_core/src/version/replica/replica_following.rs
@@ -16,14 +16,14 @@
 
 /// A snapshot that is being received.
 #[derive(Debug)]
-pub(crate) struct SnapshotIntake {
+pub(crate) struct IncomingSnapshot {
     place: SnapshotPlace,
     bytes: Vec<u8>,
 }
 
 impl ReplicaNode {
     pub(crate) fn on_append_request(&mut self, from: MemberId, request: AppendRequest) {
-        if !self.obey(from, request.term) {
+        if !self.accept_leader(from, request.term) {
             let reply = self.append_reply(request.round, AppendOutcome::StaleTerm);
             self.send(from, reply);
             return;
@@ -31,22 +31,22 @@
         if !is_consecutive(&request) {
             return;
         }
-        if !self.agrees_at(request.prev_index, request.prev_term) {
+        if !self.matches_at(request.prev_index, request.prev_term) {
             let hint = self.conflict_hint(request.prev_index);
             let outcome = AppendOutcome::Missing { prev: request.prev_index, hint };
             let reply = self.append_reply(request.round, outcome);
             self.send_after_vote(from, reply);
             return;
         }
-        let beat = request.entries.is_empty();
+        let is_heartbeat = request.entries.is_empty();
         let agreed = LogIndex(request.prev_index.0 + request.entries.len() as u64);
         for entry in request.entries {
-            self.take_entry(entry);
+            self.accept_entry(entry);
         }
         self.commit = self.commit.max(request.commit.min(agreed));
         // A heartbeat is answered at once with what is on disk. Entries are acknowledged once they
         // are on disk.
-        if beat {
+        if is_heartbeat {
             let upto = agreed.min(self.durable);
             let reply = self.append_reply(request.round, AppendOutcome::Stored { upto });
             self.send_after_vote(from, reply);
@@ -57,7 +57,7 @@
     }
 
     pub(crate) fn on_snapshot_chunk(&mut self, from: MemberId, chunk: SnapshotChunk) {
-        if !self.obey(from, chunk.term) {
+        if !self.accept_leader(from, chunk.term) {
             let reply = self.append_reply(chunk.round, AppendOutcome::StaleTerm);
             self.send(from, reply);
             return;
@@ -66,36 +66,36 @@
         let round = chunk.round;
         let held = index <= self.commit || self.log.term_at(index) == Some(chunk.place.term);
         if held {
-            self.intake = None;
+            self.incoming = None;
             self.commit = self.commit.max(index);
             let reply = self.snapshot_reply(round, index, chunk.total, true);
             self.send_durable(from, reply);
             return;
         }
         let total = chunk.total;
-        let received = self.take_chunk(chunk);
+        let received = self.add_chunk(chunk);
         if received < total {
             let reply = self.snapshot_reply(round, index, received, false);
             self.send_after_vote(from, reply);
             return;
         }
-        self.install_intake();
+        self.install_incoming();
         let reply = self.snapshot_reply(round, index, total, true);
         self.send_durable(from, reply);
     }
 
     /// Accepts the sender as leader unless its term is stale. Returns whether it is accepted.
-    fn obey(&mut self, from: MemberId, term: Term) -> bool {
+    fn accept_leader(&mut self, from: MemberId, term: Term) -> bool {
         if term < self.vote.term || (term == self.vote.term && self.is_leader()) {
             return false;
         }
-        self.follow(term, Some(from));
+        self.become_follower(term, Some(from));
         self.leader_heard = Some(self.now);
-        self.reset_election();
+        self.reset_election_timer();
         true
     }
 
-    fn agrees_at(&self, index: LogIndex, term: Term) -> bool {
+    fn matches_at(&self, index: LogIndex, term: Term) -> bool {
         // Committed entries match the log of every later leader.
         index <= self.commit || self.log.term_at(index) == Some(term)
     }
@@ -114,54 +114,54 @@
         hint
     }
 
-    fn take_entry(&mut self, entry: Arc<LogEntry>) {
+    fn accept_entry(&mut self, entry: Arc<LogEntry>) {
         if entry.index <= self.commit || self.log.term_at(entry.index) == Some(entry.term) {
             return;
         }
         if entry.index <= self.log.last_index() {
-            self.log.cut_from(entry.index);
-            self.gate.note_cut(entry.index);
+            self.log.truncate_from(entry.index);
+            self.gate.queue_truncation(entry.index);
             self.durable = self.durable.min(entry.index.previous());
         }
         self.append_entry(entry);
     }
 
     /// Adds a chunk to the snapshot being received. Returns the number of bytes received.
-    fn take_chunk(&mut self, chunk: SnapshotChunk) -> u64 {
+    fn add_chunk(&mut self, chunk: SnapshotChunk) -> u64 {
         if chunk.total > SNAPSHOT_LIMIT {
             return 0;
         }
-        let fresh = self.intake.as_ref().is_none_or(|intake| intake.place != chunk.place);
-        if fresh {
-            self.intake = Some(SnapshotIntake { place: chunk.place, bytes: Vec::new() });
+        let is_new = self.incoming.as_ref().is_none_or(|incoming| incoming.place != chunk.place);
+        if is_new {
+            self.incoming = Some(IncomingSnapshot { place: chunk.place, bytes: Vec::new() });
         }
-        let Some(intake) = &mut self.intake else { return 0 };
-        if chunk.offset == intake.bytes.len() as u64 {
-            intake.bytes.extend_from_slice(&chunk.bytes);
+        let Some(incoming) = &mut self.incoming else { return 0 };
+        if chunk.offset == incoming.bytes.len() as u64 {
+            incoming.bytes.extend_from_slice(&chunk.bytes);
         }
-        intake.bytes.len() as u64
+        incoming.bytes.len() as u64
     }
 
-    fn install_intake(&mut self) {
-        let Some(intake) = self.intake.take() else { return };
-        let place = intake.place;
+    fn install_incoming(&mut self) {
+        let Some(incoming) = self.incoming.take() else { return };
+        let place = incoming.place;
         let index = place.index;
         let snapshot =
-            Arc::new(ReplicaSnapshot { place: place.clone(), state: Bytes::from(intake.bytes) });
+            Arc::new(ReplicaSnapshot { place: place.clone(), state: Bytes::from(incoming.bytes) });
         // No entry of the old log beyond the snapshot is known to match the leader's log.
-        self.gate.note_cut(index.next());
-        self.gate.note_snapshot(snapshot.clone());
+        self.gate.queue_truncation(index.next());
+        self.gate.queue_snapshot(snapshot.clone());
         self.log.reset(place);
         self.durable = LogIndex::default();
         self.commit = index;
-        self.taken = index;
+        self.applied = index;
         self.last_appended = self.now;
         self.effects.installed = Some(snapshot);
     }
 
     /// Sends at once, unless the vote or term that the message depends on is not on disk yet.
     fn send_after_vote(&mut self, to: MemberId, message: ReplicaMessage) {
-        if self.gate.vote_pending() {
+        if self.gate.has_pending_vote() {
             self.send_durable(to, message);
         } else {
             self.send(to, message);
--- a/crates/pulley_core/src/version/replica/replica_leading.rs
+++ b/crates/pulley_core/src/version/replica/replica_leading.rs
@@ -31,7 +31,7 @@
     first_index: LogIndex,
     pub(crate) round: u64,
     reads: VecDeque<PendingRead>,
-    beat_at: Moment,
+    heartbeat_at: Moment,
     quorum_check_at: Moment,
     transfer: Option<LeaderTransfer>,
 }
@@ -39,13 +39,13 @@
 #[derive(Clone, Copy, Debug)]
 struct LeaderTransfer {
     to: MemberId,
-    until: Moment,
-    told: bool,
+    deadline: Moment,
+    is_requested: bool,
 }
 
 impl LeaderState {
     pub(crate) fn next_wakeup(&self) -> Moment {
-        self.beat_at.min(self.quorum_check_at)
+        self.heartbeat_at.min(self.quorum_check_at)
     }
 }
 
@@ -103,24 +103,24 @@
         // Until its first entry is committed, a leader does not know what earlier terms committed.
         let index = commit.max(leader.first_index);
         leader.reads.push_back(PendingRead { token, index, round: leader.round });
-        self.send_beats();
-        self.finish_reads();
+        self.send_heartbeats();
+        self.confirm_reads();
         self.flush();
     }
 
     /// Starts a leadership transfer to the most up-to-date voter.
     pub fn transfer_leadership(&mut self, now: Moment) {
         self.now = self.now.max(now);
-        let until = self.now + self.settings.election_timeout;
+        let deadline = self.now + self.settings.election_timeout;
         let voters = self.log.members().clone();
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let candidate = leader
             .followers
             .iter()
             .filter(|(member, _)| voters.is_voter(**member))
-            .max_by_key(|(_, progress)| progress.matched)
+            .max_by_key(|(_, progress)| progress.match_index)
             .map(|(member, _)| *member);
-        leader.transfer = candidate.map(|to| LeaderTransfer { to, until, told: false });
+        leader.transfer = candidate.map(|to| LeaderTransfer { to, deadline, is_requested: false });
         self.advance_transfer();
         self.flush();
     }
@@ -130,7 +130,7 @@
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let mut waiting = Vec::new();
         for (member, progress) in &mut leader.followers {
-            if progress.take_snapshot(snapshot) {
+            if progress.set_snapshot(snapshot) {
                 waiting.push(*member);
             }
         }
@@ -149,8 +149,8 @@
             .iter()
             .filter(|(member, progress)| {
                 !members.is_voter(**member)
-                    && progress.matched >= self.commit
-                    && progress.matched >= leader.first_index
+                    && progress.match_index >= self.commit
+                    && progress.match_index >= leader.first_index
             })
             .map(|(member, _)| *member)
             .collect()
@@ -173,7 +173,7 @@
             first_index: self.log.last_index().next(),
             round: 0,
             reads: VecDeque::new(),
-            beat_at: self.now + self.settings.heartbeat,
+            heartbeat_at: self.now + self.settings.heartbeat,
             quorum_check_at: self.now + self.settings.election_timeout,
             transfer: None,
         };
@@ -204,7 +204,7 @@
     pub fn is_silent(&self, member: MemberId) -> bool {
         let ReplicaRole::Leader(leader) = &self.role else { return false };
         let limit = 2 * self.settings.election_timeout;
-        let silent = |progress: &FollowerProgress| self.now.since(progress.heard) > limit;
+        let silent = |progress: &FollowerProgress| self.now.since(progress.last_reply) > limit;
         leader.followers.get(&member).is_some_and(silent)
     }
 
@@ -212,30 +212,30 @@
     pub(crate) fn longest_silent(&self) -> Option<MemberId> {
         let ReplicaRole::Leader(leader) = &self.role else { return None };
         let voters = self.log.members().voters().filter(|member| self.is_silent(*member));
-        voters.min_by_key(|member| leader.followers.get(member).map(|progress| progress.heard))
+        voters.min_by_key(|member| leader.followers.get(member).map(|progress| progress.last_reply))
     }
 
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now;
         let heartbeat = self.settings.heartbeat;
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
-        if leader.transfer.is_some_and(|transfer| transfer.until <= now) {
+        if leader.transfer.is_some_and(|transfer| transfer.deadline <= now) {
             leader.transfer = None;
         }
-        if self.leave_if_stalled() {
+        if self.step_down_if_stalled() {
             return;
         }
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let check_due = leader.quorum_check_at <= now;
-        let beat_due = leader.beat_at <= now;
-        if beat_due {
-            leader.beat_at = now + heartbeat;
+        let heartbeat_due = leader.heartbeat_at <= now;
+        if heartbeat_due {
+            leader.heartbeat_at = now + heartbeat;
         }
         if check_due && !self.check_quorum() {
             return;
         }
-        if beat_due {
-            self.send_beats();
+        if heartbeat_due {
+            self.send_heartbeats();
         }
     }
 
@@ -245,9 +245,10 @@
     /// start an election, and the leader could apply and answer nothing. The age of its oldest
     /// write shows the fault. It cannot be elected again before the disk responds, because its own
     /// vote has to be written.
-    fn leave_if_stalled(&mut self) -> bool {
+    fn step_down_if_stalled(&mut self) -> bool {
         let limit = self.settings.election_timeout;
-        let stalled = self.gate.oldest_write().is_some_and(|begun| self.now.since(begun) > limit);
+        let stalled =
+            self.gate.oldest_write_started().is_some_and(|started| self.now.since(started) > limit);
         let members = self.log.members();
         let ReplicaRole::Leader(leader) = &self.role else { return false };
         if !stalled || members.voters().count() == 1 {
@@ -257,13 +258,13 @@
             .followers
             .iter()
             .filter(|(member, _)| members.is_voter(**member))
-            .max_by_key(|(_, progress)| progress.matched)
+            .max_by_key(|(_, progress)| progress.match_index)
             .map(|(member, _)| *member);
         let term = self.vote.term;
         if let Some(successor) = successor {
             self.send(successor, ReplicaMessage::CampaignNow { term });
         }
-        self.follow(term, None);
+        self.become_follower(term, None);
         true
     }
 
@@ -278,20 +279,20 @@
         let ReplicaRole::Leader(leader) = &mut self.role else { return false };
         leader.quorum_check_at = now + timeout;
         let followers = &leader.followers;
-        let heard = |member| {
+        let has_replied = |member| {
             member == me
                 || followers
                     .get(&member)
-                    .is_some_and(|progress| now.since(progress.heard) <= timeout)
+                    .is_some_and(|progress| now.since(progress.last_reply) <= timeout)
         };
-        if self.log.members().majority(heard) {
+        if self.log.members().is_majority(has_replied) {
             return true;
         }
-        self.follow(self.vote.term, None);
+        self.become_follower(self.vote.term, None);
         false
     }
 
-    pub(crate) fn abandon_reads(&mut self) {
+    pub(crate) fn fail_reads(&mut self) {
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let tokens = leader.reads.drain(..).map(|read| read.token);
         self.effects.failed_reads.extend(tokens);
@@ -341,17 +342,17 @@
         loop {
             let ReplicaRole::Leader(leader) = &mut self.role else { return };
             let Some(progress) = leader.followers.get_mut(&member) else { return };
-            if progress.next > last || !progress.has_room() {
+            if progress.next_index > last || !progress.has_room() {
                 return;
             }
-            if progress.next <= self.log.base().index {
+            if progress.next_index <= self.log.base().index {
                 self.begin_snapshot(member);
                 return;
             }
-            let entries = self.log.slice(progress.next, APPEND_BYTES);
-            let next = LogIndex(progress.next.0 + entries.len() as u64);
-            let prev = progress.next.previous();
-            progress.note_sent(next);
+            let entries = self.log.slice(progress.next_index, APPEND_BYTES);
+            let next = LogIndex(progress.next_index.0 + entries.len() as u64);
+            let prev = progress.next_index.previous();
+            progress.record_sent(next);
             self.send_append(member, prev, entries);
         }
     }
@@ -372,22 +373,22 @@
 
     /// Sends a heartbeat to every follower. It also carries the commit index, and the reply reveals
     /// entries that were lost in transit.
-    pub(crate) fn send_beats(&mut self) {
+    pub(crate) fn send_heartbeats(&mut self) {
         let ReplicaRole::Leader(leader) = &self.role else { return };
         let members: Vec<MemberId> = leader.followers.keys().copied().collect();
         for member in members {
-            self.send_beat(member);
+            self.send_heartbeat(member);
         }
     }
 
-    fn send_beat(&mut self, member: MemberId) {
+    fn send_heartbeat(&mut self, member: MemberId) {
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.followers.get_mut(&member) else { return };
         if matches!(progress.state, ProgressState::Snapshot { .. }) {
             self.send_chunk(member);
             return;
         }
-        let prev = progress.next.previous();
+        let prev = progress.next_index.previous();
         if self.log.term_at(prev).is_none() {
             self.begin_snapshot(member);
             return;
@@ -404,14 +405,14 @@
 
     /// Records that a follower has replied in this leader's term; steps down if the reply has a
     /// later term. Returns `None` for a reply that does not concern this leader.
-    pub(crate) fn hear_reply(
+    pub(crate) fn accept_reply(
         &mut self,
         from: MemberId,
         term: Term,
         round: u64,
     ) -> Option<&mut FollowerProgress> {
         if term > self.vote.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
             return None;
         }
         let now = self.now;
@@ -420,20 +421,20 @@
         if term < self.vote.term {
             return None;
         }
-        progress.note_heard(now, round);
+        progress.record_reply(now, round);
         Some(progress)
     }
 
     pub(crate) fn on_append_reply(&mut self, from: MemberId, reply: AppendReply) {
-        let Some(progress) = self.hear_reply(from, reply.term, reply.round) else { return };
+        let Some(progress) = self.accept_reply(from, reply.term, reply.round) else { return };
         match reply.outcome {
-            AppendOutcome::Stored { upto } => progress.note_stored(upto),
-            AppendOutcome::Missing { prev, hint } => progress.note_missing(prev, hint),
+            AppendOutcome::Stored { upto } => progress.record_stored(upto),
+            AppendOutcome::Missing { prev, hint } => progress.record_mismatch(prev, hint),
             AppendOutcome::StaleTerm => return,
         }
         self.advance_commit();
         self.send_entries(from);
-        self.finish_reads();
+        self.confirm_reads();
         self.advance_transfer();
     }
 
@@ -450,7 +451,7 @@
                 if member == self.me {
                     return self.durable;
                 }
-                leader.followers.get(&member).map_or(LogIndex(0), |progress| progress.matched)
+                leader.followers.get(&member).map_or(LogIndex(0), |progress| progress.match_index)
             })
             .collect();
         stored.sort_unstable_by(|a, b| b.cmp(a));
@@ -459,13 +460,13 @@
         if index <= self.commit || self.log.term_at(index) != Some(self.vote.term) {
             return;
         }
-        let urgent = self.spreads_at_once(index);
+        let urgent = self.has_urgent_entry(index);
         self.commit = index;
         if urgent {
-            self.send_beats();
+            self.send_heartbeats();
         }
-        self.finish_reads();
-        self.leave_if_removed();
+        self.confirm_reads();
+        self.step_down_if_removed();
     }
 
     /// Returns the last entry that is on as many disks as the settings require, learners' disks
@@ -475,7 +476,7 @@
     /// that only those two hosts hold would be lost with them, although it was acknowledged.
     fn copied_index(&self, leader: &LeaderState) -> LogIndex {
         let mut stored: Vec<LogIndex> =
-            leader.followers.values().map(|progress| progress.matched).collect();
+            leader.followers.values().map(|progress| progress.match_index).collect();
         stored.push(self.durable);
         stored.sort_unstable_by(|a, b| b.cmp(a));
         let place = self.settings.copies.saturating_sub(1);
@@ -484,7 +485,7 @@
 
     /// Whether followers should learn of the commit at once. A configuration has to be in force
     /// everywhere soon, whereas a claim matters only to the host that asked.
-    fn spreads_at_once(&self, upto: LogIndex) -> bool {
+    fn has_urgent_entry(&self, upto: LogIndex) -> bool {
         let mut index = self.commit.next();
         while index <= upto {
             let urgent = self.log.entry(index).is_some_and(|entry| {
@@ -498,24 +499,24 @@
         false
     }
 
-    fn leave_if_removed(&mut self) {
+    fn step_down_if_removed(&mut self) {
         let settled = self.log.members_index() <= self.commit;
         if settled && !self.log.members().is_voter(self.me) {
-            self.follow(self.vote.term, None);
+            self.become_follower(self.vote.term, None);
         }
     }
 
     // ---------------------------------------------------------------------------------------------
     // Reads and leadership transfer
 
-    pub(crate) fn finish_reads(&mut self) {
+    pub(crate) fn confirm_reads(&mut self) {
         let me = self.me;
         let commit = self.commit;
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         while let Some(read) = leader.reads.front() {
             let followers = &leader.followers;
             let round = read.round;
-            let confirmed = self.log.members().majority(|member| {
+            let confirmed = self.log.members().is_majority(|member| {
                 member == me
                     || followers.get(&member).is_some_and(|progress| progress.round >= round)
             });
@@ -533,11 +534,11 @@
         let ReplicaRole::Leader(leader) = &mut self.role else { return };
         let Some(transfer) = &mut leader.transfer else { return };
         let ready =
-            leader.followers.get(&transfer.to).is_some_and(|progress| progress.matched >= last);
-        if transfer.told || !ready {
+            leader.followers.get(&transfer.to).is_some_and(|progress| progress.match_index >= last);
+        if transfer.is_requested || !ready {
             return;
         }
-        transfer.told = true;
+        transfer.is_requested = true;
         let to = transfer.to;
         self.send(to, ReplicaMessage::CampaignNow { term });
     }
--- a/crates/pulley_core/src/version/replica/replica_log.rs
+++ b/crates/pulley_core/src/version/replica/replica_log.rs
@@ -32,7 +32,7 @@
     }
 
     pub(crate) fn append(&mut self, entry: Arc<LogEntry>) {
-        debug_assert_eq!(entry.index, self.last_index().next(), "entries follow each other");
+        debug_assert_eq!(entry.index, self.last_index().next(), "entries are consecutive");
         self.weight += entry.weight();
         if let LogCommand::Members { members, .. } = &entry.command {
             self.memberships.push((entry.index, members.clone()));
@@ -41,7 +41,7 @@
     }
 
     /// Drops the entries from `index` on.
-    pub(crate) fn cut_from(&mut self, index: LogIndex) {
+    pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         while self.last_index() >= index {
             let Some(entry) = self.entries.pop_back() else { break };
             self.weight -= entry.weight();
--- a/crates/pulley_core/src/version/replica/replica_membership.rs
+++ b/crates/pulley_core/src/version/replica/replica_membership.rs
@@ -118,7 +118,7 @@
 
     /// Whether the voters for which `holds` is true make a majority.
     #[must_use]
-    pub fn majority(&self, holds: impl Fn(MemberId) -> bool) -> bool {
+    pub fn is_majority(&self, holds: impl Fn(MemberId) -> bool) -> bool {
         self.voters().filter(|member| holds(*member)).count() >= self.quorum()
     }
 }
--- a/crates/pulley_core/src/version/replica/replica_node.rs
+++ b/crates/pulley_core/src/version/replica/replica_node.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 use super::persist_gate::PersistGate;
-use super::replica_following::SnapshotIntake;
+use super::replica_following::IncomingSnapshot;
 use super::replica_leading::LeaderState;
 use super::replica_log::ReplicaLog;
 use super::{
@@ -22,12 +22,12 @@
 /// just started sends its first pre-vote requests, and before it repeats them. The delay is short
 /// because the other replicas may start at the same time, and a request that reaches nobody costs
 /// nothing.
-const START_PART: u32 = 8;
+const START_DELAY_DIVISOR: u32 = 8;
 
 /// How many times in a row a replica that has just started defers its pre-vote requests to a
 /// replica with a lower id. Two that ask a majority at the same moment would both become
 /// candidates, and neither would win.
-pub(crate) const YIELD_LIMIT: u32 = 4;
+pub(crate) const DEFERRAL_LIMIT: u32 = 4;
 
 /// The current role of a replica.
 #[derive(Debug)]
@@ -79,16 +79,16 @@
     pub(crate) vote: VoteRecord,
     pub(crate) log: ReplicaLog,
     pub(crate) commit: LogIndex,
-    pub(crate) taken: LogIndex,
+    pub(crate) applied: LogIndex,
     pub(crate) durable: LogIndex,
     pub(crate) role: ReplicaRole,
     pub(crate) leader: Option<MemberId>,
     pub(crate) leader_heard: Option<Moment>,
     pub(crate) election_at: Moment,
     /// How many times it has deferred to another replica since its own last pre-vote requests.
-    pub(crate) yields: u32,
+    pub(crate) deferrals: u32,
     pub(crate) last_appended: Moment,
-    pub(crate) intake: Option<SnapshotIntake>,
+    pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) gate: PersistGate,
     pub(crate) effects: NodeEffects,
     pub(crate) failure: Option<SmolStr>,
@@ -117,20 +117,20 @@
             vote: recovered.vote,
             log,
             commit: start,
-            taken: start,
+            applied: start,
             durable,
             role: ReplicaRole::Follower,
             leader: None,
             leader_heard: None,
             election_at: now,
-            yields: 0,
+            deferrals: 0,
             last_appended: now,
-            intake: None,
+            incoming: None,
             gate: PersistGate::default(),
             effects: NodeEffects::default(),
             failure: None,
         };
-        node.begin_election();
+        node.set_start_timer();
         node
     }
 
@@ -175,13 +175,13 @@
             self.fail(SmolStr::new_static("the storage failed to write"));
             return;
         }
-        let (last, free) = self.gate.persisted(ticket);
+        let (last, released) = self.gate.persisted(ticket);
         if let Some((index, term)) = last
             && self.log.term_at(index) == Some(term)
         {
             self.durable = self.durable.max(index);
         }
-        for (to, message) in free {
+        for (to, message) in released {
             if to == self.me {
                 self.dispatch(to, message);
             } else {
@@ -194,7 +194,7 @@
 
     /// Stops taking part, because its storage or state can no longer be trusted.
     pub fn fail(&mut self, why: SmolStr) {
-        self.abandon_reads();
+        self.fail_reads();
         self.role = ReplicaRole::Follower;
         self.leader = None;
         self.failure = Some(why);
@@ -204,12 +204,12 @@
     ///
     /// The log stays. Its entries came from leaders, and the leader truncates what was never
     /// committed, as for any follower that returns.
-    pub(crate) fn rename(&mut self, member: MemberId) {
-        self.abandon_reads();
+    pub(crate) fn set_member_id(&mut self, member: MemberId) {
+        self.fail_reads();
         self.me = member;
         self.role = ReplicaRole::Follower;
         self.leader = None;
-        self.gate.note_member(member);
+        self.gate.queue_member(member);
         self.flush();
     }
 
@@ -240,11 +240,11 @@
     /// Only entries on this replica's own disk are handed out. What a host has put in force is then
     /// still there after its restart, so its version never goes down.
     pub fn take_committed(&mut self) -> Option<Arc<LogEntry>> {
-        if self.taken >= self.commit.min(self.durable) {
+        if self.applied >= self.commit.min(self.durable) {
             return None;
         }
-        let entry = self.log.entry(self.taken.next())?.clone();
-        self.taken = entry.index;
+        let entry = self.log.entry(self.applied.next())?.clone();
+        self.applied = entry.index;
         Some(entry)
     }
 
@@ -266,13 +266,13 @@
             return;
         }
         self.log.compact(snapshot.place.index, self.settings.snapshot_weight / 2);
-        self.gate.note_snapshot(snapshot);
+        self.gate.queue_snapshot(snapshot);
         self.flush();
     }
 
     /// Writes a chunk of old audit records.
     pub fn archive(&mut self, chunk: Arc<AuditChunk>) {
-        self.gate.note_chunk(chunk);
+        self.gate.queue_chunk(chunk);
         self.flush();
     }
 
@@ -280,7 +280,7 @@
     /// [`Self::take_committed`].
     #[must_use]
     pub fn snapshot_place(&self) -> SnapshotPlace {
-        let index = self.taken;
+        let index = self.applied;
         let entry = self.log.entry(index);
         SnapshotPlace {
             index,
@@ -348,13 +348,13 @@
     /// Returns the last entry handed out by [`Self::take_committed`].
     #[must_use]
     pub fn taken_index(&self) -> LogIndex {
-        self.taken
+        self.applied
     }
 
     /// Whether the log holds a configuration change that has not been handed out yet.
     #[must_use]
-    pub fn holds_untaken_change(&self) -> bool {
-        let mut index = self.taken.next();
+    pub fn holds_unapplied_change(&self) -> bool {
+        let mut index = self.applied.next();
         while let Some(entry) = self.log.entry(index) {
             if matches!(entry.command, LogCommand::Change(_)) {
                 return true;
@@ -413,7 +413,7 @@
     pub(crate) fn append_entry(&mut self, entry: Arc<LogEntry>) {
         self.log.append(entry.clone());
         self.last_appended = self.now;
-        self.gate.note_entry(entry);
+        self.gate.queue_entry(entry);
     }
 
     pub(crate) fn send(&mut self, to: MemberId, message: ReplicaMessage) {
@@ -431,15 +431,15 @@
     }
 
     /// Becomes a follower in `term`, which may be a new one.
-    pub(crate) fn follow(&mut self, term: Term, leader: Option<MemberId>) {
+    pub(crate) fn become_follower(&mut self, term: Term, leader: Option<MemberId>) {
         if term > self.vote.term {
             self.vote = VoteRecord { term, voted_for: None };
-            self.gate.note_vote(self.vote);
+            self.gate.queue_vote(self.vote);
         }
         if !matches!(self.role, ReplicaRole::Follower) {
-            self.abandon_reads();
+            self.fail_reads();
             self.role = ReplicaRole::Follower;
-            self.reset_election();
+            self.reset_election_timer();
         }
         self.leader = leader;
     }
@@ -449,9 +449,9 @@
     /// When all replicas restart at once nobody leads, and every host waits for a first leader. A
     /// wait of several heartbeats would be most of the time without service. If there is a leader,
     /// pre-vote keeps a replica that asks too early from disturbing it.
-    fn begin_election(&mut self) {
-        let pause = self.settings.heartbeat / START_PART;
-        self.election_at = self.now + pause + self.random_part(pause);
+    fn set_start_timer(&mut self) {
+        let pause = self.settings.heartbeat / START_DELAY_DIVISOR;
+        self.election_at = self.now + pause + self.random_below(pause);
     }
 
     /// Whether the process has just started. The others may have started with it and may not be
@@ -461,21 +461,21 @@
     }
 
     /// Sets when to repeat the pre-vote requests.
-    pub(crate) fn renew_election(&mut self) {
+    pub(crate) fn renew_election_timer(&mut self) {
         if self.has_just_started() {
-            self.begin_election();
+            self.set_start_timer();
         } else {
-            self.reset_election();
+            self.reset_election_timer();
         }
     }
 
     /// Sets when to give up its candidacy. The delay leaves time to sync the votes.
-    pub(crate) fn await_votes(&mut self) {
+    pub(crate) fn set_vote_timer(&mut self) {
         if self.has_just_started() {
-            let beat = self.settings.heartbeat;
-            self.election_at = self.now + beat + self.random_part(beat);
+            let heartbeat = self.settings.heartbeat;
+            self.election_at = self.now + heartbeat + self.random_below(heartbeat);
         } else {
-            self.reset_election();
+            self.reset_election_timer();
         }
     }
 
@@ -484,25 +484,25 @@
     /// Its own pre-vote requests become void. Otherwise it would become a candidate on their
     /// replies, both replicas would vote for themselves, and nobody would be elected until both
     /// give up.
-    pub(crate) fn yield_election(&mut self, to: MemberId) {
+    pub(crate) fn defer_election(&mut self, to: MemberId) {
         let is_asking =
             matches!(self.role, ReplicaRole::Follower | ReplicaRole::PreCandidate { .. });
-        if to < self.me && is_asking && self.has_just_started() && self.yields < YIELD_LIMIT {
-            self.yields += 1;
+        if to < self.me && is_asking && self.has_just_started() && self.deferrals < DEFERRAL_LIMIT {
+            self.deferrals += 1;
             self.role = ReplicaRole::Follower;
             self.election_at = self.election_at.max(self.now + self.settings.heartbeat / 2);
         }
     }
 
     /// Returns a random duration below a limit.
-    fn random_part(&mut self, limit: Duration) -> Duration {
+    fn random_below(&mut self, limit: Duration) -> Duration {
         let micros = u64::try_from(limit.as_micros()).unwrap_or(u64::MAX / 4).max(1);
         Duration::from_micros(self.random.random_range(0..micros))
     }
 
-    pub(crate) fn reset_election(&mut self) {
+    pub(crate) fn reset_election_timer(&mut self) {
         let shortest = self.settings.election_timeout;
-        self.election_at = self.now + shortest + self.random_part(shortest);
+        self.election_at = self.now + shortest + self.random_below(shortest);
     }
 
     pub(crate) fn flush(&mut self) {
--- a/crates/pulley_core/src/version/replica/replica_sending.rs
+++ b/crates/pulley_core/src/version/replica/snapshot_sending.rs
@@ -35,14 +35,14 @@
     }
 
     pub(crate) fn on_snapshot_reply(&mut self, from: MemberId, reply: SnapshotReply) {
-        let Some(progress) = self.hear_reply(from, reply.term, reply.round) else { return };
-        let more = progress.note_received(&reply);
+        let Some(progress) = self.accept_reply(from, reply.term, reply.round) else { return };
+        let more = progress.record_snapshot_reply(&reply);
         if reply.installed {
             self.advance_commit();
             self.send_entries(from);
         } else if more {
             self.send_chunk(from);
         }
-        self.finish_reads();
+        self.confirm_reads();
     }
 }
--- a/crates/pulley_core/tests/replica_promises.rs
+++ b/crates/pulley_core/tests/replica_promises.rs
@@ -83,7 +83,7 @@
 // term. Two leaders would then accept different sheets under one version. The grant must therefore
 // not be sent before the vote is on disk, and the vote must still count after a restart.
 #[test]
-fn a_vote_leaves_only_once_it_is_on_disk() {
+fn a_vote_is_sent_only_once_it_is_on_disk() {
     let mut node = node(&RecoveredState::default());
     deliver(&mut node, SECOND, vote_request(1));
     let effects = node.take_effects();
--- a/crates/pulleyd/tests/replica/audit_tests.rs
+++ b/crates/pulleyd/tests/replica/audit_tests.rs
@@ -27,7 +27,7 @@
         {
             request.actor = TENTH_ACTOR.parse().expect("a valid name");
         }
-        cluster.settle_quickly(&question);
+        cluster.ask_leader_quickly(&question);
     }
     cluster
 }
@@ -55,7 +55,7 @@
     for number in 0..3 {
         cluster.start(number);
     }
-    let found = records(cluster.settle(&first_change()));
+    let found = records(cluster.ask_leader(&first_change()));
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].actor.as_str(), TENTH_ACTOR);
     let status = cluster.driver(0).machines().configuration.audit_trail().sealed();
@@ -69,12 +69,12 @@
     let mut cluster = long_trail();
     let actor = Some(TENTH_ACTOR.parse().expect("a valid name"));
     let filter = AuditFilter { actor, ..AuditFilter::default() };
-    let all = records(cluster.settle(&ReplicaQuestion::Audit(filter.clone())));
+    let all = records(cluster.ask_leader(&ReplicaQuestion::Audit(filter.clone())));
     let versions: Vec<u64> = all.iter().map(|record| record.base.0).collect();
     let newest_first: Vec<u64> = (0..CHANGES).rev().filter(|version| version % 10 == 0).collect();
     assert_eq!(versions, newest_first);
     let limited = AuditFilter { limit: 230, ..filter };
-    let some = records(cluster.settle(&ReplicaQuestion::Audit(limited)));
+    let some = records(cluster.ask_leader(&ReplicaQuestion::Audit(limited)));
     assert_eq!(some, all[..230]);
 }
 
@@ -83,10 +83,10 @@
 #[test]
 fn a_new_replica_copies_old_records_and_says_so_until_then() {
     let mut cluster = long_trail();
-    cluster.settle(&ReplicaQuestion::Change(ReplicaChange::Add(host_name(3))));
+    cluster.ask_leader(&ReplicaQuestion::Change(ReplicaChange::Add(host_name(3))));
     cluster.add_host(host_name(3), MemberId(0));
     cluster.run_until(Duration::from_secs(60), FakeCluster::all_vote);
-    cluster.hand_to(3);
+    cluster.transfer_to(3);
     let refused = ReplicaAnswer::Refused(ReplicaRefusal::AuditIncomplete);
     let token = cluster.ask(3, first_change());
     cluster.run(Duration::from_millis(200));
--- a/crates/pulleyd/tests/replica/departure_tests.rs
+++ b/crates/pulleyd/tests/replica/departure_tests.rs
@@ -44,7 +44,7 @@
 
 /// Asks the leader for its applied index, as a replica does that has just started.
 fn applied_by_leader(cluster: &mut FakeCluster) -> LogIndex {
-    match cluster.settle_quickly(&ReplicaQuestion::Applied) {
+    match cluster.ask_leader_quickly(&ReplicaQuestion::Applied) {
         ReplicaAnswer::Applied(index) => index,
         answer => panic!("no answer to the question: {answer:?}"),
     }
@@ -54,13 +54,13 @@
 // five disks are lost. Every returning replica that has applied what the new leader has applied
 // must know of the departure, and must not offer the upstream from its disk.
 #[test]
-fn an_acknowledged_departure_outlives_the_loss_of_any_two_disks() {
+fn an_acknowledged_departure_survives_the_loss_of_any_two_disks() {
     for first in 0..5 {
         for second in first..5 {
             let seed = 700 + first as u64 * 10 + second as u64;
             let mut cluster = FakeCluster::with_settings(5, seed, settings());
-            cluster.settle(&change("first", 0));
-            assert_eq!(cluster.settle_quickly(&departure(1)), ReplicaAnswer::Done);
+            cluster.ask_leader(&change("first", 0));
+            assert_eq!(cluster.ask_leader_quickly(&departure(1)), ReplicaAnswer::Done);
             let kept: Vec<usize> =
                 (0..5).filter(|number| *number != first && *number != second).collect();
             for number in 0..5 {
@@ -87,7 +87,7 @@
 /// A replica's start, and the departures it must know before it may offer what is on its disk.
 struct ReplicaStart {
     host: usize,
-    life: u64,
+    epoch: u64,
     token: u64,
     left_before: Vec<u64>,
 }
@@ -98,29 +98,29 @@
 // upstream that is gone.
 #[test]
 fn a_replica_knows_what_left_before_its_start_under_any_schedule() {
-    let (mut acknowledged, mut proved) = (0, 0);
+    let (mut acknowledged, mut verified) = (0, 0);
     for seed in 0..SCHEDULES {
         let mut random = Gen::from_size_and_seed(120, 30_000 + seed);
         let steps = Vec::<ScheduleStep>::arbitrary(&mut random);
         let (left, starts) = run_schedule(seed, steps);
         acknowledged += left;
-        proved += starts;
+        verified += starts;
     }
     assert!(acknowledged > SCHEDULES, "hardly any departure is acknowledged: {acknowledged}");
-    assert!(proved > SCHEDULES, "hardly any start is proved: {proved}");
+    assert!(verified > SCHEDULES, "hardly any start is verified: {verified}");
 }
 
 /// Returns the number of acknowledged departures and the number of verified starts.
 fn run_schedule(seed: u64, steps: Vec<ScheduleStep>) -> (u64, u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let cluster = FakeCluster::in_bad_weather(5, seed, settings());
+    let cluster = FakeCluster::on_unreliable_network(5, seed, settings());
     let mut run = ScheduleRun::of(cluster).with_disks_to_lose(2);
     let mut asked: Vec<(u64, u64)> = Vec::new();
     let mut left: Vec<u64> = Vec::new();
     let mut starts: Vec<ReplicaStart> = Vec::new();
-    let mut proved = 0;
+    let mut verified = 0;
     for step in steps {
-        let lives: Vec<u64> = (0..5).map(|host| run.cluster.life(host)).collect();
+        let epochs: Vec<u64> = (0..5).map(|host| run.cluster.epoch(host)).collect();
         // A departure acknowledged in this step may be so before or after a start within it.
         let left_before = left.clone();
         run.take(step);
@@ -131,12 +131,12 @@
                 let upstream = asked.len() as u64;
                 asked.push((cluster.ask(asked_host, departure(upstream)), upstream));
             }
-            for (host, before) in lives.iter().enumerate() {
-                let life = cluster.life(host);
-                if cluster.is_up(host) && (life != *before || random.random_bool(0.1)) {
+            for (host, before) in epochs.iter().enumerate() {
+                let epoch = cluster.epoch(host);
+                if cluster.is_up(host) && (epoch != *before || random.random_bool(0.1)) {
                     let token = cluster.ask(asked_host, ReplicaQuestion::Applied);
                     let left_before = left_before.clone();
-                    starts.push(ReplicaStart { host, life, token, left_before });
+                    starts.push(ReplicaStart { host, epoch, token, left_before });
                 }
             }
         }
@@ -145,25 +145,29 @@
         };
         left = asked.iter().filter(is_done).map(|(_, upstream)| *upstream).collect();
         starts.retain(|start| {
-            let is_same = cluster.is_up(start.host) && cluster.life(start.host) == start.life;
+            let is_same = cluster.is_up(start.host) && cluster.epoch(start.host) == start.epoch;
             let Some(ReplicaAnswer::Applied(index)) = cluster.answers.get(&start.token) else {
                 return is_same;
             };
             if is_same && cluster.driver(start.host).node().taken_index() >= *index {
-                proved += 1;
+                verified += 1;
                 for upstream in &start.left_before {
                     let is_known = has_left(cluster, start.host, *upstream);
-                    assert!(is_known, "seed {seed}: host {} offers {upstream}", start.host);
+                    assert!(
+                        is_known,
+                        "seed {seed}: host {} offers departed upstream {upstream}",
+                        start.host
+                    );
                 }
                 return false;
             }
             is_same
         });
     }
-    (left.len() as u64, proved)
+    (left.len() as u64, verified)
 }
 
-fn applied(machines: &mut ReplicaMachines, index: u64) {
+fn apply_departure(machines: &mut ReplicaMachines, index: u64) {
     let command = LogCommand::Departure(start(index));
     let entry = LogEntry { index: LogIndex(index), term: Term(1), time: LogTime(index), command };
     machines.apply(&entry);
@@ -175,14 +179,14 @@
 fn a_directory_older_than_the_departures_kept_is_not_covered() {
     let mut machines = ReplicaMachines::default();
     let kept = DEPARTURES_KEPT as u64;
-    (1..=kept + 10).for_each(|index| applied(&mut machines, index));
+    (1..=kept + 10).for_each(|index| apply_departure(&mut machines, index));
     assert_eq!(machines.departures.len(), DEPARTURES_KEPT);
     assert!(!machines.departures.has_left(&start(10)));
     assert!(machines.departures.has_left(&start(11)));
     assert!(!machines.departures.covers(LogIndex(9)));
     assert!(machines.departures.covers(LogIndex(10)));
-    applied(&mut machines, kept + 10);
-    assert_eq!(machines.departures.len(), DEPARTURES_KEPT, "a resend takes no place");
+    apply_departure(&mut machines, kept + 10);
+    assert_eq!(machines.departures.len(), DEPARTURES_KEPT, "a resend must not add a departure");
 }
 
 // A replica is updated to this release with a snapshot of the previous one, which has no
@@ -195,12 +199,12 @@
         time: LogTime(0),
         members: ReplicaMembership::default(),
     };
-    let former = (ConfigurationMachine::default(), LedgerMachine::default());
-    let state = postcard::to_stdvec(&former).expect("it can be encoded");
+    let previous = (ConfigurationMachine::default(), LedgerMachine::default());
+    let state = postcard::to_stdvec(&previous).expect("it can be encoded");
     let snapshot = ReplicaSnapshot { place: place.clone(), state: state.into() };
     let mut machines = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert!(machines.departures.is_empty());
-    applied(&mut machines, 2);
+    apply_departure(&mut machines, 2);
     let snapshot = machines.snapshot(place).expect("it can be encoded");
     let restored = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert_eq!(restored.departures, machines.departures);
--- a/crates/pulleyd/tests/replica/evacuation_tests.rs
+++ b/crates/pulleyd/tests/replica/evacuation_tests.rs
@@ -47,14 +47,14 @@
 // are lost. If the next leader does not know the evacuation, callers are sent to machines that are
 // being taken away.
 #[test]
-fn an_acknowledged_evacuation_outlives_the_loss_of_any_two_disks() {
+fn an_acknowledged_evacuation_survives_the_loss_of_any_two_disks() {
     for first in 0..5 {
         for second in first..5 {
             let seed = 800 + first as u64 * 10 + second as u64;
             let mut cluster = FakeCluster::with_settings(5, seed, settings());
-            cluster.settle(&change("first", 0));
+            cluster.ask_leader(&change("first", 0));
             let question = ReplicaQuestion::OrderZone(evacuate("order-1", 1));
-            let answer = cluster.settle_quickly(&question);
+            let answer = cluster.ask_leader_quickly(&question);
             assert!(matches!(answer, ReplicaAnswer::Zone(ZoneAnswer::Accepted { .. })));
             for number in 0..5 {
                 match number == first || number == second {
@@ -64,7 +64,7 @@
             }
             (0..5).for_each(|number| cluster.start(number));
             let ReplicaAnswer::Zones(zones) =
-                cluster.settle_quickly(&ReplicaQuestion::EvacuatedZones)
+                cluster.ask_leader_quickly(&ReplicaQuestion::EvacuatedZones)
             else {
                 panic!("no answer to the question");
             };
@@ -95,7 +95,7 @@
 /// Returns how many orders were accepted, and how many were overtaken.
 fn run_schedule(seed: u64, steps: Vec<ScheduleStep>) -> (u64, u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let cluster = FakeCluster::in_bad_weather(5, seed, settings());
+    let cluster = FakeCluster::on_unreliable_network(5, seed, settings());
     let mut run = ScheduleRun::of(cluster).with_disks_to_lose(2);
     let mut sent: BTreeMap<u64, ZoneOrder> = BTreeMap::new();
     for step in steps {
@@ -144,7 +144,7 @@
     let entry = LogEntry { index: LogIndex(index), term: Term(1), time: LogTime(index), command };
     match machines.apply(&entry) {
         MachineOutcome::Zone(answer) => answer,
-        outcome => panic!("an order came to {outcome:?}"),
+        outcome => panic!("unexpected outcome of an order: {outcome:?}"),
     }
 }
 
@@ -210,9 +210,9 @@
         time: LogTime(0),
         members: ReplicaMembership::default(),
     };
-    let former =
+    let previous =
         (ConfigurationMachine::default(), LedgerMachine::default(), DepartureMachine::default());
-    let state = postcard::to_stdvec(&former).expect("it can be encoded");
+    let state = postcard::to_stdvec(&previous).expect("it can be encoded");
     let snapshot = ReplicaSnapshot { place: place.clone(), state: state.into() };
     let mut machines = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert!(machines.evacuations.evacuated().zones.is_empty());
@@ -228,7 +228,7 @@
 #[test]
 fn a_leader_that_is_cut_off_acknowledges_no_order() {
     let mut cluster = FakeCluster::with_settings(5, 61, settings());
-    cluster.settle(&change("first", 0));
+    cluster.ask_leader(&change("first", 0));
     let old = cluster.leader().expect("a leader");
     cluster.isolate(old);
     let lost = cluster.ask(old, ReplicaQuestion::OrderZone(evacuate("lost", 1)));
--- a/crates/pulleyd/tests/replica/failure_tests.rs
+++ b/crates/pulleyd/tests/replica/failure_tests.rs
@@ -20,10 +20,10 @@
 fn of_two_racing_operators_one_is_refused() {
     let mut cluster = FakeCluster::new(3, 1);
     cluster.wait_for_leader();
-    assert_eq!(cluster.settle(&change("first", 0)), accepted(1));
+    assert_eq!(cluster.ask_leader(&change("first", 0)), accepted(1));
     let refusal = ChangeRefusal::VersionMoved { current: ConfigVersion(1) };
     let refused = ReplicaAnswer::Change(ChangeAnswer::Refused(refusal));
-    assert_eq!(cluster.settle(&change("second", 0)), refused);
+    assert_eq!(cluster.ask_leader(&change("second", 0)), refused);
     cluster.run(Duration::from_millis(500));
     for number in 0..3 {
         assert_eq!(cluster.version(number), ConfigVersion(1));
@@ -41,11 +41,11 @@
             let leader = cluster.wait_for_leader();
             cluster.ask(leader, change(&id, version));
             cluster.kill(leader);
-            let answer = cluster.settle(&change(&id, version));
+            let answer = cluster.ask_leader(&change(&id, version));
             assert_eq!(answer, accepted(version + 1));
             cluster.start(leader);
         } else {
-            assert_eq!(cluster.settle(&change(&id, version)), accepted(version + 1));
+            assert_eq!(cluster.ask_leader(&change(&id, version)), accepted(version + 1));
         }
     }
     cluster.run(Duration::from_secs(3));
@@ -60,14 +60,14 @@
 fn a_cut_off_leader_accepts_nothing() {
     let mut cluster = FakeCluster::new(3, 3);
     let old = cluster.wait_for_leader();
-    cluster.settle(&change("before", 0));
+    cluster.ask_leader(&change("before", 0));
     cluster.isolate(old);
     let token = cluster.ask(old, change("lost", 1));
     let read = cluster.ask(old, ReplicaQuestion::CurrentPlan);
     cluster.run(Duration::from_secs(5));
     assert!(matches!(cluster.answers[&token], ReplicaAnswer::Unknown { .. }));
     assert!(matches!(cluster.answers[&read], ReplicaAnswer::NotLeader { .. }));
-    assert_eq!(cluster.settle(&change("other", 1)), accepted(2));
+    assert_eq!(cluster.ask_leader(&change("other", 1)), accepted(2));
     cluster.heal();
     cluster.run(Duration::from_secs(3));
     assert_eq!(cluster.version(old), ConfigVersion(2));
@@ -76,7 +76,7 @@
 // The disk of one replica's host fills up, or fails to sync. Its content is then unknown. The
 // replica must not vote or acknowledge anything again and must report why, and the others continue.
 #[test]
-fn a_replica_whose_disk_fails_falls_silent() {
+fn a_replica_whose_disk_fails_stops_taking_part() {
     for full in [true, false] {
         let mut cluster = FakeCluster::new(3, 4);
         let leader = cluster.wait_for_leader();
@@ -95,7 +95,7 @@
         // The disk works again, but what the failed write left behind is unknown.
         disk.fail_appends(false);
         disk.fail_syncs(false);
-        let answer = cluster.settle(&change("first", 0));
+        let answer = cluster.ask_leader(&change("first", 0));
         assert_eq!(answer, accepted(1));
         assert_eq!(cluster.driver(leader).status().role, "failed");
         assert_ne!(cluster.leader(), Some(leader));
@@ -116,7 +116,7 @@
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     let (wiped, behind) = ((leader + 1) % 3, (leader + 2) % 3);
     cluster.kill(behind);
-    assert_eq!(cluster.settle(&change("kept", 0)), accepted(1));
+    assert_eq!(cluster.ask_leader(&change("kept", 0)), accepted(1));
     cluster.kill(leader);
     cluster.wipe(wiped);
     cluster.start(wiped);
@@ -140,7 +140,7 @@
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     for version in 0..30 {
         assert_eq!(
-            cluster.settle(&change(&format!("change-{version}"), version)),
+            cluster.ask_leader(&change(&format!("change-{version}"), version)),
             accepted(version + 1)
         );
     }
@@ -151,7 +151,7 @@
     cluster.run(Duration::from_secs(2));
     cluster.wipe(second);
     cluster.start(second);
-    assert_eq!(cluster.settle(&change("after", 30)), accepted(31));
+    assert_eq!(cluster.ask_leader(&change("after", 30)), accepted(31));
     cluster.run_until(Duration::from_secs(60), FakeCluster::all_vote);
     cluster.run(Duration::from_secs(1));
     for number in 0..5 {
@@ -171,10 +171,10 @@
     let mut cluster = FakeCluster::with_settings(3, 7, settings);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     for version in 0..400 {
-        cluster.settle_quickly(&change(&format!("change-{version}"), version));
+        cluster.ask_leader_quickly(&change(&format!("change-{version}"), version));
     }
     let host = host_name(3);
-    let added = cluster.settle(&ReplicaQuestion::Change(ReplicaChange::Add(host.clone())));
+    let added = cluster.ask_leader(&ReplicaQuestion::Change(ReplicaChange::Add(host.clone())));
     let ReplicaAnswer::Members(members) = added else { panic!("{added:?}") };
     let member = members.find_host(&host).expect("was added").clone();
     assert!(!member.voter);
@@ -182,10 +182,10 @@
     cluster.run_until(Duration::from_secs(60), FakeCluster::all_vote);
     cluster.run(Duration::from_secs(1));
     assert_eq!(cluster.version(3), ConfigVersion(400));
-    let removed = cluster.settle(&ReplicaQuestion::Change(ReplicaChange::Remove(MemberId(1))));
+    let removed = cluster.ask_leader(&ReplicaQuestion::Change(ReplicaChange::Remove(MemberId(1))));
     assert!(matches!(removed, ReplicaAnswer::Members(_)), "{removed:?}");
     cluster.run(Duration::from_secs(5));
-    assert_eq!(cluster.settle(&change("last", 400)), accepted(401));
+    assert_eq!(cluster.ask_leader(&change("last", 400)), accepted(401));
     assert_eq!(cluster.driver(0).status().role, "outsider");
 }
 
@@ -197,7 +197,7 @@
     let mut cluster = FakeCluster::with_settings(3, 8, settings);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     for version in 0..500 {
-        cluster.settle_quickly(&change(&format!("change-{version}"), version));
+        cluster.ask_leader_quickly(&change(&format!("change-{version}"), version));
         if version % 100 == 99 {
             for number in 0..3 {
                 cluster.kill(number);
@@ -207,16 +207,16 @@
             }
         }
     }
-    assert_eq!(cluster.settle(&change("change-7", 7)), accepted(8));
+    assert_eq!(cluster.ask_leader(&change("change-7", 7)), accepted(8));
     let refusal = ChangeAnswer::Refused(ChangeRefusal::ChangeIdReused);
-    assert_eq!(cluster.settle(&change("change-7", 500)), ReplicaAnswer::Change(refusal));
-    assert_eq!(cluster.settle(&change("next", 500)), accepted(501));
+    assert_eq!(cluster.ask_leader(&change("change-7", 500)), ReplicaAnswer::Change(refusal));
+    assert_eq!(cluster.ask_leader(&change("next", 500)), accepted(501));
 }
 
 // The disk of the leader's host hangs without an error while its network works. The other hosts
 // would keep hearing the leader and wait for it, and no change or claim would be answered.
 #[test]
-fn a_leader_whose_disk_hangs_gives_way() {
+fn a_leader_whose_disk_hangs_steps_down() {
     let mut cluster = FakeCluster::new(3, 9);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     let old = cluster.wait_for_leader();
@@ -226,7 +226,7 @@
     assert!(matches!(cluster.answers[&token], ReplicaAnswer::Unknown { .. }));
     let new = cluster.wait_for_leader();
     assert_ne!(new, old);
-    assert_eq!(cluster.settle(&change("first", 0)), accepted(1));
+    assert_eq!(cluster.ask_leader(&change("first", 0)), accepted(1));
     cluster.run(Duration::from_secs(10));
     assert_ne!(cluster.leader(), Some(old));
     cluster.hosts[old].disk_hangs = false;
@@ -238,15 +238,15 @@
 // believes that it leads. What it then sends must not count, and a read through it must not show an
 // older sheet than the one accepted meanwhile.
 #[test]
-fn a_leader_that_stood_still_serves_nothing_old() {
+fn a_paused_leader_serves_nothing_stale() {
     let mut cluster = FakeCluster::new(3, 12);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     let old = cluster.wait_for_leader();
-    assert_eq!(cluster.settle(&change("before", 0)), accepted(1));
+    assert_eq!(cluster.ask_leader(&change("before", 0)), accepted(1));
     cluster.pause(old, Duration::from_secs(6));
     cluster.run_until(Duration::from_secs(5), |cluster| cluster.leader() != Some(old));
     cluster.run(Duration::from_secs(1));
-    assert_eq!(cluster.settle(&change("meanwhile", 1)), accepted(2));
+    assert_eq!(cluster.ask_leader(&change("meanwhile", 1)), accepted(2));
     // The first input that the old leader handles after the pause is this question.
     cluster.hosts[old].paused_until = cluster.now;
     let read = cluster.ask(old, ReplicaQuestion::CurrentPlan);
@@ -261,7 +261,7 @@
 // never committed, and the others may later assign the same id to another disk. The host must wait
 // for a committed id, and vote again once the partition has healed.
 #[test]
-fn an_id_counts_only_once_it_is_committed() {
+fn a_member_id_is_valid_only_once_it_is_committed() {
     let mut cluster = FakeCluster::new(5, 13);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     let leader = cluster.wait_for_leader();
@@ -285,11 +285,11 @@
 // its callers wait for a leader. A leader must be elected as soon as the third replica can be
 // asked, whatever the first two attempted before.
 #[test]
-fn a_leader_follows_the_third_of_five_replicas_at_once() {
+fn a_leader_is_elected_once_three_of_five_replicas_are_up() {
     let mut waits = Vec::new();
     for seed in 0..100 {
         let mut cluster = FakeCluster::new(5, 4_000 + seed);
-        cluster.settle(&change("first", 0));
+        cluster.ask_leader(&change("first", 0));
         (0..5).for_each(|number| cluster.kill(number));
         let pause = Duration::from_millis(300 + seed * 3);
         cluster.start(seed as usize % 5);
@@ -304,7 +304,7 @@
     waits.sort();
     // One round of pre-vote requests within 50 ms, and votes; a split round costs two heartbeats.
     assert!(waits[50] < Duration::from_millis(60), "the median: {:?}", waits[50]);
-    assert!(waits[95] < Duration::from_millis(500), "the slowest but four: {:?}", waits[95]);
+    assert!(waits[95] < Duration::from_millis(500), "the fifth slowest: {:?}", waits[95]);
 }
 
 // As above, but the last three replicas are back within a few milliseconds of each other and all
@@ -315,7 +315,7 @@
     let mut waits = Vec::new();
     for seed in 0..200 {
         let mut cluster = FakeCluster::new(5, 9_000 + seed);
-        cluster.settle(&change("first", 0));
+        cluster.ask_leader(&change("first", 0));
         (0..5).for_each(|number| cluster.kill(number));
         let order = |place: usize| (seed as usize + place * (1 + seed as usize % 4)) % 5;
         cluster.start(order(0));
--- a/crates/pulleyd/tests/replica/fake_cluster.rs
+++ b/crates/pulleyd/tests/replica/fake_cluster.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 enum FakeEvent {
     Message { from: HostId, to: usize, body: Bytes },
-    Write { host: usize, life: u64, batch: PersistBatch },
+    Write { host: usize, epoch: u64, batch: PersistBatch },
 }
 
 const MILLISECOND: Duration = Duration::from_millis(1);
@@ -31,15 +31,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkFaults {
     pub(crate) loss: f64,
-    pub(crate) doubled: f64,
-    pub(crate) slowest: Duration,
+    pub(crate) duplicated: f64,
+    pub(crate) longest_delay: Duration,
     /// Longest duration of a write.
-    pub(crate) slowest_write: Duration,
+    pub(crate) longest_write: Duration,
 }
 
 impl NetworkFaults {
     pub(crate) const NONE: Self =
-        Self { loss: 0.0, doubled: 0.0, slowest: MILLISECOND, slowest_write: MILLISECOND };
+        Self { loss: 0.0, duplicated: 0.0, longest_delay: MILLISECOND, longest_write: MILLISECOND };
 }
 
 #[derive(Debug)]
@@ -48,9 +48,9 @@
     pub(crate) disk: FakeDisk,
     pub(crate) driver: Option<ReplicaDriver>,
     storage: Option<LogStorage<FakeDisk>>,
-    life: u64,
+    epoch: u64,
     /// Whether it loses power as soon as it has sent a message.
-    pub(crate) dies_on_send: bool,
+    pub(crate) loses_power_on_send: bool,
     /// Whether its disk hangs and finishes no write.
     pub(crate) disk_hangs: bool,
     /// The process is paused until then; incoming events wait.
@@ -107,13 +107,13 @@
 
     /// Creates a cluster whose hosts all vote, on a network that loses, duplicates and delays
     /// messages.
-    pub(crate) fn in_bad_weather(size: usize, seed: u64, settings: ReplicaSettings) -> Self {
+    pub(crate) fn on_unreliable_network(size: usize, seed: u64, settings: ReplicaSettings) -> Self {
         let mut cluster = Self::with_settings(size, seed, settings);
         cluster.faults = NetworkFaults {
             loss: 0.05,
-            doubled: 0.05,
-            slowest: Duration::from_millis(40),
-            slowest_write: Duration::from_millis(60),
+            duplicated: 0.05,
+            longest_delay: Duration::from_millis(40),
+            longest_write: Duration::from_millis(60),
         };
         cluster.run_until(Duration::from_secs(20), Self::all_vote);
         cluster
@@ -129,8 +129,8 @@
             disk,
             driver: None,
             storage: None,
-            life: 0,
-            dies_on_send: false,
+            epoch: 0,
+            loses_power_on_send: false,
             disk_hangs: false,
             paused_until: Moment::ZERO,
         });
@@ -146,7 +146,7 @@
         let host = &mut self.hosts[number];
         let (storage, recovered) =
             LogStorage::open_folder(host.disk.clone(), &host.identity, None).expect("opens");
-        host.life += 1;
+        host.epoch += 1;
         host.storage = Some(storage.with_segment_limit(4_096));
         let driver = ReplicaDriver::new(host.identity.clone(), recovered, settings, now, seed);
         host.driver = Some(driver);
@@ -156,13 +156,13 @@
     /// Kills a host's process; its disk loses unsynced data.
     pub(crate) fn kill(&mut self, number: usize) {
         let torn = self.random.random_bool(0.5);
-        let life = self.hosts[number].life;
+        let epoch = self.hosts[number].epoch;
         // A disk writes in order, so the earliest batch is the one that may be half written.
         let waiting = self
             .queue
             .iter()
             .filter_map(|(at, event)| match event {
-                FakeEvent::Write { host, life: of, batch } if *host == number && *of == life => {
+                FakeEvent::Write { host, epoch: of, batch } if *host == number && *of == epoch => {
                     Some((batch.ticket, *at))
                 }
                 _ => None,
@@ -178,10 +178,10 @@
             let _ = storage.write(&[batch]);
         }
         host.driver = None;
-        host.dies_on_send = false;
+        host.loses_power_on_send = false;
         host.paused_until = Moment::ZERO;
         host.storage = None;
-        host.life += 1;
+        host.epoch += 1;
         host.disk.crash(&mut self.random);
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Tells each replica which hosts hold one, as host membership does.
-    pub(crate) fn introduce_all(&mut self) {
+    pub(crate) fn update_replica_lists(&mut self) {
         let all: Vec<HostId> = self.hosts.iter().map(|host| host.identity.host.clone()).collect();
         for host in &mut self.hosts {
             if let Some(driver) = &mut host.driver {
@@ -211,10 +211,10 @@
     }
 
     /// Adds a host that no settings name and updates the replica lists.
-    pub(crate) fn add_newcomer(&mut self) -> usize {
+    pub(crate) fn add_new_host(&mut self) -> usize {
         let name = host_name(self.hosts.len());
         let number = self.add_host(name, MemberId::default());
-        self.introduce_all();
+        self.update_replica_lists();
         number
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Whether a host is up and its current disk votes, according to the leader.
-    pub(crate) fn votes(&self, number: usize) -> bool {
+    pub(crate) fn has_vote(&self, number: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let member = self.driver(number).node().member();
         self.is_up(number)
@@ -241,8 +241,8 @@
     }
 
     /// Whether a host is up and its current disk votes.
-    pub(crate) fn votes_now(&self, number: usize) -> bool {
-        self.is_up(number) && self.votes(number)
+    pub(crate) fn is_up_with_vote(&self, number: usize) -> bool {
+        self.is_up(number) && self.has_vote(number)
     }
 
     /// Whether a host has replaced a lost disk by a committed membership change.
@@ -266,7 +266,7 @@
     }
 
     pub(crate) fn all_vote(&self) -> bool {
-        (0..self.hosts.len()).all(|number| self.votes_now(number))
+        (0..self.hosts.len()).all(|number| self.is_up_with_vote(number))
     }
 
     /// Pauses a host's process, as a busy machine or a signal does.
@@ -276,7 +276,7 @@
 
     /// Makes a host lose power right after the next message it sends.
     pub(crate) fn kill_on_send(&mut self, number: usize) {
-        self.hosts[number].dies_on_send = true;
+        self.hosts[number].loses_power_on_send = true;
     }
 
     pub(crate) fn is_up(&self, number: usize) -> bool {
@@ -288,8 +288,8 @@
     }
 
     /// Returns a number that changes with each start and end of a host's process.
-    pub(crate) fn life(&self, number: usize) -> u64 {
-        self.hosts[number].life
+    pub(crate) fn epoch(&self, number: usize) -> u64 {
+        self.hosts[number].epoch
     }
 
     pub(crate) fn cut(&mut self, from: usize, to: usize) {
@@ -321,16 +321,16 @@
 
     /// Runs until the condition holds; panics if it does not within the limit.
     pub(crate) fn run_until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) {
-        let came = self.comes_about(limit, holds);
+        let has_held = self.holds_within(limit, holds);
         assert!(
-            came,
-            "did not come about within {limit:?} of virtual time: {:#?}",
+            has_held,
+            "the condition did not hold within {limit:?} of virtual time: {:#?}",
             self.statuses()
         );
     }
 
     /// Runs until the condition holds. Returns false if it does not within the limit.
-    pub(crate) fn comes_about(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
+    pub(crate) fn holds_within(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
         let until = self.now + limit;
         while !holds(self) {
             if !self.step(until) {
@@ -384,7 +384,7 @@
                 return false;
             }
             self.now = self.now.max(at);
-            self.feed(number, DriverInput::Tick);
+            self.handle_input(number, DriverInput::Tick);
             return true;
         }
         if event.is_none_or(|at| at > until) {
@@ -392,11 +392,11 @@
         }
         let Some(((at, _), event)) = self.queue.pop_first() else { return false };
         self.now = self.now.max(at);
-        self.happen(event);
+        self.handle_event(event);
         true
     }
 
-    fn happen(&mut self, event: FakeEvent) {
+    fn handle_event(&mut self, event: FakeEvent) {
         let number = match &event {
             FakeEvent::Message { to, .. } => *to,
             FakeEvent::Write { host, .. } => *host,
@@ -410,32 +410,32 @@
             FakeEvent::Message { from, to, body } => {
                 let receiver = &self.hosts[to].identity.host;
                 if !self.cuts.contains(&(from.clone(), receiver.clone())) {
-                    self.feed(to, DriverInput::Peer { from, body });
+                    self.handle_input(to, DriverInput::Peer { from, body });
                 }
             }
-            FakeEvent::Write { host, life, batch } => {
-                if self.hosts[host].life != life {
+            FakeEvent::Write { host, epoch, batch } => {
+                if self.hosts[host].epoch != epoch {
                     return;
                 }
                 // A disk writes in order, also after it has recovered.
                 let behind = self.queue.values().any(|queued| {
-                    matches!(queued, FakeEvent::Write { host: other, life: of, batch: earlier }
-                        if *other == host && *of == life && earlier.ticket < batch.ticket)
+                    matches!(queued, FakeEvent::Write { host: other, epoch: of, batch: earlier }
+                        if *other == host && *of == epoch && earlier.ticket < batch.ticket)
                 });
                 if self.hosts[host].disk_hangs || behind {
                     let later = self.now + Duration::from_millis(100);
-                    self.push(later, FakeEvent::Write { host, life, batch });
+                    self.push(later, FakeEvent::Write { host, epoch, batch });
                     return;
                 }
                 let Some(storage) = &mut self.hosts[host].storage else { return };
                 let ticket = batch.ticket;
                 let ok = storage.write(&[batch]).is_ok();
-                self.feed(host, DriverInput::Persisted { ticket, ok });
+                self.handle_input(host, DriverInput::Persisted { ticket, ok });
             }
         }
     }
 
-    fn feed(&mut self, number: usize, input: DriverInput) {
+    fn handle_input(&mut self, number: usize, input: DriverInput) {
         let now = self.now;
         let Some(driver) = &mut self.hosts[number].driver else { return };
         let outputs = driver.handle(now, input);
@@ -444,7 +444,7 @@
             sent |= matches!(output, DriverOutput::Send { .. });
             self.carry_out(number, output);
         }
-        if sent && self.hosts[number].dies_on_send {
+        if sent && self.hosts[number].loses_power_on_send {
             self.kill(number);
         }
         if let Some(driver) = &self.hosts[number].driver {
@@ -456,26 +456,26 @@
         match output {
             DriverOutput::Send { to, body } => self.send(number, &to, &body),
             DriverOutput::Persist { batch, .. } => {
-                let at = self.now + self.delay(self.faults.slowest_write);
+                let at = self.now + self.delay(self.faults.longest_write);
                 // A disk writes in order.
                 let last = self.queue.iter().rev().find_map(|(key, event)| match event {
                     FakeEvent::Write { host, .. } if *host == number => Some(key.0),
                     _ => None,
                 });
                 let at = last.map_or(at, |last| last.max(at));
-                let life = self.hosts[number].life;
-                self.push(at, FakeEvent::Write { host: number, life, batch });
+                let epoch = self.hosts[number].epoch;
+                self.push(at, FakeEvent::Write { host: number, epoch, batch });
             }
             DriverOutput::ReadAudit(read) => {
                 let records = read_audit(&self.hosts[number].disk, &read);
-                self.feed(number, DriverInput::AuditRead { read: read.read, records });
+                self.handle_input(number, DriverInput::AuditRead { read: read.read, records });
             }
             DriverOutput::Answer { token, answer } => {
-                self.invariants.note_answer(token, &answer);
+                self.invariants.record_answer(token, &answer);
                 self.answers.insert(token, answer);
             }
-            DriverOutput::InForce(plan) => self.invariants.note_in_force(number, plan.version),
-            DriverOutput::ZonesInForce(zones) => self.invariants.note_zones(number, &zones),
+            DriverOutput::InForce(plan) => self.invariants.record_in_force(number, plan.version),
+            DriverOutput::ZonesInForce(zones) => self.invariants.record_zones(number, &zones),
         }
     }
 
@@ -486,10 +486,10 @@
             return;
         }
         let from = self.hosts[number].identity.host.clone();
-        let copies = if self.random.random_bool(self.faults.doubled) { 2 } else { 1 };
+        let copies = if self.random.random_bool(self.faults.duplicated) { 2 } else { 1 };
         for _ in 0..copies {
             if !self.random.random_bool(self.faults.loss) {
-                let at = self.now + self.delay(self.faults.slowest);
+                let at = self.now + self.delay(self.faults.longest_delay);
                 let (from, body) = (from.clone(), body.clone());
                 self.push(at, FakeEvent::Message { from, to, body });
             }
@@ -513,18 +513,18 @@
     pub(crate) fn ask(&mut self, number: usize, question: ReplicaQuestion) -> u64 {
         self.next_token += 1;
         let token = self.next_token;
-        self.invariants.note_question(token, &question);
-        self.feed(number, DriverInput::Ask { token, question });
+        self.invariants.record_question(token, &question);
+        self.handle_input(number, DriverInput::Ask { token, question });
         token
     }
 
     /// Tells a host to transfer leadership.
     pub(crate) fn transfer(&mut self, number: usize) {
-        self.feed(number, DriverInput::TransferLeadership);
+        self.handle_input(number, DriverInput::TransferLeadership);
     }
 
     /// Transfers leadership until the given host leads.
-    pub(crate) fn hand_to(&mut self, number: usize) {
+    pub(crate) fn transfer_to(&mut self, number: usize) {
         for _ in 0..50 {
             let leader = self.wait_for_leader();
             if leader == number {
@@ -537,7 +537,7 @@
     }
 
     /// Asks the current leader until there is a definite answer.
-    pub(crate) fn settle(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
+    pub(crate) fn ask_leader(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
         for _ in 0..200 {
             let Some(leader) = self.leader() else {
                 self.run(Duration::from_millis(50));
@@ -555,7 +555,7 @@
 
     /// Asks the current leader until there is a definite answer, and runs only until each answer
     /// arrives.
-    pub(crate) fn settle_quickly(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
+    pub(crate) fn ask_leader_quickly(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
         loop {
             let leader = self.wait_for_leader();
             let token = self.ask(leader, question.clone());
--- a/crates/pulleyd/tests/replica/given_version_tests.rs
+++ b/crates/pulleyd/tests/replica/given_version_tests.rs
@@ -33,16 +33,16 @@
 // The newer one must stay in force, and the older one's operator must not be told that it was
 // refused.
 #[test]
-fn a_lower_version_is_done_with_and_changes_nothing() {
+fn a_lower_version_is_superseded_and_changes_nothing() {
     let mut cluster = FakeCluster::new(3, 1);
     cluster.wait_for_leader();
-    assert_eq!(cluster.settle(&given("a", 7, "seven")), accepted(7));
-    assert_eq!(cluster.settle(&given("b", 12, "twelve")), accepted(12));
-    let late = cluster.settle(&given("c", 9, "nine"));
+    assert_eq!(cluster.ask_leader(&given("a", 7, "seven")), accepted(7));
+    assert_eq!(cluster.ask_leader(&given("b", 12, "twelve")), accepted(12));
+    let late = cluster.ask_leader(&given("c", 9, "nine"));
     assert_eq!(late, answer(ChangeAnswer::Superseded { current: ConfigVersion(12) }));
     // A change that was accepted once is acknowledged again, although a higher version is in force
     // by now.
-    assert_eq!(cluster.settle(&given("a", 7, "seven")), accepted(7));
+    assert_eq!(cluster.ask_leader(&given("a", 7, "seven")), accepted(7));
     cluster.run(Duration::from_secs(1));
     for number in 0..3 {
         let plan = cluster.driver(number).machines().configuration.current().clone();
@@ -56,10 +56,10 @@
 fn the_same_version_with_other_content_is_refused() {
     let mut cluster = FakeCluster::new(3, 2);
     cluster.wait_for_leader();
-    assert_eq!(cluster.settle(&given("a", 7, "seven")), accepted(7));
+    assert_eq!(cluster.ask_leader(&given("a", 7, "seven")), accepted(7));
     let refusal = ChangeRefusal::VersionTaken { version: ConfigVersion(7) };
     let refused = answer(ChangeAnswer::Refused(refusal));
-    assert_eq!(cluster.settle(&given("b", 7, "other")), refused);
+    assert_eq!(cluster.ask_leader(&given("b", 7, "other")), refused);
     let leader = cluster.wait_for_leader();
     assert_eq!(cluster.driver(leader).machines().configuration.current().sheet, "seven");
 }
@@ -73,7 +73,7 @@
     for step in 1..=200_u64 {
         let version = step * 3;
         let id = format!("change-{step}");
-        assert_eq!(cluster.settle_quickly(&given(&id, version, &id)), accepted(version));
+        assert_eq!(cluster.ask_leader_quickly(&given(&id, version, &id)), accepted(version));
     }
     (0..3).for_each(|number| cluster.kill(number));
     (0..3).for_each(|number| cluster.start(number));
--- a/crates/pulleyd/tests/replica/growth_schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/growth_schedule_tests.rs
@@ -14,11 +14,11 @@
 const SCHEDULES: u64 = 500;
 
 /// Number of disks that may be lost at the same time.
-const TOLERATED: usize = 2;
+const TOLERATED_LOSSES: usize = 2;
 
 /// Number of steps after which all hosts that are only down, cut off or paused come back for a
 /// while.
-const SPELL: usize = 45;
+const RECOVERY_INTERVAL: usize = 45;
 
 /// A cluster whose hosts lose disks or are gone for good while others replace them.
 struct GrowthRun {
@@ -41,47 +41,47 @@
     fn new(seed: u64) -> Self {
         let settings = ReplicaSettings::default()
             .with_growth(true)
-            .with_copies(TOLERATED + 1)
+            .with_copies(TOLERATED_LOSSES + 1)
             .with_snapshot_weight(2_000);
         let mut cluster = FakeCluster::with_settings(3, seed, settings);
-        cluster.introduce_all();
-        cluster.add_newcomer();
-        cluster.add_newcomer();
+        cluster.update_replica_lists();
+        cluster.add_new_host();
+        cluster.add_new_host();
         cluster.run_until(Duration::from_secs(30), FakeCluster::all_vote);
         cluster.forget_founders();
         cluster.faults = NetworkFaults {
             loss: 0.05,
-            doubled: 0.05,
-            slowest: Duration::from_millis(40),
-            slowest_write: Duration::from_millis(60),
+            duplicated: 0.05,
+            longest_delay: Duration::from_millis(40),
+            longest_write: Duration::from_millis(60),
         };
         let run = ScheduleRun::of(cluster);
         Self { run, gone: BTreeSet::new(), missing: Vec::new(), lost: 0 }
     }
 
-    fn living(&self) -> Vec<usize> {
+    fn remaining(&self) -> Vec<usize> {
         (0..self.run.cluster.hosts.len()).filter(|number| !self.gone.contains(number)).collect()
     }
 
     fn take(&mut self, step: ScheduleStep) {
-        let living = self.living();
-        let step = step.with_hosts(|drawn| living[drawn % living.len()]);
+        let remaining = self.remaining();
+        let step = step.with_hosts(|drawn| remaining[drawn % remaining.len()]);
         match step {
-            ScheduleStep::Wipe { host } => self.lose(host),
+            ScheduleStep::Wipe { host } => self.lose_disk(host),
             _ => self.run.take(step),
         }
-        self.run.cluster.introduce_all();
+        self.run.cluster.update_replica_lists();
     }
 
     /// Loses a disk, with or without its host, unless too many are missing already.
     ///
     /// A disk is missing until its successor's vote is committed and the lost disk's vote is gone.
     /// Before that, a third loss leaves two of five, from which no replica set can recover.
-    fn lose(&mut self, host: usize) {
+    fn lose_disk(&mut self, host: usize) {
         let cluster = &mut self.run.cluster;
         self.missing.retain(|disk| !cluster.has_replaced(disk.lost, disk.successor));
         let is_successor = self.missing.iter().any(|disk| disk.successor == host);
-        if self.missing.len() >= TOLERATED || is_successor {
+        if self.missing.len() >= TOLERATED_LOSSES || is_successor {
             return;
         }
         self.lost += 1;
@@ -95,30 +95,35 @@
                 cluster.kill(host);
             }
             self.gone.insert(host);
-            self.missing.push(MissingDisk { lost, successor: cluster.add_newcomer() });
+            self.missing.push(MissingDisk { lost, successor: cluster.add_new_host() });
         }
     }
 
     /// Restores every host that did not lose its disk. Every host that is not gone must then get a
     /// vote.
-    fn settle(&mut self, seed: u64) {
-        let living = self.living();
+    fn recover(&mut self, seed: u64) {
+        let remaining = self.remaining();
         let cluster = &mut self.run.cluster;
         cluster.heal();
-        for number in &living {
-            cluster.hosts[*number].dies_on_send = false;
+        for number in &remaining {
+            cluster.hosts[*number].loses_power_on_send = false;
             cluster.hosts[*number].disk_hangs = false;
             if !cluster.is_up(*number) {
                 cluster.start(*number);
             }
         }
-        cluster.introduce_all();
-        let all_vote = |cluster: &FakeCluster| living.iter().all(|host| cluster.votes_now(*host));
-        let came = cluster.comes_about(Duration::from_secs(40), all_vote);
-        assert!(came, "seed {seed}: not every host has a vote again:\n{}", cluster.summary());
+        cluster.update_replica_lists();
+        let all_vote =
+            |cluster: &FakeCluster| remaining.iter().all(|host| cluster.is_up_with_vote(*host));
+        let has_recovered = cluster.holds_within(Duration::from_secs(40), all_vote);
+        assert!(
+            has_recovered,
+            "seed {seed}: not every host has a vote again:\n{}",
+            cluster.summary()
+        );
         // A host may still be paused for three seconds.
         cluster.run(Duration::from_secs(6));
-        for number in living {
+        for number in remaining {
             cluster.invariants.check_nothing_lost(cluster.driver(number));
         }
     }
@@ -134,9 +139,9 @@
     for seed in 90_000..90_000 + SCHEDULES {
         let mut random = Gen::from_size_and_seed(180, seed);
         let mut run = GrowthRun::new(seed);
-        for spell in Vec::<ScheduleStep>::arbitrary(&mut random).chunks(SPELL) {
-            spell.iter().for_each(|step| run.take(*step));
-            run.settle(seed);
+        for steps in Vec::<ScheduleStep>::arbitrary(&mut random).chunks(RECOVERY_INTERVAL) {
+            steps.iter().for_each(|step| run.take(*step));
+            run.recover(seed);
         }
         accepted += run.run.cluster.invariants.accepted.len() as u64;
         lost += run.lost;
--- a/crates/pulleyd/tests/replica/invariants.rs
+++ b/crates/pulleyd/tests/replica/invariants.rs
@@ -77,21 +77,24 @@
         }
     }
 
-    pub(crate) fn note_in_force(&mut self, number: usize, version: ConfigVersion) {
-        let former = self.in_force.insert(number, version).unwrap_or_default();
-        assert!(version >= former, "host {number} went from version {former} down to {version}");
+    pub(crate) fn record_in_force(&mut self, number: usize, version: ConfigVersion) {
+        let previous = self.in_force.insert(number, version).unwrap_or_default();
+        assert!(
+            version >= previous,
+            "host {number} went from version {previous} down to {version}"
+        );
     }
 
-    pub(crate) fn note_zones(&mut self, number: usize, zones: &EvacuatedZones) {
-        let former = self.zones.insert(number, zones.revision).unwrap_or_default();
+    pub(crate) fn record_zones(&mut self, number: usize, zones: &EvacuatedZones) {
+        let previous = self.zones.insert(number, zones.revision).unwrap_or_default();
         assert!(
-            zones.revision >= former,
-            "host {number} went from order {former} back to {}",
+            zones.revision >= previous,
+            "host {number} went from order {previous} back to {}",
             zones.revision
         );
     }
 
-    pub(crate) fn note_question(&mut self, token: u64, question: &ReplicaQuestion) {
+    pub(crate) fn record_question(&mut self, token: u64, question: &ReplicaQuestion) {
         if let ReplicaQuestion::Release { key, token } = question {
             self.releases.push((key.clone(), *token));
         }
@@ -105,18 +108,18 @@
         self.questions.insert(token, question.clone());
     }
 
-    pub(crate) fn note_answer(&mut self, token: u64, answer: &ReplicaAnswer) {
+    pub(crate) fn record_answer(&mut self, token: u64, answer: &ReplicaAnswer) {
         let Some(question) = self.questions.remove(&token) else {
             panic!("question {token} was answered twice or never asked");
         };
         match (question, answer) {
             (ReplicaQuestion::Apply(request), ReplicaAnswer::Change(answer)) => {
-                self.note_change(&request.change_id, request.expect, answer);
+                self.record_change(&request.change_id, request.expect, answer);
             }
             (
                 ReplicaQuestion::Claim { key, .. },
                 ReplicaAnswer::Claim(ClaimAnswer::Granted(token)),
-            ) => self.note_grant(&key, *token),
+            ) => self.record_grant(&key, *token),
             (ReplicaQuestion::CurrentPlan, ReplicaAnswer::Sheet(plan)) => {
                 let newest = self.reads.remove(&token).unwrap_or_default();
                 assert!(
@@ -141,7 +144,7 @@
         }
     }
 
-    fn note_change(&mut self, id: &ChangeId, base: ConfigVersion, answer: &ChangeAnswer) {
+    fn record_change(&mut self, id: &ChangeId, base: ConfigVersion, answer: &ChangeAnswer) {
         if let ChangeAnswer::Accepted { version } = answer {
             let owner = self.accepted.entry(*version).or_insert_with(|| id.clone());
             assert_eq!(owner, id, "version {version} was accepted twice");
@@ -150,12 +153,12 @@
         assert_eq!(first, answer, "change {id} has two outcomes");
     }
 
-    fn note_grant(&mut self, key: &SmolStr, token: FencingToken) {
+    fn record_grant(&mut self, key: &SmolStr, token: FencingToken) {
         self.granted += 1;
-        if let Some(former) = self.grants.insert(key.clone(), token) {
-            assert!(former < token, "key {key} was granted under a lower token");
+        if let Some(previous) = self.grants.insert(key.clone(), token) {
+            assert!(previous < token, "key {key} was granted under a lower token");
             assert!(
-                self.releases.contains(&(key.clone(), former)),
+                self.releases.contains(&(key.clone(), previous)),
                 "key {key} was granted twice without a release"
             );
         }
--- a/crates/pulleyd/tests/replica/large_configuration_tests.rs
+++ b/crates/pulleyd/tests/replica/large_configuration_tests.rs
@@ -32,7 +32,7 @@
     }
 
     /// Changes the weight of one route.
-    fn weigh(&mut self, place: usize, weight: u32) {
+    fn set_weight(&mut self, place: usize, weight: u32) {
         self.routes[place].1.route.weight = weight;
     }
 
@@ -70,14 +70,14 @@
     }
 }
 
-fn word(random: &mut StdRng, length: usize) -> String {
+fn random_word(random: &mut StdRng, length: usize) -> String {
     (0..length).map(|_| char::from(random.random_range(b'a'..=b'z'))).collect()
 }
 
 fn route(number: usize, random: &mut StdRng) -> (String, KindPlan) {
-    let name = format!("r-{}{number}", word(random, 5));
-    let host = format!("{}.example", word(random, 6));
-    let path = format!("/{}/{}/", word(random, 7), word(random, 4));
+    let name = format!("r-{}{number}", random_word(random, 5));
+    let host = format!("{}.example", random_word(random, 6));
+    let path = format!("/{}/{}/", random_word(random, 7), random_word(random, 4));
     let text = format!(
         "\"Name\":\"{name}\",\"Host\":\"{host}\",\"path_start\":\"{path}\",\"Kind\":\"safe\",\
          \"time_lim\":0.8,\"target_seconds\":0.3,\"Priority\":2"
@@ -120,14 +120,14 @@
 // Guards against a change that is logged but fits no frame. A change of 14,000 routes was put into
 // the log like that and blocked all later entries.
 #[test]
-fn many_routes_at_once_do_not_hold_up_the_log() {
+fn many_routes_at_once_do_not_block_the_log() {
     let mut cluster = FakeCluster::new(5, 1);
     cluster.wait_for_leader();
     let few = RouteSheet::new(140, 1);
     let many = RouteSheet::new(MANY_ROUTES, 1);
-    assert_eq!(cluster.settle_quickly(&few.question(5)), accepted(5));
-    assert_eq!(cluster.settle_quickly(&many.question(6)), accepted(6));
-    assert_eq!(cluster.settle_quickly(&few.question(7)), accepted(7));
+    assert_eq!(cluster.ask_leader_quickly(&few.question(5)), accepted(5));
+    assert_eq!(cluster.ask_leader_quickly(&many.question(6)), accepted(6));
+    assert_eq!(cluster.ask_leader_quickly(&few.question(7)), accepted(7));
     cluster.run(Duration::from_secs(1));
     for number in 0..5 {
         assert_eq!(cluster.version(number), ConfigVersion(7));
@@ -141,9 +141,9 @@
     let mut cluster = FakeCluster::new(3, 2);
     cluster.wait_for_leader();
     let mut routes = RouteSheet::new(MANY_ROUTES, 2);
-    assert_eq!(cluster.settle_quickly(&routes.question(6)), accepted(6));
-    routes.weigh(7_000, 7);
-    assert_eq!(cluster.settle_quickly(&routes.question(8)), accepted(8));
+    assert_eq!(cluster.ask_leader_quickly(&routes.question(6)), accepted(6));
+    routes.set_weight(7_000, 7);
+    assert_eq!(cluster.ask_leader_quickly(&routes.question(8)), accepted(8));
     let bytes = last_change_bytes(&cluster);
     assert!(bytes < 1_024, "{bytes} bytes");
     cluster.run(Duration::from_secs(1));
@@ -157,14 +157,14 @@
 // A change was stored as a difference from the version in force while another change was pending.
 // It was then applied to a different base.
 #[test]
-fn a_change_right_behind_another_builds_what_was_sent() {
+fn a_change_right_after_another_builds_what_was_sent() {
     let mut cluster = FakeCluster::new(3, 3);
     cluster.wait_for_leader();
     let mut routes = RouteSheet::new(200, 3);
-    assert_eq!(cluster.settle_quickly(&routes.question(1)), accepted(1));
+    assert_eq!(cluster.ask_leader_quickly(&routes.question(1)), accepted(1));
     let leader = cluster.wait_for_leader();
     let tokens = (2..6).map(|version| {
-        routes.weigh(version as usize, 7);
+        routes.set_weight(version as usize, 7);
         (version, cluster.ask(leader, routes.question(version)))
     });
     let tokens: Vec<(u64, u64)> = tokens.collect();
@@ -179,13 +179,13 @@
 // Leaders die and messages are lost while changes arrive in bursts. On every replica, the
 // configuration in force under a version must be the one sent under it.
 #[test]
-fn bursts_of_changes_in_bad_weather_build_what_was_sent() {
+fn bursts_of_changes_on_an_unreliable_network_build_what_was_sent() {
     for seed in 0..40 {
-        let mut cluster = FakeCluster::in_bad_weather(3, seed, ReplicaSettings::default());
+        let mut cluster = FakeCluster::on_unreliable_network(3, seed, ReplicaSettings::default());
         let mut routes = RouteSheet::new(30, seed);
         let mut sent = BTreeMap::new();
         for version in 1..60_u64 {
-            routes.weigh(version as usize % 30, version as u32);
+            routes.set_weight(version as usize % 30, version as u32);
             sent.insert(version, routes.request(version));
             for number in 0..3 {
                 if cluster.is_up(number) {
@@ -203,7 +203,7 @@
         }
         cluster.faults = NetworkFaults::NONE;
         cluster.wait_for_leader();
-        assert_eq!(cluster.settle(&routes.question(60)), accepted(60));
+        assert_eq!(cluster.ask_leader(&routes.question(60)), accepted(60));
         sent.insert(60, routes.request(60));
         cluster.run(Duration::from_secs(3));
         for number in 0..3 {
@@ -217,7 +217,7 @@
 
 // A configuration too large for a frame was put into the log. It must be refused before.
 #[test]
-fn what_is_too_large_is_refused_and_never_logged() {
+fn a_configuration_that_is_too_large_is_refused_and_never_logged() {
     let mut cluster = FakeCluster::new(3, 4);
     let leader = cluster.wait_for_leader();
     cluster.run(Duration::from_secs(1));
@@ -233,7 +233,7 @@
         let fault = SizeFault::check(&request).expect_err("it is too large").to_string();
         let refused = ChangeAnswer::Refused(ChangeRefusal::TooLarge { fault });
         let question = ReplicaQuestion::Apply(request);
-        assert_eq!(cluster.settle_quickly(&question), ReplicaAnswer::Change(refused));
+        assert_eq!(cluster.ask_leader_quickly(&question), ReplicaAnswer::Change(refused));
     }
     assert_eq!(cluster.driver(leader).node().last_index(), last);
 }
@@ -241,33 +241,33 @@
 // The largest configuration that is accepted must still fit a frame, even if its characters do not
 // compress.
 #[test]
-fn the_largest_configuration_accepted_passes_through() {
+fn the_largest_accepted_configuration_fits_a_frame() {
     let mut random = StdRng::seed_from_u64(5);
     let mut request = RouteSheet::new(1, 5).request(6);
     request.sheet =
         (0..SHEET_LIMIT).map(|_| char::from(random.random_range(b' '..=b'~'))).collect();
     let row = request.plan.kinds[0].clone();
     while SizeFault::check(&request).is_ok() {
-        let path_prefix = word(&mut random, 60_000).into();
+        let path_prefix = random_word(&mut random, 60_000).into();
         request.plan.kinds.push(KindPlan { path_prefix, ..row.clone() });
     }
     request.plan.kinds.pop();
     let mut cluster = FakeCluster::new(3, 5);
     cluster.wait_for_leader();
     let question = ReplicaQuestion::Apply(request);
-    assert_eq!(cluster.settle_quickly(&question), accepted(6));
+    assert_eq!(cluster.ask_leader_quickly(&question), accepted(6));
     cluster.run(Duration::from_secs(1));
     for number in 0..3 {
         assert_eq!(cluster.version(number), ConfigVersion(6));
     }
     let answer = ReplicaAnswer::Sheet(cluster.driver(0).machines().configuration.sheet());
-    for bytes in [routed(&question), answered(&answer)] {
+    for bytes in [question_bytes(&question), answer_bytes(&answer)] {
         assert!(bytes > SHEET_LIMIT && bytes <= FRAME_LIMIT, "{bytes} bytes");
     }
 }
 
 /// Returns the size of a question on its way to the leader, in bytes.
-fn routed(question: &ReplicaQuestion) -> usize {
+fn question_bytes(question: &ReplicaQuestion) -> usize {
     let mut router = QuestionRouter::new(host_name(0), 1);
     router.apply_replicas(vec![host_name(1)]);
     let (_, outputs) = router.ask(Moment::ZERO, question.clone()).expect("it has room");
@@ -275,7 +275,7 @@
 }
 
 /// Returns the size of an answer on its way back, in bytes.
-fn answered(answer: &ReplicaAnswer) -> usize {
+fn answer_bytes(answer: &ReplicaAnswer) -> usize {
     let mut asker = QuestionRouter::new(host_name(0), 1);
     asker.apply_replicas(vec![host_name(1)]);
     let (_, outputs) = asker.ask(Moment::ZERO, ReplicaQuestion::CurrentPlan).expect("it has room");
--- a/crates/pulleyd/tests/replica/schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/schedule_tests.rs
@@ -101,7 +101,7 @@
     fn new(size: usize, seed: u64) -> Self {
         let ledger = LedgerLimits { capacity: 4, ..LedgerLimits::default() };
         let settings = ReplicaSettings::default().with_ledger(ledger).with_snapshot_weight(2_000);
-        let cluster = FakeCluster::in_bad_weather(size, seed, settings);
+        let cluster = FakeCluster::on_unreliable_network(size, seed, settings);
         // At most as many disks may be lost as the cluster can do without.
         Self { disks_to_lose: (size - 1) / 2, ..Self::of(cluster) }
     }
@@ -207,7 +207,7 @@
         cluster.heal();
         cluster.faults = NetworkFaults::NONE;
         for number in 0..cluster.hosts.len() {
-            cluster.hosts[number].dies_on_send = false;
+            cluster.hosts[number].loses_power_on_send = false;
             cluster.hosts[number].disk_hangs = false;
             if !cluster.is_up(number) {
                 cluster.start(number);
