--- a/crates/pulley_core/src/version/replica/driver_founding.rs
+++ b/crates/pulley_core/src/version/replica/driver_founding.rs
@@ -1,4 +1,4 @@
-//! How a driver founds or joins a cluster, and answers hosts that want to.
+//! Founds or joins a cluster at the driver, and answers hosts that want to join.
 
 use std::time::Duration;
 
@@ -11,18 +11,19 @@
 };
 use crate::process::{HostId, MemberId, Moment};
 
-/// How often a replica that was removed asks to be let in again.
+/// Interval at which a removed replica asks to rejoin.
 const REJOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A replica that is no member any more asks for a new id.
+/// An attempt of a removed replica to get a new id.
 #[derive(Clone, Debug)]
-pub(crate) struct RejoinQuest {
+pub(crate) struct RejoinAttempt {
     pub(crate) leader: Option<HostId>,
-    pub(crate) ask_at: Moment,
+    pub(crate) next_request_at: Moment,
 }
 
-/// Most members of a cluster that grows by itself. Each further one costs the leader a copy of
-/// every entry; beyond nine, a commit waits for more disks than may be lost in any deployment.
+/// Maximum number of members of a cluster that grows automatically. Each further member costs the
+/// leader a copy of every entry; beyond nine, a commit waits for more disks than may be lost in any
+/// deployment.
 const MEMBER_LIMIT: usize = 9;
 
 impl ReplicaDriver {
@@ -31,7 +32,7 @@
         if let Some(founding) = &mut self.founding {
             founding.tick(now);
         }
-        self.settle_founding(now);
+        self.process_founding_effects(now);
     }
 
     pub(crate) fn persisted_founding(&mut self, now: Moment, ticket: PersistTicket, ok: bool) {
@@ -43,7 +44,7 @@
         if let Some(founding) = &mut self.founding {
             founding.persisted(now, ticket);
         }
-        self.settle_founding(now);
+        self.process_founding_effects(now);
     }
 
     pub(crate) fn receive_founding(
@@ -54,12 +55,12 @@
     ) {
         if let Some(founding) = &mut self.founding {
             founding.receive(now, from, message);
-            self.settle_founding(now);
+            self.process_founding_effects(now);
             return;
         }
         match message {
-            FoundingMessage::Hello { .. } => self.tell_founded(from),
-            FoundingMessage::Join { disk } => self.let_join(now, from, disk),
+            FoundingMessage::Hello { .. } => self.send_founded(from),
+            FoundingMessage::Join { disk } => self.admit_host(now, from, disk),
             FoundingMessage::Founded { members, leader } => {
                 self.on_removed(now, &members, leader);
             }
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Notes that this replica is no member any more, if that is what a committed membership says.
+    /// Records that this replica is no longer a member, if a committed membership says so.
     ///
-    /// A replica that was cut off may have been replaced. It would go on asking for votes that
-    /// nobody gives it, its host would lack a replica for good, and the next losses would find one
-    /// disk less than there are. Ids are never given twice: a membership that has given out later
-    /// ones and lacks this one has removed it, and cannot be one that is only older.
+    /// A replica that was cut off may have been replaced. It would keep asking for votes that
+    /// nobody grants, its host would lack a replica for good, and the next losses would leave one
+    /// usable disk less than there are. Ids are never reused. A membership that has assigned later
+    /// ids and lacks this one has therefore removed it, and cannot just be an older one.
     fn on_removed(&mut self, now: Moment, members: &ReplicaMembership, leader: Option<HostId>) {
         let me = self.identity.member;
         if !self.settings.grows || members.next_member <= me {
@@ -88,15 +89,16 @@
             return;
         }
         let known = self.rejoin.take().and_then(|rejoin| rejoin.leader);
-        self.rejoin = Some(RejoinQuest { leader: leader.or(known), ask_at: now });
+        self.rejoin = Some(RejoinAttempt { leader: leader.or(known), next_request_at: now });
     }
 
-    /// Asks the leader for a new id, as long as this replica is no member.
-    pub(crate) fn ask_to_rejoin(&mut self, now: Moment) {
-        let Some(rejoin) = self.rejoin.as_mut().filter(|rejoin| rejoin.ask_at <= now) else {
+    /// Asks the leader for a new id while this replica is not a member.
+    pub(crate) fn request_rejoin(&mut self, now: Moment) {
+        let Some(rejoin) = self.rejoin.as_mut().filter(|rejoin| rejoin.next_request_at <= now)
+        else {
             return;
         };
-        rejoin.ask_at = now + REJOIN_INTERVAL;
+        rejoin.next_request_at = now + REJOIN_INTERVAL;
         let Some(leader) = rejoin.leader.clone() else { return };
         self.send_founding(leader, FoundingMessage::Join { disk: self.disk });
     }
@@ -104,11 +106,11 @@
     fn rejoin_as(&mut self, member: MemberId) {
         if self.rejoin.take().is_some() && member > self.identity.member {
             self.identity.member = member;
-            self.node.rename(member);
+            self.node.set_member_id(member);
         }
     }
 
-    fn settle_founding(&mut self, now: Moment) {
+    fn process_founding_effects(&mut self, now: Moment) {
         let Some(founding) = &mut self.founding else { return };
         let effects = founding.take_effects();
         for (to, message) in effects.sends {
@@ -118,22 +120,23 @@
             self.outputs.push(DriverOutput::Persist { ticket: batch.ticket, batch });
         }
         if let Some((member, state)) = effects.start {
-            self.begin(now, member, &state);
+            self.start_node(now, member, &state);
         }
     }
 
-    fn begin(&mut self, now: Moment, member: MemberId, state: &RecoveredState) {
+    fn start_node(&mut self, now: Moment, member: MemberId, state: &RecoveredState) {
         self.founding = None;
         self.identity.member = member;
         let settings = self.node_settings();
         self.node = ReplicaNode::new(member, state, settings, now, self.seed);
     }
 
-    /// Tells a host with an empty disk that there is a cluster already.
+    /// Tells a host with an empty disk that the cluster already exists.
     ///
-    /// The host takes its id from this, so only what is committed may be told: the entry that gave
-    /// it an id could still be replaced, and the id be given to another disk.
-    pub(crate) fn tell_founded(&mut self, to: &HostId) {
+    /// The host takes its id from this message, so only committed members may be sent. An
+    /// uncommitted entry that assigned an id could still be replaced, and the id be given to
+    /// another disk.
+    pub(crate) fn send_founded(&mut self, to: &HostId) {
         let members = self.node.committed_members().clone();
         if members.members.is_empty() || self.node.failure().is_some() {
             return;
@@ -142,13 +145,13 @@
         self.send_founding(to.clone(), FoundingMessage::Founded { members, leader });
     }
 
-    /// Gives a host with an empty disk a new member id, if it is to hold the log.
-    fn let_join(&mut self, now: Moment, from: &HostId, disk: DiskId) {
+    /// Gives a host with an empty disk a new member id, if it may hold the log.
+    fn admit_host(&mut self, now: Moment, from: &HostId, disk: DiskId) {
         if !self.node.may_change_members() {
             return;
         }
         let Some(known) = self.node.members().find_host(from).cloned() else {
-            self.let_newcomer_join(now, from, disk);
+            self.admit_new_host(now, from, disk);
             return;
         };
         if known.disk == Some(disk) {
@@ -156,17 +159,17 @@
             self.send_founding(from.clone(), message);
             return;
         }
-        if let Some(command) = self.plan_join(now, &known, disk) {
+        if let Some(command) = self.join_command(now, &known, disk) {
             let _ = self.node.propose_members(now, command);
         }
     }
 
-    /// Makes a learner of a host that no operator has named, if the cluster grows by itself.
+    /// Adds a host that no operator has named as a learner, if the cluster grows automatically.
     ///
-    /// One at a time: with several learners a leader could lose its majority between two changes,
-    /// and a learner that has come to nothing would keep all others out.
-    fn let_newcomer_join(&mut self, now: Moment, from: &HostId, disk: DiskId) {
-        if !self.settings.grows || self.awaits_learner() {
+    /// Only one at a time: with several learners a leader could lose its majority between two
+    /// changes, and a learner that has failed would keep all others out.
+    fn admit_new_host(&mut self, now: Moment, from: &HostId, disk: DiskId) {
+        if !self.settings.grows || self.has_pending_learner() {
             return;
         }
         let members = self.node.members();
@@ -180,27 +183,27 @@
         }
     }
 
-    /// Whether a learner is on its way to its vote; one that has fallen silent does not count.
-    fn awaits_learner(&self) -> bool {
+    /// Whether a learner is catching up to become a voter; a silent one does not count.
+    fn has_pending_learner(&self) -> bool {
         let mut members = self.node.members().members.iter();
         members.any(|member| !member.voter && !self.node.is_silent(member.member))
     }
 
-    fn plan_join(&self, now: Moment, known: &ReplicaMember, disk: DiskId) -> Option<LogCommand> {
+    fn join_command(&self, now: Moment, known: &ReplicaMember, disk: DiskId) -> Option<LogCommand> {
         let members = self.node.members();
         if known.disk.is_none() {
             let what = format!("disk {disk} of {} {}", known.member, known.host);
             return self.members_command(now, members.with_disk(known.member, disk), what);
         }
-        // Two processes that claim to be one host must not throw each other out by turns: only a
-        // member that has fallen silent is replaced.
+        // Two processes that claim to be the same host must not keep replacing each other, so only
+        // a silent member is replaced.
         let last_voter = known.voter && members.voters().count() == 1;
         if last_voter || !self.node.is_silent(known.member) {
             return None;
         }
-        // Two hosts that lost their disks would else leave three voters of five, of which two
-        // could decide; replaced one after the other, it stays three.
-        if self.settings.grows && self.awaits_learner() {
+        // Otherwise two hosts that lost their disks would leave three voters of five, of which two
+        // could decide. If they are replaced one after the other, a majority stays three.
+        if self.settings.grows && self.has_pending_learner() {
             return None;
         }
         let (next, member) = members.without(known.member).with_learner(&known.host, Some(disk));
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -8,7 +8,7 @@
 
 use super::AuditArchive;
 use super::cluster_founding::ClusterFounding;
-use super::driver_founding::RejoinQuest;
+use super::driver_founding::RejoinAttempt;
 use super::driver_question::{WaitingQuestion, WaitingRead};
 use super::{
     ConfigVersion, DiskId, DriverInput, DriverOutput, LogCommand, LogEntry, LogIndex,
@@ -18,15 +18,15 @@
 };
 use crate::process::{FastMap, HostId, MemberId, Moment};
 
-/// How many hosts of members unknown to the membership are remembered.
-const STRANGER_LIMIT: usize = 64;
+/// Maximum number of remembered hosts whose members the membership does not list.
+const UNLISTED_LIMIT: usize = 64;
 
-/// Voters that are kept although they are silent.
-const LEAST_VOTERS: usize = 3;
+/// Minimum number of voters; silent ones are kept to preserve it.
+const MIN_VOTERS: usize = 3;
 
 /// One replica as the control thread uses it.
 ///
-/// Speaks in hosts and encoded messages; has no sockets, no disk and no clock.
+/// Addresses hosts and exchanges encoded messages; has no sockets, no disk and no clock.
 #[derive(Debug)]
 pub struct ReplicaDriver {
     pub(crate) identity: ReplicaIdentity,
@@ -36,8 +36,8 @@
     pub(crate) founding: Option<ClusterFounding>,
     /// The disk that the log is on.
     pub(crate) disk: DiskId,
-    /// Whom to ask for a new id, once it is known that this replica is no member any more.
-    pub(crate) rejoin: Option<RejoinQuest>,
+    /// The attempt to get a new id, once it is known that this replica is no longer a member.
+    pub(crate) rejoin: Option<RejoinAttempt>,
     pub(crate) node: ReplicaNode,
     pub(crate) machines: ReplicaMachines,
     pub(crate) waiting: BTreeMap<LogIndex, WaitingQuestion>,
@@ -45,21 +45,21 @@
     pub(crate) next_read: u64,
     pub(crate) archive: AuditArchive,
     /// Reads that a quorum has confirmed, with the entry that must be applied first.
-    confirmed: Vec<(u64, LogIndex)>,
-    /// Hosts of members that this replica's membership does not name yet.
-    strangers: FastMap<MemberId, HostId>,
+    confirmed_reads: Vec<(u64, LogIndex)>,
+    /// Hosts of members that this replica's membership does not list yet.
+    unlisted_hosts: FastMap<MemberId, HostId>,
     applied_weight: usize,
     snapshot_size: usize,
     unreadable_messages: u64,
-    /// The last entry held at the start; a version before it may be older than the one that was
-    /// in force here before.
+    /// The last entry held at the start. A version before it may be older than the one that was in
+    /// force here before the restart.
     recovered_last: LogIndex,
-    in_force_due: bool,
+    publish_due: bool,
     pub(crate) outputs: Vec<DriverOutput>,
 }
 
 impl ReplicaDriver {
-    /// Makes a driver from what the storage holds.
+    /// Creates a driver from the state recovered from the storage.
     #[must_use]
     pub fn new(
         mut identity: ReplicaIdentity,
@@ -100,18 +100,18 @@
             reads: FastMap::default(),
             next_read: 0,
             archive,
-            confirmed: Vec::new(),
-            strangers: FastMap::default(),
+            confirmed_reads: Vec::new(),
+            unlisted_hosts: FastMap::default(),
             applied_weight: 0,
             snapshot_size,
             unreadable_messages: 0,
             recovered_last,
-            in_force_due: snapshot_size > 0,
+            publish_due: snapshot_size > 0,
             outputs: Vec::new(),
         }
     }
 
-    /// Takes one input; returns what is to be done.
+    /// Handles one input and returns the outputs.
     pub fn handle(&mut self, now: Moment, input: DriverInput) -> Vec<DriverOutput> {
         match input {
             DriverInput::Tick if self.founding.is_some() => self.tick_founding(now),
@@ -120,7 +120,7 @@
             }
             DriverInput::Tick => {
                 self.node.tick(now);
-                self.ask_to_rejoin(now);
+                self.request_rejoin(now);
                 self.promote_learner(now);
                 self.fetch_chunk(now);
             }
@@ -130,26 +130,26 @@
             DriverInput::Ask { token, question } => self.ask(now, token, question),
             DriverInput::TransferLeadership => self.node.transfer_leadership(now),
         }
-        self.settle();
+        self.process_effects();
         std::mem::take(&mut self.outputs)
     }
 
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// When [`DriverInput::Tick`] is next needed.
+    /// Returns when [`DriverInput::Tick`] is next needed.
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         match &self.founding {
             Some(founding) => founding.next_wakeup(),
             None => {
-                let rejoin = self.rejoin.as_ref().map(|rejoin| rejoin.ask_at);
+                let rejoin = self.rejoin.as_ref().map(|rejoin| rejoin.next_request_at);
                 rejoin.map_or(self.node.next_wakeup(), |at| at.min(self.node.next_wakeup()))
             }
         }
     }
 
-    /// The host that leads, as far as this replica knows.
+    /// Returns the host that leads, as far as this replica knows.
     #[must_use]
     pub fn leader(&self) -> Option<HostId> {
         match &self.founding {
@@ -158,19 +158,19 @@
         }
     }
 
-    /// The log engine, for tests and status pages.
+    /// Returns the log engine, for tests and status pages.
     #[must_use]
     pub fn node(&self) -> &ReplicaNode {
         &self.node
     }
 
-    /// The state machines, for tests and status pages.
+    /// Returns the state machines, for tests and status pages.
     #[must_use]
     pub fn machines(&self) -> &ReplicaMachines {
         &self.machines
     }
 
-    /// How the replica is doing.
+    /// Returns the status of the replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         ReplicaStatus {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// What the replica does at the moment, in a word.
+    /// Returns the name of the replica's current role.
     #[must_use]
     pub fn role_name(&self) -> &'static str {
         if self.node.failure().is_some() {
@@ -229,31 +229,32 @@
             return;
         }
         match self.node.members().find(envelope.from) {
-            // A member speaks from its own host only.
+            // A member sends messages from its own host only.
             Some(member) if member.host != *from => return,
             Some(_) => {}
             None => {
-                self.note_stranger(envelope.from, from);
-                // One that was removed while it was cut off would ask for votes for ever.
+                self.record_unlisted_host(envelope.from, from);
+                // A replica that was removed while it was cut off would otherwise ask for votes
+                // forever.
                 if envelope.message.asks_for_vote() {
-                    self.tell_founded(from);
+                    self.send_founded(from);
                 }
             }
         }
         self.node.receive(now, envelope);
     }
 
-    fn note_stranger(&mut self, member: MemberId, host: &HostId) {
-        if self.strangers.len() >= STRANGER_LIMIT {
-            self.strangers.clear();
+    fn record_unlisted_host(&mut self, member: MemberId, host: &HostId) {
+        if self.unlisted_hosts.len() >= UNLISTED_LIMIT {
+            self.unlisted_hosts.clear();
         }
-        self.strangers.insert(member, host.clone());
+        self.unlisted_hosts.insert(member, host.clone());
     }
 
     fn host_of(&self, member: MemberId) -> Option<HostId> {
         match self.node.members().find(member) {
             Some(known) => Some(known.host.clone()),
-            None => self.strangers.get(&member).cloned(),
+            None => self.unlisted_hosts.get(&member).cloned(),
         }
     }
 
@@ -266,14 +267,14 @@
     // ---------------------------------------------------------------------------------------------
     // After each step
 
-    /// Carries out what the last step brought about, until nothing more follows from it.
-    fn settle(&mut self) {
+    /// Processes the effects of the last step until no further effects follow.
+    fn process_effects(&mut self) {
         loop {
             let effects = self.node.take_effects();
             let wants_snapshot = effects.wants_snapshot;
-            self.carry_out(effects);
+            self.emit_effects(effects);
             let applied = self.apply_committed();
-            self.finish_confirmed();
+            self.finish_confirmed_reads();
             if wants_snapshot {
                 self.offer_snapshot();
             }
@@ -281,34 +282,36 @@
                 break;
             }
         }
-        self.announce_plan();
+        self.publish_in_force();
         if !self.node.is_leader() {
             self.abandon_waiting();
         }
     }
 
     /// Answers the reads that a quorum has confirmed and whose entries are applied.
-    fn finish_confirmed(&mut self) {
-        let taken = self.node.taken_index();
-        let (ready, later) = self.confirmed.drain(..).partition(|(_, index)| *index <= taken);
-        self.confirmed = later;
+    fn finish_confirmed_reads(&mut self) {
+        let applied = self.node.taken_index();
+        let (ready, later) =
+            self.confirmed_reads.drain(..).partition(|(_, index)| *index <= applied);
+        self.confirmed_reads = later;
         let ready: Vec<(u64, LogIndex)> = ready;
         for (read, _) in ready {
             self.finish_read(read);
         }
     }
 
-    /// Announces the version in force and the evacuated zones, once all that this replica held at its start is decided.
+    /// Publishes the version in force and the evacuated zones, once all entries that this replica
+    /// held at its start are decided.
     ///
     /// Just after a restart the replica replays its log and passes versions older than the one it
-    /// had in force before; announcing them would let the host's version go down.
-    fn announce_plan(&mut self) {
+    /// had in force before. Publishing them would let the host's version go down.
+    fn publish_in_force(&mut self) {
         let decided = self.recovered_last.min(self.node.last_index());
-        let taken = self.node.taken_index();
-        if !self.in_force_due || taken < decided || taken > self.node.durable_index() {
+        let applied = self.node.taken_index();
+        if !self.publish_due || applied < decided || applied > self.node.durable_index() {
             return;
         }
-        self.in_force_due = false;
+        self.publish_due = false;
         self.recovered_last = LogIndex::default();
         let plan = self.machines.configuration.current().clone();
         self.outputs.push(DriverOutput::InForce(plan));
@@ -316,9 +319,9 @@
         self.outputs.push(DriverOutput::ZonesInForce(zones));
     }
 
-    fn carry_out(&mut self, effects: NodeEffects) {
+    fn emit_effects(&mut self, effects: NodeEffects) {
         if let Some(snapshot) = &effects.installed {
-            self.install(snapshot);
+            self.install_snapshot(snapshot);
         }
         if let Some(batch) = effects.batch {
             self.outputs.push(DriverOutput::Persist { ticket: batch.ticket, batch });
@@ -329,16 +332,16 @@
         for read in effects.failed_reads {
             self.fail_read(read);
         }
-        self.confirmed.extend(effects.reads);
+        self.confirmed_reads.extend(effects.reads);
     }
 
-    fn install(&mut self, snapshot: &ReplicaSnapshot) {
+    fn install_snapshot(&mut self, snapshot: &ReplicaSnapshot) {
         match ReplicaMachines::restore(snapshot) {
             Ok(machines) => {
                 self.machines = machines;
                 self.applied_weight = 0;
                 self.snapshot_size = snapshot.state.len();
-                self.in_force_due = true;
+                self.publish_due = true;
             }
             Err(_) => {
                 let why = "the leader's snapshot cannot be read by this release";
@@ -354,7 +357,7 @@
             applied = true;
         }
         if applied {
-            // Chunks go to the storage before a snapshot that no longer holds them.
+            // Audit chunks are written before a snapshot that no longer holds them.
             self.write_chunks();
             self.compact_if_due();
         }
@@ -365,11 +368,11 @@
         let before = self.in_force();
         let outcome = self.machines.apply(entry);
         self.applied_weight += entry.weight();
-        self.in_force_due |= self.in_force() > before;
+        self.publish_due |= self.in_force() > before;
         self.answer_waiting(entry, outcome);
     }
 
-    /// What the state machines hold that hosts are to have in force.
+    /// Returns the configuration version and the zone revision that hosts are to have in force.
     fn in_force(&self) -> (ConfigVersion, LogIndex) {
         let machines = &self.machines;
         (machines.configuration.version(), machines.evacuations.evacuated().revision)
@@ -385,8 +388,8 @@
         self.outputs.push(DriverOutput::Answer { token: waiting.token, answer });
     }
 
-    /// Makes a snapshot once the entries applied since the last one weigh as much as it does, so
-    /// that writing snapshots costs no more than writing the log, however large the state is.
+    /// Makes a snapshot once the entries applied since the last one are as large as that snapshot.
+    /// Writing snapshots then costs no more than writing the log, however large the state is.
     fn compact_if_due(&mut self) {
         let due = self.settings.snapshot_weight.max(self.snapshot_size);
         if self.applied_weight < due {
@@ -408,18 +411,18 @@
         self.machines.snapshot(self.node.snapshot_place()).ok()
     }
 
-    /// Turns a learner that has all that is committed into a voter.
+    /// Promotes a learner that has every committed entry to a voter.
     fn promote_learner(&mut self, now: Moment) {
         if !self.node.may_change_members() {
             return;
         }
-        // Where there are more voters than the disks that may be lost ask for, one that is silent
-        // only makes majorities larger: of six, one of them dead, two more losses leave none. Three
-        // are kept whatever the copies: a set that shrank with each host that is down for a while
-        // would end on a single disk.
-        let enough = (2 * self.settings.copies).max(LEAST_VOTERS + 1);
-        let spare = self.node.members().voters().count() >= enough;
-        if self.settings.grows && spare && self.retire_silent(now) {
+        // If there are more voters than the number of disks that may be lost requires, a silent one
+        // only makes majorities larger: of six voters with one dead, two more losses leave no
+        // majority. Three are kept whatever the copies, because a set that shrank with each host
+        // that is down for a while would end on a single disk.
+        let enough = (2 * self.settings.copies).max(MIN_VOTERS + 1);
+        let has_spare = self.node.members().voters().count() >= enough;
+        if self.settings.grows && has_spare && self.remove_silent_voter(now) {
             return;
         }
         let Some(learner) = self.node.caught_up_learners().first().copied() else { return };
@@ -431,15 +434,16 @@
         }
     }
 
-    /// Removes a voter that has fallen silent, once there is one more than the losses to be borne ask
-    /// for: its successor votes already.
+    /// Removes a silent voter, once there is one voter more than the tolerated losses require, that
+    /// is, once its successor votes.
     ///
-    /// A host that is gone for good would stay a voter for ever, and the next two losses would leave
-    /// no majority. One successor takes one voter's place, of several that of the one silent for
-    /// longest: the others may be back in a moment. Which of them is gone for good, nobody can tell.
-    /// Removed before its successor voted, one that was only down left four voters, two of them
-    /// lost, and no majority though three of five disks were whole.
-    fn retire_silent(&mut self, now: Moment) -> bool {
+    /// Otherwise a host that is gone for good would stay a voter forever, and the next two losses
+    /// would leave no majority. One successor replaces one voter. If several are silent, it
+    /// replaces the one silent for longest, because the others may return in a moment. Nobody can
+    /// tell which of them is gone for good. If a host that was only down were removed before its
+    /// successor voted, four voters would remain, and with two of them lost there would be no
+    /// majority although three of five disks were intact.
+    fn remove_silent_voter(&mut self, now: Moment) -> bool {
         let members = self.node.members();
         let voters = members.voters().count();
         let silent = self.node.longest_silent().filter(|_| voters > self.settings.copies.max(1));
@@ -451,8 +455,8 @@
         matches!(self.node.propose_members(now, command), Ok(Some(_)))
     }
 
-    /// Says which hosts hold a replica, as far as is known; one without a log asks them whether
-    /// there is a cluster.
+    /// Sets which hosts are known to hold a replica. A replica without a log asks them whether a
+    /// cluster exists.
     pub fn apply_replicas(&mut self, replicas: &[HostId]) {
         if let Some(founding) = &mut self.founding {
             founding.apply_replicas(replicas);
@@ -485,8 +489,8 @@
     }
 }
 
-/// Settings for the log engine: it learns the founders from its snapshot or its log, never from
-/// settings, which may have changed since.
+/// Returns the settings for the log engine. It learns the founders from its snapshot or its log,
+/// never from settings, which may have changed since.
 fn node_settings(settings: &ReplicaSettings) -> ReplicaSettings {
     ReplicaSettings { bootstrap: Vec::new(), ..settings.clone() }
 }
--- a/crates/pulley_core/src/version/replica/replica_sending.rs
+++ b/crates/pulley_core/src/version/replica/snapshot_sending.rs
@@ -1,12 +1,12 @@
-//! How a leader sends a snapshot to a follower whose entries it no longer holds.
+//! Sends a snapshot from the leader to a follower whose entries are no longer held.
 
 use super::follower_progress::ProgressState;
 use super::replica_node::{ReplicaNode, ReplicaRole};
 use super::{ReplicaMessage, SnapshotChunk, SnapshotReply};
 use crate::process::MemberId;
 
-/// How many bytes of a snapshot one message carries; one part is under way at a time, so that a
-/// transfer leaves room for heartbeats on the same link.
+/// Bytes of a snapshot per message. Only one chunk is in flight at a time, so that a transfer
+/// leaves room for heartbeats on the same link.
 const CHUNK_BYTES: usize = 64 << 10;
 
 impl ReplicaNode {
@@ -35,14 +35,14 @@
     }
 
     pub(crate) fn on_snapshot_reply(&mut self, from: MemberId, reply: SnapshotReply) {
-        let Some(progress) = self.hear_reply(from, reply.term, reply.round) else { return };
-        let more = progress.note_received(&reply);
+        let Some(progress) = self.accept_reply(from, reply.term, reply.round) else { return };
+        let more = progress.record_snapshot_reply(&reply);
         if reply.installed {
             self.advance_commit();
             self.send_entries(from);
         } else if more {
             self.send_chunk(from);
         }
-        self.finish_reads();
+        self.confirm_reads();
     }
 }
--- a/crates/pulleyd/tests/replica/audit_tests.rs
+++ b/crates/pulleyd/tests/replica/audit_tests.rs
@@ -1,4 +1,4 @@
-//! The audit trail when it is longer than the memory it may take.
+//! The audit trail when it is longer than what is kept in memory.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use super::fake_cluster::{FakeCluster, change, host_name};
 
-/// Enough for two chunks.
+/// Enough changes for two chunks.
 const CHANGES: u64 = (AUDIT_KEPT + 2 * AUDIT_CHUNK) as u64;
 
-/// Asks for every tenth change.
+/// The actor of every tenth change.
 const TENTH_ACTOR: &str = "night-planner";
 
 fn long_trail() -> FakeCluster {
@@ -27,7 +27,7 @@
         {
             request.actor = TENTH_ACTOR.parse().expect("a valid name");
         }
-        cluster.settle_quickly(&question);
+        cluster.ask_leader_quickly(&question);
     }
     cluster
 }
@@ -44,8 +44,8 @@
     }
 }
 
-// Months after a change somebody asks who made it. The record left the memory long ago; it must
-// still be found, after restarts of all replicas too.
+// Months after a change somebody asks who made it. The record is no longer in memory. It must still
+// be found, also after restarts of all replicas.
 #[test]
 fn an_old_record_is_found_after_restarts() {
     let mut cluster = long_trail();
@@ -55,38 +55,38 @@
     for number in 0..3 {
         cluster.start(number);
     }
-    let found = records(cluster.settle(&first_change()));
+    let found = records(cluster.ask_leader(&first_change()));
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].actor.as_str(), TENTH_ACTOR);
     let status = cluster.driver(0).machines().configuration.audit_trail().sealed();
     assert!(status >= 2, "{status} chunks");
 }
 
-// All changes of one operator are asked for; some are in memory, most of the rest on disk. No record may be missing or doubled where memory and
-// chunks meet.
+// All changes of one operator are requested. Some are in memory, most of the rest are on disk. No
+// record may be missing or duplicated where memory and chunks meet.
 #[test]
 fn memory_and_chunks_make_one_trail() {
     let mut cluster = long_trail();
     let actor = Some(TENTH_ACTOR.parse().expect("a valid name"));
     let filter = AuditFilter { actor, ..AuditFilter::default() };
-    let all = records(cluster.settle(&ReplicaQuestion::Audit(filter.clone())));
+    let all = records(cluster.ask_leader(&ReplicaQuestion::Audit(filter.clone())));
     let versions: Vec<u64> = all.iter().map(|record| record.base.0).collect();
     let newest_first: Vec<u64> = (0..CHANGES).rev().filter(|version| version % 10 == 0).collect();
     assert_eq!(versions, newest_first);
     let limited = AuditFilter { limit: 230, ..filter };
-    let some = records(cluster.settle(&ReplicaQuestion::Audit(limited)));
+    let some = records(cluster.ask_leader(&ReplicaQuestion::Audit(limited)));
     assert_eq!(some, all[..230]);
 }
 
-// A replica with a new disk comes to lead. Until it has copied the old records it must say that it
-// lacks some, rather than let the trail look shorter than it is.
+// A replica with a new disk becomes leader. Until it has copied the old records it must report that
+// some are missing, so that the trail does not look shorter than it is.
 #[test]
 fn a_new_replica_copies_old_records_and_says_so_until_then() {
     let mut cluster = long_trail();
-    cluster.settle(&ReplicaQuestion::Change(ReplicaChange::Add(host_name(3))));
+    cluster.ask_leader(&ReplicaQuestion::Change(ReplicaChange::Add(host_name(3))));
     cluster.add_host(host_name(3), MemberId(0));
     cluster.run_until(Duration::from_secs(60), FakeCluster::all_vote);
-    cluster.hand_to(3);
+    cluster.transfer_to(3);
     let refused = ReplicaAnswer::Refused(ReplicaRefusal::AuditIncomplete);
     let token = cluster.ask(3, first_change());
     cluster.run(Duration::from_millis(200));
--- a/crates/pulleyd/tests/replica/fake_cluster.rs
+++ b/crates/pulleyd/tests/replica/fake_cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas over a network and disks in memory, in virtual time.
+//! Replicas on an in-memory network and in-memory disks, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,28 +18,28 @@
 use super::fake_disk::FakeDisk;
 use super::invariants::Invariants;
 
-/// What happens next to a host.
+/// A scheduled event at a host.
 #[derive(Debug)]
 enum FakeEvent {
     Message { from: HostId, to: usize, body: Bytes },
-    Write { host: usize, life: u64, batch: PersistBatch },
+    Write { host: usize, epoch: u64, batch: PersistBatch },
 }
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// How the network treats messages and the disks treat writes.
+/// Faults of the network and delays of the disks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkFaults {
     pub(crate) loss: f64,
-    pub(crate) doubled: f64,
-    pub(crate) slowest: Duration,
-    /// The longest time that a write takes.
-    pub(crate) slowest_write: Duration,
+    pub(crate) duplicated: f64,
+    pub(crate) longest_delay: Duration,
+    /// Longest duration of a write.
+    pub(crate) longest_write: Duration,
 }
 
 impl NetworkFaults {
     pub(crate) const NONE: Self =
-        Self { loss: 0.0, doubled: 0.0, slowest: MILLISECOND, slowest_write: MILLISECOND };
+        Self { loss: 0.0, duplicated: 0.0, longest_delay: MILLISECOND, longest_write: MILLISECOND };
 }
 
 #[derive(Debug)]
@@ -48,16 +48,16 @@
     pub(crate) disk: FakeDisk,
     pub(crate) driver: Option<ReplicaDriver>,
     storage: Option<LogStorage<FakeDisk>>,
-    life: u64,
-    /// Loses its power as soon as it has sent something.
-    pub(crate) dies_on_send: bool,
-    /// Its disk does not finish any write.
+    epoch: u64,
+    /// Whether it loses power as soon as it has sent a message.
+    pub(crate) loses_power_on_send: bool,
+    /// Whether its disk hangs and finishes no write.
     pub(crate) disk_hangs: bool,
-    /// Its process does nothing until then; what comes in waits.
+    /// The process is paused until then; incoming events wait.
     pub(crate) paused_until: Moment,
 }
 
-/// Replicas over a network and disks in memory.
+/// Replicas on an in-memory network and in-memory disks.
 #[derive(Debug)]
 pub(crate) struct FakeCluster {
     pub(crate) now: Moment,
@@ -105,14 +105,15 @@
         cluster
     }
 
-    /// A cluster all of whose hosts vote, on a network that loses, doubles and delays messages.
-    pub(crate) fn in_bad_weather(size: usize, seed: u64, settings: ReplicaSettings) -> Self {
+    /// Creates a cluster whose hosts all vote, on a network that loses, duplicates and delays
+    /// messages.
+    pub(crate) fn on_unreliable_network(size: usize, seed: u64, settings: ReplicaSettings) -> Self {
         let mut cluster = Self::with_settings(size, seed, settings);
         cluster.faults = NetworkFaults {
             loss: 0.05,
-            doubled: 0.05,
-            slowest: Duration::from_millis(40),
-            slowest_write: Duration::from_millis(60),
+            duplicated: 0.05,
+            longest_delay: Duration::from_millis(40),
+            longest_write: Duration::from_millis(60),
         };
         cluster.run_until(Duration::from_secs(20), Self::all_vote);
         cluster
@@ -128,8 +129,8 @@
             disk,
             driver: None,
             storage: None,
-            life: 0,
-            dies_on_send: false,
+            epoch: 0,
+            loses_power_on_send: false,
             disk_hangs: false,
             paused_until: Moment::ZERO,
         });
@@ -145,23 +146,23 @@
         let host = &mut self.hosts[number];
         let (storage, recovered) =
             LogStorage::open_folder(host.disk.clone(), &host.identity, None).expect("opens");
-        host.life += 1;
+        host.epoch += 1;
         host.storage = Some(storage.with_segment_limit(4_096));
         let driver = ReplicaDriver::new(host.identity.clone(), recovered, settings, now, seed);
         host.driver = Some(driver);
         self.invariants.forget_host(number);
     }
 
-    /// Ends a host's process; its disk loses what was not synced.
+    /// Kills a host's process; its disk loses unsynced data.
     pub(crate) fn kill(&mut self, number: usize) {
         let torn = self.random.random_bool(0.5);
-        let life = self.hosts[number].life;
-        // One disk writes in order: the earliest batch is the one that may be half written.
+        let epoch = self.hosts[number].epoch;
+        // A disk writes in order, so the earliest batch is the one that may be half written.
         let waiting = self
             .queue
             .iter()
             .filter_map(|(at, event)| match event {
-                FakeEvent::Write { host, life: of, batch } if *host == number && *of == life => {
+                FakeEvent::Write { host, epoch: of, batch } if *host == number && *of == epoch => {
                     Some((batch.ticket, *at))
                 }
                 _ => None,
@@ -172,26 +173,26 @@
         if let (true, Some(at), Some(storage)) = (torn, waiting, &mut host.storage)
             && let Some(FakeEvent::Write { batch, .. }) = self.queue.remove(&at)
         {
-            // The power goes while a batch is being written.
+            // Power is lost while a batch is being written.
             host.disk.fail_syncs(true);
             let _ = storage.write(&[batch]);
         }
         host.driver = None;
-        host.dies_on_send = false;
+        host.loses_power_on_send = false;
         host.paused_until = Moment::ZERO;
         host.storage = None;
-        host.life += 1;
+        host.epoch += 1;
         host.disk.crash(&mut self.random);
     }
 
-    /// Opens a host's data folder anew in the same process, as after a full disk.
+    /// Reopens a host's data folder in the same process, as after a full disk.
     pub(crate) fn reopen(&mut self, number: usize) {
         self.hosts[number].driver = None;
         self.hosts[number].storage = None;
         self.start(number);
     }
 
-    /// Starts hosts from here on without being told who founds.
+    /// Starts hosts from now on without naming the founders in their settings.
     pub(crate) fn forget_founders(&mut self) {
         self.settings.bootstrap.clear();
         for host in &mut self.hosts {
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Says to each replica which hosts hold one, as membership does.
-    pub(crate) fn introduce_all(&mut self) {
+    /// Tells each replica which hosts hold one, as host membership does.
+    pub(crate) fn update_replica_lists(&mut self) {
         let all: Vec<HostId> = self.hosts.iter().map(|host| host.identity.host.clone()).collect();
         for host in &mut self.hosts {
             if let Some(driver) = &mut host.driver {
@@ -209,29 +210,29 @@
         }
     }
 
-    /// Adds a host that nobody has named and introduces it.
-    pub(crate) fn add_newcomer(&mut self) -> usize {
+    /// Adds a host that no settings name and updates the replica lists.
+    pub(crate) fn add_new_host(&mut self) -> usize {
         let name = host_name(self.hosts.len());
         let number = self.add_host(name, MemberId::default());
-        self.introduce_all();
+        self.update_replica_lists();
         number
     }
 
-    /// The hosts that vote, by the membership of whoever leads.
+    /// Returns the hosts that vote, according to the leader's membership.
     pub(crate) fn voters(&self) -> Vec<HostId> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let members = &self.driver(leader).node().members().members;
         members.iter().filter(|member| member.voter).map(|member| member.host.clone()).collect()
     }
 
-    /// Ends a host's process and gives it an empty disk.
+    /// Kills a host's process and replaces its disk by an empty one.
     pub(crate) fn wipe(&mut self, number: usize) {
         self.kill(number);
         self.hosts[number].disk = FakeDisk::new(self.random.random());
     }
 
-    /// Whether a host's present disk has a vote, in the eyes of the leader.
-    pub(crate) fn votes(&self, number: usize) -> bool {
+    /// Whether a host is up and its current disk votes, according to the leader.
+    pub(crate) fn has_vote(&self, number: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let member = self.driver(number).node().member();
         self.is_up(number)
@@ -239,12 +240,12 @@
             && self.driver(leader).node().members().is_voter(member)
     }
 
-    /// Whether a host is up and its present disk has a vote.
-    pub(crate) fn votes_now(&self, number: usize) -> bool {
-        self.is_up(number) && self.votes(number)
+    /// Whether a host is up and its current disk votes.
+    pub(crate) fn is_up_with_vote(&self, number: usize) -> bool {
+        self.is_up(number) && self.has_vote(number)
     }
 
-    /// Whether a host has taken a lost disk's place by a committed change of members.
+    /// Whether a host has replaced a lost disk by a committed membership change.
     pub(crate) fn has_replaced(&self, lost: MemberId, successor: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let members = self.driver(leader).node().committed_members();
@@ -254,7 +255,8 @@
         is_in && !members.is_voter(lost)
     }
 
-    /// The member id of a host's disk, by any host that knows it; the default if it has none.
+    /// Returns the member id of a host's disk according to the host with the longest log, or the
+    /// default if it has none.
     pub(crate) fn member(&self, number: usize) -> MemberId {
         let host = &self.hosts[number].identity.host;
         let statuses = self.statuses();
@@ -264,17 +266,17 @@
     }
 
     pub(crate) fn all_vote(&self) -> bool {
-        (0..self.hosts.len()).all(|number| self.votes_now(number))
+        (0..self.hosts.len()).all(|number| self.is_up_with_vote(number))
     }
 
-    /// Stops a host's process for a while, as a busy machine or a signal does.
+    /// Pauses a host's process, as a busy machine or a signal does.
     pub(crate) fn pause(&mut self, number: usize, time: Duration) {
         self.hosts[number].paused_until = self.now + time;
     }
 
-    /// Lets a host lose its power right after the next message it sends.
+    /// Makes a host lose power right after the next message it sends.
     pub(crate) fn kill_on_send(&mut self, number: usize) {
-        self.hosts[number].dies_on_send = true;
+        self.hosts[number].loses_power_on_send = true;
     }
 
     pub(crate) fn is_up(&self, number: usize) -> bool {
@@ -285,9 +287,9 @@
         self.hosts[number].driver.as_ref().expect("the host is up")
     }
 
-    /// Changes with each start and end of a host's process.
-    pub(crate) fn life(&self, number: usize) -> u64 {
-        self.hosts[number].life
+    /// Returns a number that changes with each start and end of a host's process.
+    pub(crate) fn epoch(&self, number: usize) -> u64 {
+        self.hosts[number].epoch
     }
 
     pub(crate) fn cut(&mut self, from: usize, to: usize) {
@@ -295,7 +297,7 @@
         self.cuts.insert(pair);
     }
 
-    /// Cuts a host off in both directions.
+    /// Cuts off a host in both directions.
     pub(crate) fn isolate(&mut self, number: usize) {
         for other in (0..self.hosts.len()).filter(|other| *other != number) {
             self.cut(number, other);
@@ -310,25 +312,25 @@
     // ---------------------------------------------------------------------------------------------
     // Time
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.step(until) {}
         self.now = until;
     }
 
-    /// Runs until something holds.
+    /// Runs until the condition holds; panics if it does not within the limit.
     pub(crate) fn run_until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) {
-        let came = self.comes_about(limit, holds);
+        let has_held = self.holds_within(limit, holds);
         assert!(
-            came,
-            "did not come about within {limit:?} of virtual time: {:#?}",
+            has_held,
+            "the condition did not hold within {limit:?} of virtual time: {:#?}",
             self.statuses()
         );
     }
 
-    /// Runs until something holds; false if it does not in time.
-    pub(crate) fn comes_about(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
+    /// Runs until the condition holds. Returns false if it does not within the limit.
+    pub(crate) fn holds_within(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
         let until = self.now + limit;
         while !holds(self) {
             if !self.step(until) {
@@ -338,12 +340,12 @@
         true
     }
 
-    /// What each host that is up says of itself.
+    /// Returns the status of each host that is up.
     fn statuses(&self) -> Vec<ReplicaStatus> {
         self.hosts.iter().filter_map(|host| Some(host.driver.as_ref()?.status())).collect()
     }
 
-    /// One line a host: where it stands and whom it takes for a member.
+    /// Returns one line per host with its status and the members it knows.
     pub(crate) fn summary(&self) -> String {
         let lines = self.statuses().into_iter().map(|status| {
             let members = status.members.iter().map(|known| {
@@ -382,7 +384,7 @@
                 return false;
             }
             self.now = self.now.max(at);
-            self.feed(number, DriverInput::Tick);
+            self.handle_input(number, DriverInput::Tick);
             return true;
         }
         if event.is_none_or(|at| at > until) {
@@ -390,11 +392,11 @@
         }
         let Some(((at, _), event)) = self.queue.pop_first() else { return false };
         self.now = self.now.max(at);
-        self.happen(event);
+        self.handle_event(event);
         true
     }
 
-    fn happen(&mut self, event: FakeEvent) {
+    fn handle_event(&mut self, event: FakeEvent) {
         let number = match &event {
             FakeEvent::Message { to, .. } => *to,
             FakeEvent::Write { host, .. } => *host,
@@ -408,32 +410,32 @@
             FakeEvent::Message { from, to, body } => {
                 let receiver = &self.hosts[to].identity.host;
                 if !self.cuts.contains(&(from.clone(), receiver.clone())) {
-                    self.feed(to, DriverInput::Peer { from, body });
+                    self.handle_input(to, DriverInput::Peer { from, body });
                 }
             }
-            FakeEvent::Write { host, life, batch } => {
-                if self.hosts[host].life != life {
+            FakeEvent::Write { host, epoch, batch } => {
+                if self.hosts[host].epoch != epoch {
                     return;
                 }
-                // One disk writes in order, also when it works again.
+                // A disk writes in order, also after it has recovered.
                 let behind = self.queue.values().any(|queued| {
-                    matches!(queued, FakeEvent::Write { host: other, life: of, batch: earlier }
-                        if *other == host && *of == life && earlier.ticket < batch.ticket)
+                    matches!(queued, FakeEvent::Write { host: other, epoch: of, batch: earlier }
+                        if *other == host && *of == epoch && earlier.ticket < batch.ticket)
                 });
                 if self.hosts[host].disk_hangs || behind {
                     let later = self.now + Duration::from_millis(100);
-                    self.push(later, FakeEvent::Write { host, life, batch });
+                    self.push(later, FakeEvent::Write { host, epoch, batch });
                     return;
                 }
                 let Some(storage) = &mut self.hosts[host].storage else { return };
                 let ticket = batch.ticket;
                 let ok = storage.write(&[batch]).is_ok();
-                self.feed(host, DriverInput::Persisted { ticket, ok });
+                self.handle_input(host, DriverInput::Persisted { ticket, ok });
             }
         }
     }
 
-    fn feed(&mut self, number: usize, input: DriverInput) {
+    fn handle_input(&mut self, number: usize, input: DriverInput) {
         let now = self.now;
         let Some(driver) = &mut self.hosts[number].driver else { return };
         let outputs = driver.handle(now, input);
@@ -442,7 +444,7 @@
             sent |= matches!(output, DriverOutput::Send { .. });
             self.carry_out(number, output);
         }
-        if sent && self.hosts[number].dies_on_send {
+        if sent && self.hosts[number].loses_power_on_send {
             self.kill(number);
         }
         if let Some(driver) = &self.hosts[number].driver {
@@ -454,26 +456,26 @@
         match output {
             DriverOutput::Send { to, body } => self.send(number, &to, &body),
             DriverOutput::Persist { batch, .. } => {
-                let at = self.now + self.delay(self.faults.slowest_write);
-                // One disk writes in order.
+                let at = self.now + self.delay(self.faults.longest_write);
+                // A disk writes in order.
                 let last = self.queue.iter().rev().find_map(|(key, event)| match event {
                     FakeEvent::Write { host, .. } if *host == number => Some(key.0),
                     _ => None,
                 });
                 let at = last.map_or(at, |last| last.max(at));
-                let life = self.hosts[number].life;
-                self.push(at, FakeEvent::Write { host: number, life, batch });
+                let epoch = self.hosts[number].epoch;
+                self.push(at, FakeEvent::Write { host: number, epoch, batch });
             }
             DriverOutput::ReadAudit(read) => {
                 let records = read_audit(&self.hosts[number].disk, &read);
-                self.feed(number, DriverInput::AuditRead { read: read.read, records });
+                self.handle_input(number, DriverInput::AuditRead { read: read.read, records });
             }
             DriverOutput::Answer { token, answer } => {
-                self.invariants.note_answer(token, &answer);
+                self.invariants.record_answer(token, &answer);
                 self.answers.insert(token, answer);
             }
-            DriverOutput::InForce(plan) => self.invariants.note_in_force(number, plan.version),
-            DriverOutput::ZonesInForce(zones) => self.invariants.note_zones(number, &zones),
+            DriverOutput::InForce(plan) => self.invariants.record_in_force(number, plan.version),
+            DriverOutput::ZonesInForce(zones) => self.invariants.record_zones(number, &zones),
         }
     }
 
@@ -484,10 +486,10 @@
             return;
         }
         let from = self.hosts[number].identity.host.clone();
-        let copies = if self.random.random_bool(self.faults.doubled) { 2 } else { 1 };
+        let copies = if self.random.random_bool(self.faults.duplicated) { 2 } else { 1 };
         for _ in 0..copies {
             if !self.random.random_bool(self.faults.loss) {
-                let at = self.now + self.delay(self.faults.slowest);
+                let at = self.now + self.delay(self.faults.longest_delay);
                 let (from, body) = (from.clone(), body.clone());
                 self.push(at, FakeEvent::Message { from, to, body });
             }
@@ -507,22 +509,22 @@
     // ---------------------------------------------------------------------------------------------
     // Questions
 
-    /// Asks a host; the answer turns up under the token that is returned.
+    /// Asks a host. The answer is stored under the returned token.
     pub(crate) fn ask(&mut self, number: usize, question: ReplicaQuestion) -> u64 {
         self.next_token += 1;
         let token = self.next_token;
-        self.invariants.note_question(token, &question);
-        self.feed(number, DriverInput::Ask { token, question });
+        self.invariants.record_question(token, &question);
+        self.handle_input(number, DriverInput::Ask { token, question });
         token
     }
 
-    /// Tells a host to hand leadership over.
+    /// Tells a host to transfer leadership.
     pub(crate) fn transfer(&mut self, number: usize) {
-        self.feed(number, DriverInput::TransferLeadership);
+        self.handle_input(number, DriverInput::TransferLeadership);
     }
 
-    /// Hands leadership over until a certain host has it.
-    pub(crate) fn hand_to(&mut self, number: usize) {
+    /// Transfers leadership until the given host leads.
+    pub(crate) fn transfer_to(&mut self, number: usize) {
         for _ in 0..50 {
             let leader = self.wait_for_leader();
             if leader == number {
@@ -534,8 +536,8 @@
         panic!("host {number} never leads");
     }
 
-    /// Asks whoever leads until there is an answer that says what became of it.
-    pub(crate) fn settle(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
+    /// Asks the current leader until there is a definite answer.
+    pub(crate) fn ask_leader(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
         for _ in 0..200 {
             let Some(leader) = self.leader() else {
                 self.run(Duration::from_millis(50));
@@ -551,8 +553,9 @@
         panic!("no answer to {question:?}");
     }
 
-    /// Asks the leader and runs only until its answer is there.
-    pub(crate) fn settle_quickly(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
+    /// Asks the current leader until there is a definite answer, and runs only until each answer
+    /// arrives.
+    pub(crate) fn ask_leader_quickly(&mut self, question: &ReplicaQuestion) -> ReplicaAnswer {
         loop {
             let leader = self.wait_for_leader();
             let token = self.ask(leader, question.clone());
@@ -564,7 +567,7 @@
         }
     }
 
-    /// A host that leads in the highest term that is led.
+    /// Returns the host that leads in the highest term, if any.
     pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |number: &usize| self.is_up(*number) && self.driver(*number).node().is_leader();
         (0..self.hosts.len()).filter(leads).max_by_key(|number| self.driver(*number).node().term())
--- a/crates/pulleyd/tests/replica/invariants.rs
+++ b/crates/pulleyd/tests/replica/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step, whatever fails.
+//! Invariants that must hold after every step, whatever fails.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -12,7 +12,7 @@
 };
 use smol_str::SmolStr;
 
-/// Watches all hosts of a test.
+/// Checks the invariants over all hosts of a test.
 #[derive(Debug, Default)]
 pub(crate) struct Invariants {
     leaders: BTreeMap<Term, MemberId>,
@@ -21,14 +21,14 @@
     in_force: BTreeMap<usize, ConfigVersion>,
     /// The latest order for a zone in force on each host.
     zones: BTreeMap<usize, LogIndex>,
-    /// The latest order for a zone that was accepted, and what held as of it.
+    /// The latest accepted order for a zone.
     pub(crate) newest_order: LogIndex,
-    /// The same when a read of the evacuated zones began.
+    /// The latest accepted order when a read of the evacuated zones began.
     zone_reads: BTreeMap<u64, LogIndex>,
     questions: BTreeMap<u64, ReplicaQuestion>,
     /// The newest version accepted when a read began.
     reads: BTreeMap<u64, ConfigVersion>,
-    /// A change is the same one if its id and its base are.
+    /// Two changes are the same if their ids and their bases are equal.
     outcomes: BTreeMap<(ChangeId, ConfigVersion), ChangeAnswer>,
     grants: BTreeMap<SmolStr, FencingToken>,
     releases: Vec<(SmolStr, FencingToken)>,
@@ -37,7 +37,8 @@
 }
 
 impl Invariants {
-    /// A restarted host may hold different memory, but no older version may get in force on it.
+    /// Forgets what was checked on a host. A restarted host may hold different memory, but no older
+    /// version may come into force on it.
     pub(crate) fn forget_host(&mut self, number: usize) {
         self.checked.remove(&number);
     }
@@ -76,21 +77,24 @@
         }
     }
 
-    pub(crate) fn note_in_force(&mut self, number: usize, version: ConfigVersion) {
-        let former = self.in_force.insert(number, version).unwrap_or_default();
-        assert!(version >= former, "host {number} went from version {former} down to {version}");
+    pub(crate) fn record_in_force(&mut self, number: usize, version: ConfigVersion) {
+        let previous = self.in_force.insert(number, version).unwrap_or_default();
+        assert!(
+            version >= previous,
+            "host {number} went from version {previous} down to {version}"
+        );
     }
 
-    pub(crate) fn note_zones(&mut self, number: usize, zones: &EvacuatedZones) {
-        let former = self.zones.insert(number, zones.revision).unwrap_or_default();
+    pub(crate) fn record_zones(&mut self, number: usize, zones: &EvacuatedZones) {
+        let previous = self.zones.insert(number, zones.revision).unwrap_or_default();
         assert!(
-            zones.revision >= former,
-            "host {number} went from order {former} back to {}",
+            zones.revision >= previous,
+            "host {number} went from order {previous} back to {}",
             zones.revision
         );
     }
 
-    pub(crate) fn note_question(&mut self, token: u64, question: &ReplicaQuestion) {
+    pub(crate) fn record_question(&mut self, token: u64, question: &ReplicaQuestion) {
         if let ReplicaQuestion::Release { key, token } = question {
             self.releases.push((key.clone(), *token));
         }
@@ -104,18 +108,18 @@
         self.questions.insert(token, question.clone());
     }
 
-    pub(crate) fn note_answer(&mut self, token: u64, answer: &ReplicaAnswer) {
+    pub(crate) fn record_answer(&mut self, token: u64, answer: &ReplicaAnswer) {
         let Some(question) = self.questions.remove(&token) else {
             panic!("question {token} was answered twice or never asked");
         };
         match (question, answer) {
             (ReplicaQuestion::Apply(request), ReplicaAnswer::Change(answer)) => {
-                self.note_change(&request.change_id, request.expect, answer);
+                self.record_change(&request.change_id, request.expect, answer);
             }
             (
                 ReplicaQuestion::Claim { key, .. },
                 ReplicaAnswer::Claim(ClaimAnswer::Granted(token)),
-            ) => self.note_grant(&key, *token),
+            ) => self.record_grant(&key, *token),
             (ReplicaQuestion::CurrentPlan, ReplicaAnswer::Sheet(plan)) => {
                 let newest = self.reads.remove(&token).unwrap_or_default();
                 assert!(
@@ -140,7 +144,7 @@
         }
     }
 
-    fn note_change(&mut self, id: &ChangeId, base: ConfigVersion, answer: &ChangeAnswer) {
+    fn record_change(&mut self, id: &ChangeId, base: ConfigVersion, answer: &ChangeAnswer) {
         if let ChangeAnswer::Accepted { version } = answer {
             let owner = self.accepted.entry(*version).or_insert_with(|| id.clone());
             assert_eq!(owner, id, "version {version} was accepted twice");
@@ -149,18 +153,18 @@
         assert_eq!(first, answer, "change {id} has two outcomes");
     }
 
-    fn note_grant(&mut self, key: &SmolStr, token: FencingToken) {
+    fn record_grant(&mut self, key: &SmolStr, token: FencingToken) {
         self.granted += 1;
-        if let Some(former) = self.grants.insert(key.clone(), token) {
-            assert!(former < token, "key {key} was granted under a lower token");
+        if let Some(previous) = self.grants.insert(key.clone(), token) {
+            assert!(previous < token, "key {key} was granted under a lower token");
             assert!(
-                self.releases.contains(&(key.clone(), former)),
+                self.releases.contains(&(key.clone(), previous)),
                 "key {key} was granted twice without a release"
             );
         }
     }
 
-    /// Checks that a host holds all that was ever accepted.
+    /// Checks that a host holds every change that was ever accepted.
     pub(crate) fn check_nothing_lost(&self, driver: &ReplicaDriver) {
         let configuration = &driver.machines().configuration;
         let filter = pulley_core::version::AuditFilter {
