--- a/crates/pulley_core/src/version/follower/mod.rs
+++ b/crates/pulley_core/src/version/follower/mod.rs
@@ -1,4 +1,4 @@
-//! How every host comes to have the current configuration in force.
+//! Distribution of the current configuration to every host.
 
 mod plan_delta;
 mod plan_difference;
--- a/crates/pulley_core/src/version/follower/plan_delta.rs
+++ b/crates/pulley_core/src/version/follower/plan_delta.rs
@@ -1,4 +1,5 @@
-//! Plans as they travel between hosts: what differs from a version that the receiver holds.
+//! The form in which plans are sent between hosts: the difference from a version that the receiver
+//! holds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,18 +12,19 @@
 use super::{ConfigVersion, PolicyPlan};
 use crate::process::FastMap;
 
-/// How many steps are kept, for hosts that hold an earlier version.
+/// How many steps are kept for hosts that hold an earlier version.
 const STEPS_KEPT: usize = 64;
-/// How many bytes the steps kept may have together.
+/// The total size of the steps kept, in bytes.
 const STEP_BYTES_KEPT: usize = 1024 * 1024;
-/// The longest way from one version to another; where there is none so short, the plan goes whole.
+/// The maximum number of steps in a path; if no path is this short, the whole plan is sent.
 const PATH_LIMIT: usize = 32;
-/// How many ways are kept ready, for hosts that ask for the rest of one.
+/// How many composed paths are cached for hosts that ask for the rest of one.
 const PATHS_KEPT: usize = 8;
-/// How many whole plans are: of an earlier version none can be made again.
+/// How many whole plans are cached; that of an earlier version cannot be built again.
 const WHOLES_KEPT: usize = 4;
 
-/// From which version to which; from 0, the empty plan, a whole one.
+/// The versions between which a step or path leads. From version 0, the empty plan, it carries a
+/// whole plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct DeltaSpan {
     pub(crate) from: ConfigVersion,
@@ -30,7 +32,7 @@
 }
 
 impl DeltaSpan {
-    /// Whether a host that holds a version gets to a later one by it.
+    /// Whether it leads a host that holds version `held` to a later version.
     pub(crate) fn leads_on(self, held: ConfigVersion) -> bool {
         self.to > held && (self.from == held || self.from == ConfigVersion::default())
     }
@@ -41,7 +43,8 @@
 pub(crate) struct HeldPlan {
     pub(crate) version: ConfigVersion,
     pub(crate) plan: Arc<PolicyPlan>,
-    /// Over the encoded plan, so that hosts whose releases compress differently agree.
+    /// The digest of the uncompressed encoding, so that hosts whose releases compress differently
+    /// agree.
     pub(crate) digest: PlanDigest,
 }
 
@@ -52,15 +55,15 @@
         Self { version, plan, digest: PlanDigest::of(&encoded) }
     }
 
-    /// The plan before the first.
+    /// Returns the empty plan, version 0.
     pub(crate) fn empty() -> Self {
         Self::new(ConfigVersion::default(), Arc::default())
     }
 
-    /// Makes a later plan out of this one.
+    /// Builds a later plan from this one.
     ///
-    /// `body` are the steps to it, as [`DeltaHistory::path`] gives them; none if they don't fit, or
-    /// lead to another plan than the one with the digest.
+    /// `body` holds the steps to it as returned by [`DeltaHistory::path_from`]. Returns `None` if
+    /// they do not apply to this plan or do not lead to the plan with the given digest.
     pub(crate) fn advance(&self, span: DeltaSpan, digest: PlanDigest, body: &[u8]) -> Option<Self> {
         let is_whole = span.from == ConfigVersion::default();
         let mut plan = if is_whole { Arc::default() } else { Arc::clone(&self.plan) };
@@ -75,42 +78,42 @@
 #[derive(Clone, Debug)]
 struct PlanStep {
     span: DeltaSpan,
-    /// Of the plan that it leads to, if that is known.
+    /// The digest of the plan that the step leads to, if known.
     digest: Option<PlanDigest>,
     packed: Bytes,
 }
 
-/// A way from one version to another, ready to be sent in chunks.
+/// The encoded steps from one version to another, ready to be sent in chunks.
 #[derive(Clone, Debug)]
 pub(crate) struct DeltaPath {
     pub(crate) span: DeltaSpan,
-    /// Of the plan that it leads to.
+    /// The digest of the plan that the path leads to.
     pub(crate) digest: PlanDigest,
     pub(crate) body: Bytes,
 }
 
 /// The steps between the latest versions.
 ///
-/// A step is made where a change is applied, and passed on as it is. Hosts that hold the same steps
-/// make the same bytes out of them, so chunks of one way may come from several hosts.
+/// A step is created where a change is applied, and forwarded unchanged. Hosts that hold the same
+/// steps build the same bytes from them, so the chunks of one path may come from several hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeltaHistory {
     steps: VecDeque<PlanStep>,
     bytes: usize,
-    /// Steps and whole plans, those used last at the end.
+    /// Cached paths of steps and, below, cached whole plans; the most recently used are at the end.
     paths: VecDeque<DeltaPath>,
     wholes: VecDeque<DeltaPath>,
 }
 
 impl DeltaHistory {
-    /// Notes the step between two plans that were in force here one after the other.
+    /// Records the step between two plans that were in force here one after the other.
     pub(crate) fn note_step(&mut self, before: &HeldPlan, after: &HeldPlan) {
         let span = DeltaSpan { from: before.version, to: after.version };
         let packed = PlanDifference::between(&before.plan, &after.plan).pack();
         self.push(PlanStep { span, digest: Some(after.digest), packed });
     }
 
-    /// Notes a way that came from another host and was gone, which then can be passed on.
+    /// Records a path that came from another host and was applied here, so that it can be served.
     pub(crate) fn note_taken(&mut self, path: DeltaPath) {
         let mut from = path.span.from;
         for (to, packed) in split_steps(&path.body).unwrap_or_default() {
@@ -142,7 +145,7 @@
         }
     }
 
-    /// A way that is kept ready; it stays so for as long as hosts ask for it often.
+    /// Returns a cached path. It stays cached for as long as hosts ask for it often.
     fn known(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
         let (kept, _) = self.kept(span);
         let place = kept.iter().position(|path| path.span == span)?;
@@ -151,7 +154,7 @@
         Some(path)
     }
 
-    /// The way that a host has begun to fetch, if it is still known.
+    /// Returns the path that a host has begun to fetch, if it is cached or can be composed.
     pub(crate) fn find(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
         self.known(span).or_else(|| {
             let path = self.compose(span)?;
@@ -160,7 +163,7 @@
         })
     }
 
-    /// The way to the plan held, for a host that holds version `from`.
+    /// Returns the path to the held plan for a host that holds version `from`.
     pub(crate) fn path(&mut self, from: ConfigVersion, held: &HeldPlan) -> DeltaPath {
         let known = self.find(DeltaSpan { from, to: held.version });
         known.unwrap_or_else(|| self.whole(held))
@@ -211,8 +214,8 @@
     Bytes::from(postcard::to_stdvec(&steps).expect("plain data types always encode"))
 }
 
-/// The steps of a way, if it is no longer than allowed: to which version each leads, and its packed
-/// form.
+/// Splits a path that is no longer than allowed into its steps: the version to which each leads,
+/// and its packed form.
 fn split_steps(body: &[u8]) -> Option<Vec<(ConfigVersion, &[u8])>> {
     let steps: Vec<(ConfigVersion, &[u8])> = postcard::from_bytes(body).ok()?;
     (steps.len() <= PATH_LIMIT).then_some(steps)
--- a/crates/pulley_core/src/version/follower/plan_difference.rs
+++ b/crates/pulley_core/src/version/follower/plan_difference.rs
@@ -1,4 +1,4 @@
-//! What changes from one plan to another, and how that travels.
+//! The difference between two plans, and its encoding for transfer.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
     edits_between,
 };
 
-/// What changes from one plan to another.
+/// The difference between two plans.
 #[derive(Clone, Debug)]
 pub struct PlanDifference {
     limits: Option<CallerLimits>,
@@ -20,13 +20,13 @@
 /// Where rows of the later plan come from.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 enum RowOrigin {
-    /// From the plan before.
+    /// From the earlier plan.
     Copy { from: u32, count: u32 },
-    /// From the new rows: the next ones.
+    /// The next of the new rows.
     Insert { count: u32 },
 }
 
-/// A difference as it travels, but for the letters of names.
+/// An encoded difference without the bytes of names.
 #[derive(Debug, Serialize, Deserialize)]
 struct StepColumns {
     limits: Option<CallerLimits>,
@@ -36,7 +36,7 @@
 }
 
 impl PlanDifference {
-    /// Finds what changes.
+    /// Computes the difference between two plans.
     #[must_use]
     pub fn between(before: &PolicyPlan, after: &PolicyPlan) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The form in which it travels: the same bytes wherever it is packed.
+    /// Returns the encoding for transfer. It has the same bytes on every host that packs it.
     ///
     /// # Panics
     ///
@@ -77,14 +77,14 @@
         Bytes::from(postcard::to_stdvec(&parts).expect("plain data types always encode"))
     }
 
-    /// Reads that form; none if it is damaged, or has more rows or longer columns than a plan may
-    /// have.
+    /// Decodes a packed difference; `None` if it is damaged, or has more rows or larger columns
+    /// than a plan may have.
     #[must_use]
     pub fn unpack(packed: &[u8]) -> Option<Self> {
         let (columns, letters): (&[u8], &[u8]) = postcard::from_bytes(packed).ok()?;
         let StepColumns { limits, pools, origins, rows } =
             postcard::from_bytes(&inflate(columns)?).ok()?;
-        // Each stands for a row at least.
+        // Each origin stands for at least one row.
         if origins.len() > PLAN_ROW_LIMIT {
             return None;
         }
@@ -100,8 +100,8 @@
         inserted.next().is_none().then_some(Self { limits, pools, rows })
     }
 
-    /// Makes the later plan out of the one before; none if it was not made for that one, or leads to
-    /// more rows than a plan may have.
+    /// Builds the later plan from the earlier one; `None` if the difference was not computed for
+    /// that plan, or leads to more rows than a plan may have.
     #[must_use]
     pub fn apply(self, before: &PolicyPlan) -> Option<PolicyPlan> {
         Some(PolicyPlan {
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -1,4 +1,4 @@
-//! What a host does to have the current configuration in force, and to know that it is.
+//! Keeps the current configuration in force on a host and tracks whether it is still current.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,52 +16,56 @@
 };
 use crate::process::{FastMap, HostId, Moment, PeerRing, SharedClock, SharedTime};
 
-/// The time in which a lease reaches all hosts on its way round the ring.
+/// The time in which a lease travels around the ring to all hosts.
 const CYCLE: Duration = Duration::from_secs(1);
-/// The shortest pause between two rounds.
+/// The shortest interval between two rounds.
 const ROUND_FLOOR: Duration = Duration::from_millis(100);
-/// The longest pause between two rounds.
+/// The longest interval between two rounds.
 const ROUND_CEILING: Duration = Duration::from_millis(250);
-/// The same for a host that has just started and serves nobody until it knows: where all start
-/// together, each tenth of a second more is one in which every caller is refused.
+/// The interval between questions for a lease on a host that has just started. It serves nobody
+/// until it knows the configuration: when all hosts start together, every caller is refused for
+/// each further tenth of a second.
 pub(super) const START_PAUSE: Duration = Duration::from_millis(100);
-/// How long a replica's answer counts. With the time an answer is under way it stays under the
-/// 4 s in which a change must be in force everywhere, or the host not ready.
+/// How long a replica's answer remains valid. Together with the time an answer is in transit it
+/// stays below the 4 s in which a change must be in force on every host, or the host not ready.
 pub(super) const ANSWER_TERM: Duration = Duration::from_secs(3);
-/// How many hosts are told of a new version as soon as it is in force here.
+/// How many hosts are sent the lease at once when this host learns of a new version or zone order.
 const FLOOD_TARGETS: u32 = 3;
-/// How many versions' last confirmations are remembered; a host further behind is not ready.
+/// For how many versions the latest confirmation is kept; a host further behind is not ready.
 const CONFIRMATIONS: usize = 32;
-/// How many hosts that asked too early are remembered: all of an installation at the planned size.
+/// How many hosts that asked too early are remembered: all hosts of an installation of the planned
+/// size.
 pub(super) const ASKER_LIMIT: usize = 2_048;
 
-/// How a host stands towards the configuration.
+/// How current the configuration of a host is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanStanding {
-    /// It has just started and doesn't know the current version yet: not ready.
+    /// The host has just started and does not know the current version yet: not ready.
     Starting,
-    /// Its version is the latest accepted, by the leader's lease.
+    /// The version is the latest accepted one according to the leader's lease.
     InForce(ConfigVersion),
-    /// There is no leader, but a majority of replicas holds nothing newer: it serves on.
+    /// There is no valid lease, but a majority of replicas holds nothing newer, or the host is set
+    /// to serve without a quorum: it keeps serving.
     Static(ConfigVersion),
-    /// It can't tell whether something newer was accepted, or lacks it: not ready.
+    /// The host cannot tell whether a newer version was accepted, or lacks that version: not ready.
     Expired(ConfigVersion),
 }
 
 impl PlanStanding {
-    /// Whether new work may be taken.
+    /// Whether the host may take new requests.
     #[must_use]
     pub const fn is_ready(self) -> bool {
         matches!(self, Self::InForce(_) | Self::Static(_))
     }
 }
 
-/// The follower of one host; every host has one, replicas and the leader included.
+/// Follows the configuration on one host. Every host has a follower, replicas and the leader too.
 ///
-/// A lease goes from host to host like upstream leases do, so the leader sends no more than others.
-/// A new version is announced by its number and digest. What leads to it from the version held is
-/// pulled from a replica, or, where none answers, from another host that holds it: as much as the
-/// change is large, and no more of any link than callers can spare.
+/// Leases pass from host to host like upstream leases, so the leader sends no more than other
+/// hosts. A new version is announced by its number and digest. The follower fetches the difference
+/// from the version it holds, from a replica or, if none answers, from another host that holds the
+/// new version. A transfer is only as large as the change, and takes no more of any link than
+/// callers can spare.
 #[derive(Clone, Debug)]
 pub struct PlanFollower {
     pub(super) host: HostId,
@@ -69,40 +73,42 @@
     pub(super) rng: SmallRng,
     pub(super) nonce: u64,
     pub(super) asked: Option<Moment>,
-    /// Whether anybody has answered the last question.
+    /// Whether any host has answered the last question.
     pub(super) is_answered: bool,
-    /// Whether a question of this process was answered, so that the shared time is known.
+    /// Whether the shared time is known: a host that knows it has answered this process, or this
+    /// host has led.
     pub(super) welcomed: bool,
     pub(super) lease: Option<PlanLease>,
-    /// When each of the last versions was confirmed to be the latest, for the last time heard of.
+    /// When each of the last versions was last confirmed to be the latest, as far as known here.
     confirmations: VecDeque<(ConfigVersion, SharedTime)>,
     pub(super) held: Option<HeldPlan>,
-    /// The newest orders for zones heard of; always committed.
+    /// The newest zone orders known here; always committed.
     pub(super) evacuated: Arc<EvacuatedZones>,
-    /// The steps to the plan held, for hosts that hold an earlier one.
+    /// The steps to the held plan, for hosts that hold an earlier version.
     pub(super) history: DeltaHistory,
     pub(super) fetch: Option<PlanFetch>,
     pub(super) counts: SpreadCounts,
     pub(super) replica: Option<LogReport>,
     pub(super) answers: FastMap<HostId, (Moment, LogReport)>,
-    /// Who has asked this host before it could tell anything, with the number of the last question.
+    /// Hosts that asked before this host could answer, with the nonce of their last question.
     pub(super) askers: FastMap<HostId, u64>,
     holders: FastMap<HostId, ConfigVersion>,
     pub(super) serve_budget: ServeBudget,
     next_round: Moment,
     round: u32,
-    /// Hosts that say of themselves that they hold a replica.
+    /// Hosts that announce that they hold a replica.
     pub(super) likely_replicas: Vec<HostId>,
-    /// Those of them that are in the own zone.
+    /// Those of them in this host's zone.
     pub(super) near_replicas: Vec<HostId>,
-    /// Whether a new version is to be told of at once.
+    /// Whether the next tick sends the lease to several hosts at once.
     pub(super) flood: bool,
-    /// Whether the host serves on by the last version it knew when it can learn of no newer one.
+    /// Whether the host keeps serving with its last known version while it cannot learn of a newer
+    /// one.
     serves_on: bool,
 }
 
 impl PlanFollower {
-    /// Makes the follower of a host that has just started.
+    /// Creates the follower of a host that has just started.
     #[must_use]
     pub fn new(host: HostId, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -135,18 +141,18 @@
         }
     }
 
-    /// Sets whether the host serves on by the last version it knew, for as long as nobody can tell
-    /// it whether that is still the latest.
+    /// Sets whether the host keeps serving with its last known version while no host can confirm
+    /// that it is still the latest.
     ///
-    /// It then may serve by an old version while it is cut off, but never goes back to one. Where
-    /// that is not allowed, it is not ready until it hears from a majority again.
+    /// If so, the host may serve with an old version while it is cut off, but never goes back to
+    /// one. If not, it is not ready until it hears from a majority again.
     #[must_use]
     pub fn with_serving_on(mut self, serves_on: bool) -> Self {
         self.serves_on = serves_on;
         self
     }
 
-    /// Sets what the host's link bears, in bytes a second: plans get a part of it.
+    /// Sets the rate of the host's link in bytes per second. Plans get a share of it.
     #[must_use]
     pub fn with_link_rate(mut self, rate: Option<f64>) -> Self {
         self.serve_budget = ServeBudget::new(rate);
@@ -156,26 +162,26 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// The configuration in force, if one is known; its version never goes down.
+    /// Returns the configuration in force, if one is known. Its version never decreases.
     #[must_use]
     pub fn in_force(&self) -> Option<&Arc<PolicyPlan>> {
         self.held.as_ref().map(|held| &held.plan)
     }
 
-    /// The version in force; 0 before the first.
+    /// Returns the version in force; 0 before the first.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.held.as_ref().map_or(ConfigVersion::default(), |held| held.version)
     }
 
-    /// The zones that are evacuated, as far as this host has heard; orders are never taken back by
-    /// earlier ones. Whether it has heard of all is what [`Self::standing`] tells.
+    /// Returns the evacuated zones known to this host. Earlier orders never replace later ones.
+    /// [`Self::standing`] tells whether all orders are known.
     #[must_use]
     pub fn evacuated(&self) -> &Arc<EvacuatedZones> {
         &self.evacuated
     }
 
-    /// How the host stands now.
+    /// Returns how current the configuration is now.
     #[must_use]
     pub fn standing(&self, now: Moment) -> PlanStanding {
         let Some(held) = self.held.as_ref().filter(|_| self.welcomed) else {
@@ -191,32 +197,32 @@
         }
     }
 
-    /// The leader by the freshest lease, if it holds.
+    /// Returns the leader named by the freshest lease, if that lease is still valid.
     #[must_use]
     pub fn leader(&self, now: Moment) -> Option<&HostId> {
         self.lease.as_ref().filter(|_| self.lease_holds(now)).map(|lease| &lease.leader)
     }
 
-    /// The hosts that told this one, as the leader, which version is in force with them.
+    /// Returns the version in force on each host that has reported it to this host as the leader.
     #[must_use]
     pub fn holders(&self) -> &FastMap<HostId, ConfigVersion> {
         &self.holders
     }
 
-    /// What spreading configurations has cost this host so far.
+    /// Returns the counts of this host's part in spreading configurations.
     #[must_use]
     pub const fn spread_counts(&self) -> SpreadCounts {
         self.counts
     }
 
-    /// The newest accepted version that this host has heard of, if it lacks it: whoever is asked for
-    /// what only that version has can't say here that it doesn't exist.
+    /// Returns the newest accepted version known to this host, if it lacks that version. Until it
+    /// has the version, it cannot answer that something only found there does not exist.
     #[must_use]
     pub fn awaited(&self) -> Option<ConfigVersion> {
         self.fetch.as_ref().map(PlanFetch::goal)
     }
 
-    /// When [`Self::tick`] next has something to do.
+    /// Returns when [`Self::tick`] next has something to do.
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         let mut next = self.next_round;
@@ -237,11 +243,11 @@
         self.lease.as_ref().is_some_and(|lease| self.clock.epoch_of(lease.confirmed).holds(epoch))
     }
 
-    /// Whether a version, or one before it, was the latest accepted within a lease's time.
+    /// Whether a version, or one before it, was the latest accepted within a lease's validity.
     ///
-    /// A fresh lease that names a newer version proves nothing about the one in force here. Were it
-    /// taken for a proof, a host that was frozen for long would wake up, hear of the newer version
-    /// and go on serving callers by the old one until it has fetched the new.
+    /// A fresh lease that names a newer version proves nothing about the one in force here. If it
+    /// counted as proof, a host that was frozen for long would wake up, learn of the newer version
+    /// and keep serving callers with the old one until it has fetched the new one.
     fn is_confirmed(&self, now: Moment, version: ConfigVersion) -> bool {
         let epoch = self.clock.epoch(now);
         let proofs = self.confirmations.iter().filter(|(confirmed, _)| *confirmed <= version);
@@ -258,13 +264,13 @@
         }
     }
 
-    /// Whether a majority of replicas says that nothing past a version, and no order for a zone past
-    /// those heard of, is in its logs.
+    /// Whether a majority of replicas reports that their logs hold nothing after a version and no
+    /// zone order after those known here.
     ///
-    /// What was accepted is in the logs of a majority, and any two majorities share a replica: if
-    /// none of a majority holds an entry past the version, none was accepted. An entry that is
-    /// seen there may or may not have been accepted, so it forbids to serve on and is never put
-    /// in force. The same holds for changes of the replica set, so the latest set seen decides.
+    /// An accepted entry is in the logs of a majority, and any two majorities share a replica: if
+    /// no log of a majority holds an entry after the version, none was accepted. An entry found
+    /// there may or may not have been accepted, so it rules out serving on and is never put in
+    /// force. The same holds for changes of the replica set, so the latest set seen decides.
     fn is_static(&self, now: Moment, version: ConfigVersion) -> bool {
         let fresh = |at: &Moment| now.since(*at) < ANSWER_TERM;
         let known = self.lease.as_ref().map(|lease| &lease.replicas);
@@ -287,15 +293,15 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // What the log says
+    // Input from the log
 
-    /// Takes over orders for zones that this host's own replica knows to be committed.
+    /// Adopts zone orders that this host's own replica knows to be committed.
     pub fn committed_zones(&mut self, zones: &Arc<EvacuatedZones>) {
         self.take_zones(zones);
     }
 
-    /// Notes what this host's replica holds, to be told to hosts without a lease; `last_entry` is
-    /// the latest version in the log and `last_order` the latest order for a zone, committed or not.
+    /// Sets what this host's replica reports to hosts without a lease. `last_entry` is the latest
+    /// version in its log and `last_order` the latest zone order, committed or not.
     pub fn set_replica(
         &mut self,
         replicas: ReplicaSet,
@@ -305,27 +311,27 @@
         self.replica = Some(LogReport { replicas, last_entry, last_order });
     }
 
-    /// Notes that this host has no replica any more.
+    /// Notes that this host no longer has a replica.
     pub fn clear_replica(&mut self) {
         self.replica = None;
     }
 
-    /// Notes which hosts say of themselves that they hold a replica: whom to ask before a lease has
-    /// told who does.
+    /// Sets which hosts announce that they hold a replica. They are the ones to ask before a lease
+    /// has named the replicas.
     pub fn apply_replicas(&mut self, hosts: &[HostId]) {
         self.likely_replicas = hosts.to_vec();
         self.meet_replicas();
     }
 
-    /// Notes which of them are in the own zone: plans come from there, as links between zones are
-    /// dear.
+    /// Sets which of them are in this host's zone. Plans are fetched from these first, because
+    /// links between zones are expensive.
     pub fn prefer_replicas(&mut self, near: Vec<HostId>) {
         self.near_replicas = near;
     }
 
-    /// Issues a lease as the leader. `confirmed` is when the round of heartbeats began that a
-    /// majority has answered; the version and the zones in force here must be all that was committed
-    /// by then.
+    /// Issues a lease as the leader. `confirmed` is the start of the heartbeat round that a
+    /// majority has answered. The version and the zones in force here must include all that was
+    /// committed by then.
     pub fn lead(&mut self, term: u64, replicas: ReplicaSet, confirmed: Moment) {
         let held = self.held.get_or_insert_with(HeldPlan::empty);
         let lease = PlanLease {
@@ -336,7 +342,7 @@
             leader: self.host.clone(),
             replicas,
         };
-        // A majority's answers are as fresh as any host's.
+        // Answers from a majority are as fresh as an answer from any host.
         self.welcomed = true;
         self.take_lease(lease);
     }
@@ -344,11 +350,12 @@
     // ---------------------------------------------------------------------------------------------
     // Time
 
-    /// Tells the host of another's round of what is due now, so that both messages go in one
-    /// datagram; own rounds follow only if no other comes for a while.
+    /// Joins a round of another component: sends the lease to the same target, so that both
+    /// messages go in one datagram. The follower starts its own rounds only if none comes for a
+    /// while.
     ///
-    /// On hosts with few requests the rounds are most of what the processor does: each message
-    /// wakes two hosts, and a wake-up costs more than what is in it.
+    /// On hosts with few requests, rounds are most of the processor's work: each message wakes two
+    /// hosts, and a wake-up costs more than handling the message.
     pub fn join_round(&mut self, now: Moment, ring: &PeerRing, round: u32) -> Option<PlanSend> {
         self.round = round.wrapping_add(1);
         self.next_round = now + round_pause(ring) * 2;
@@ -356,7 +363,7 @@
         self.tell_lease(now, to)
     }
 
-    /// Does what is due by now; the ring is that of the live hosts.
+    /// Does what is due by now. `ring` holds the live hosts.
     pub fn tick(&mut self, now: Moment, ring: &PeerRing) -> Vec<PlanSend> {
         let mut sends = self.answer_askers(now);
         if std::mem::take(&mut self.flood) {
@@ -374,7 +381,8 @@
         sends
     }
 
-    /// Whom to tell of a version as soon as it is known here; each of them tells as many.
+    /// Returns the hosts to notify of a version as soon as it is known here. Each of them notifies
+    /// as many in turn.
     fn flood_targets(&self, ring: &PeerRing) -> Vec<HostId> {
         let count = FLOOD_TARGETS.min(ring.rounds());
         let steps = (0..count).map(|step| self.round + step * ring.rounds() / count);
@@ -392,13 +400,13 @@
     // ---------------------------------------------------------------------------------------------
     // Messages
 
-    /// Takes in a message that was authenticated as that of a host of this installation.
+    /// Handles a message that was authenticated as coming from a host of this installation.
     pub fn receive(&mut self, now: Moment, from: &HostId, body: &[u8]) -> Vec<PlanSend> {
         let Some(PlanMessage { time, content }) = PlanMessage::unpack(body) else {
             return Vec::new();
         };
-        // A message that was under way for long would set the clock of a host that has just
-        // started to the past, and make an old lease look fresh: only an answer sets it first.
+        // A message that was in transit for long would set the clock of a host that has just
+        // started to the past and make an old lease look fresh. Only an answer may set it first.
         if self.welcomed {
             self.clock.adopt(now, time);
         }
@@ -452,11 +460,11 @@
         PlanSend { to, body: PlanMessage::pack(self.clock.read(now), content) }
     }
 
-    /// Takes over orders for zones if they are newer than those known.
+    /// Adopts zone orders if they are newer than those known.
     ///
-    /// They go along with every lease, and whoever sends one knows of all orders that were committed
-    /// when it was issued. A host that holds a lease therefore has no upstream of a zone in use whose
-    /// evacuation was acknowledged before.
+    /// Every lease carries them, and its sender knows all orders that were committed when the lease
+    /// was issued. A host that holds a lease therefore uses no upstream of a zone whose evacuation
+    /// was acknowledged before then.
     fn take_zones(&mut self, zones: &Arc<EvacuatedZones>) {
         if zones.revision > self.evacuated.revision {
             self.evacuated = Arc::clone(zones);
@@ -464,7 +472,7 @@
         }
     }
 
-    /// Takes in a lease if it is the freshest; a new version is told of at once.
+    /// Adopts a lease if it is the freshest. A new version is passed on at once.
     fn take_lease(&mut self, lease: PlanLease) {
         let known = self.lease.as_ref();
         if known.is_some_and(|known| known.rank() >= lease.rank()) || lease.version < self.version()
@@ -479,7 +487,7 @@
     }
 }
 
-/// The pause between two rounds of one host.
+/// Returns the interval between two rounds of one host.
 fn round_pause(ring: &PeerRing) -> Duration {
     (CYCLE / ring.rounds().max(1)).clamp(ROUND_FLOOR, ROUND_CEILING)
 }
--- a/crates/pulley_core/src/version/follower/plan_follower_asking.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_asking.rs
@@ -1,4 +1,4 @@
-//! How a host asks others for the configuration while it has no lease, and answers those who ask.
+//! How a host without a lease asks other hosts for one, and how hosts answer such questions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 use super::plan_follower_message::{LogReport, PlanContent};
 use crate::process::{HostId, Moment, PeerRing};
 
-/// How often hosts are asked while there is no lease.
+/// The interval between questions while there is no lease.
 const ASK_PAUSE: Duration = Duration::from_millis(250);
 /// How many peers are asked at a time while there is no lease, besides the replicas.
 const ASK_PEERS: usize = 2;
 
 impl PlanFollower {
-    /// Whether there is an answer now for those who have asked too early.
+    /// Whether hosts that asked too early can be answered now.
     pub(super) fn has_askers(&self) -> bool {
         self.welcomed && self.held.is_some() && !self.askers.is_empty()
     }
 
-    /// Answers those who asked before this host could tell anything.
+    /// Answers the hosts that asked before this host could answer.
     ///
-    /// Load it is for: all hosts restart together, and every entry asks the replicas until one
-    /// leads. Harm: told only when they ask the next time, entries have the configuration that much
-    /// after the leader, and refuse their callers meanwhile. Reason for the limit: one answer a host,
-    /// to its last question, which is all that it takes for an answer.
+    /// This matters when all hosts restart together and every entry asks the replicas until one of
+    /// them leads. Answered only at their next question, entries would have the configuration later
+    /// than the leader by that delay, and refuse their callers meanwhile. Each host gets one
+    /// answer, to its last question, because it accepts no other.
     pub(super) fn answer_askers(&mut self, now: Moment) -> Vec<PlanSend> {
         if !self.has_askers() {
             return Vec::new();
@@ -35,17 +35,17 @@
         askers.into_iter().map(|(host, nonce)| self.answer(now, &host, nonce)).collect()
     }
 
-    /// The pause between two questions.
+    /// Returns the interval between two questions.
     ///
-    /// Load it is for: hundreds of entries restart together, and all of them ask every replica until
-    /// one leads. Harm: asked by each of them ten times a second, replicas are busy with little else
-    /// and elect a leader later. Reason for the limit: who has answered once tells as soon as it can,
-    /// so that asking again soon is of use only as long as nobody has.
+    /// It limits the load when hundreds of entries restart together and all of them ask every
+    /// replica until one leads. If each of them asked ten times a second, replicas would be busy
+    /// with little else and elect a leader later. A host that has answered once sends its lease as
+    /// soon as it can, so asking again soon is useful only until the first answer.
     pub(super) fn ask_pause(&self) -> Duration {
         if self.welcomed || self.is_answered { ASK_PAUSE } else { START_PAUSE }
     }
 
-    /// Asks replicas and some peers while there is no lease.
+    /// Asks the replicas and some peers while there is no valid lease.
     pub(super) fn ask_around(&mut self, now: Moment, ring: &PeerRing, sends: &mut Vec<PlanSend>) {
         let waiting = self.asked.is_some_and(|asked| now.since(asked) < self.ask_pause());
         if waiting || (self.welcomed && self.lease_holds(now)) {
--- a/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching what leads to a later plan, in chunks, from hosts that hold it.
+//! Fetches the path to a later plan, in chunks, from hosts that hold the plan.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use super::plan_follower_message::{CHUNK_BYTES, PLAN_LIMIT, PlanChunk, PlanContent, PlanDigest};
 use crate::process::{HostId, Moment};
 
-/// How many chunks are asked for at once, at most: as many as a request can name.
+/// The maximum number of chunks in a window: as many as one request can name.
 const WINDOW_LIMIT: u32 = 16;
-/// How many are asked for at first: on a slow link, no more than callers' bytes can wait behind.
+/// The size of the first window. On a slow link, callers' bytes can wait behind no more than this.
 const WINDOW_START: u32 = 4;
-/// How long after its first chunk a window's last one is meant to come; a window that takes twice as
-/// long fills the link, and is halved.
+/// The target time between the first and the last chunk of a window. A window that takes more than
+/// twice as long fills the link and is halved.
 const WINDOW_AIM: Duration = Duration::from_millis(20);
-/// How long a window may take until the rest of it is asked for again, from another host.
+/// How long a window may take before its rest is requested again, from another host.
 const RETRY: Duration = Duration::from_millis(200);
-/// How many windows in a row may bring nothing until what has come is given up: nobody may hold the
-/// rest of it any more.
+/// How many windows in a row may bring no chunk before the chunks received are dropped, because
+/// perhaps no host holds the rest of that path any more.
 const FRUITLESS_LIMIT: u32 = 2;
-/// How many hosts that hold the plan are remembered, besides replicas.
+/// How many hosts that hold the plan are remembered, besides the replicas.
 const HOLDER_LIMIT: usize = 8;
 
-/// What has come of the way to a later plan.
+/// The chunks received of the path to a later plan.
 #[derive(Clone, Debug)]
 struct PartialPath {
     span: DeltaSpan,
@@ -39,36 +39,36 @@
     }
 }
 
-/// The way to a later plan, as far as it has come.
+/// The fetch of a later plan: whom to ask, and what has arrived so far.
 #[derive(Clone, Debug)]
 pub(crate) struct PlanFetch {
     goal: ConfigVersion,
     goal_digest: PlanDigest,
-    /// Hosts with a replica, in the order in which they are to be asked.
+    /// Hosts with a replica, in the order in which to ask them.
     replicas: Vec<HostId>,
-    /// Other hosts that said they hold the goal.
+    /// Other hosts that reported that they hold the goal.
     holders: Vec<HostId>,
-    /// How often the host to be asked has changed.
+    /// How often the fetch has moved on to another host.
     turn: usize,
     path: Option<PartialPath>,
     window: u32,
-    /// How many chunks of the window have not come.
+    /// How many chunks of the window have not arrived yet.
     awaited: u32,
     fruitless: u32,
-    /// How many hosts in a row had nothing to give.
+    /// How many hosts in a row had nothing to send.
     passed_over: usize,
     wants_whole: bool,
     asked: Option<Moment>,
-    /// Who was asked then: the lists may be others by the time of the answer.
+    /// The host asked then; the lists may have changed by the time it answers.
     asked_of: Option<HostId>,
-    /// Whether nobody was asked then, as all had nothing to give.
+    /// Whether no host was asked then, because none had anything to send.
     rests: bool,
-    /// When the first chunk of the window came.
+    /// When the first chunk of the window arrived.
     begun: Option<Moment>,
 }
 
 impl PlanFetch {
-    /// Makes a fetch that asks hosts with a replica, the first first.
+    /// Creates a fetch that asks hosts with a replica in the given order.
     pub(crate) fn new(goal: ConfigVersion, digest: PlanDigest, replicas: Vec<HostId>) -> Self {
         Self {
             goal,
@@ -92,7 +92,7 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// The latest version known to be accepted.
+    /// Returns the latest version known to be accepted.
     pub(crate) const fn goal(&self) -> ConfigVersion {
         self.goal
     }
@@ -102,7 +102,7 @@
         Some(self.asked.map_or(Moment::ZERO, |asked| asked + RETRY))
     }
 
-    /// The host to be asked: replicas and holders by turns, where there are both.
+    /// Returns the host to ask next. Replicas and holders alternate if there are both.
     fn source(&self) -> Option<&HostId> {
         let (list, place) = match (self.replicas.is_empty(), self.holders.is_empty()) {
             (false, true) => (&self.replicas, self.turn),
@@ -114,16 +114,16 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // What others say
+    // Input from other hosts
 
-    /// Notes a later version than the goal; what has come so far stays of use.
+    /// Raises the goal to a later version. Chunks received so far remain useful.
     pub(crate) fn raise(&mut self, goal: ConfigVersion, digest: PlanDigest) {
         if goal >= self.goal {
             (self.goal, self.goal_digest) = (goal, digest);
         }
     }
 
-    /// Notes which hosts have a replica now; those known keep their places while they are the same.
+    /// Sets which hosts have a replica now. Their order is kept while the set stays the same.
     pub(crate) fn meet_replicas(&mut self, replicas: Vec<HostId>) {
         let is_same = replicas.len() == self.replicas.len()
             && replicas.iter().all(|host| self.replicas.contains(host));
@@ -133,13 +133,14 @@
         }
     }
 
-    /// Notes that a way that came whole did not lead to its plan: the next one has to be a whole plan.
+    /// Notes that a complete path did not lead to its plan: a whole plan has to be fetched next.
     pub(crate) fn reject(&mut self, now: Moment) {
         self.wants_whole = true;
         self.asked = Some(now);
     }
 
-    /// Notes which version is in force here now; what has come on another way to it is of no use.
+    /// Notes which version is in force here now. Chunks of a path that does not lead on from it are
+    /// dropped.
     pub(crate) fn note_held(&mut self, held: ConfigVersion) {
         self.wants_whole = false;
         let leads_on = |path: &PartialPath| path.span.leads_on(held);
@@ -157,22 +158,23 @@
         }
     }
 
-    /// Notes that a host has nothing of use or no room for it; if it was asked, another one is.
+    /// Notes that a host has nothing useful, or no capacity to send it. If it is the host that was
+    /// asked, another one is asked next.
     pub(crate) fn pass_over(&mut self, now: Moment, host: &HostId) {
         if self.asked.is_none() || self.rests || self.asked_of.as_ref() != Some(host) {
             return;
         }
         self.turn += 1;
         self.passed_over += 1;
-        // Whoever answers gives another way if it doesn't know the one begun.
+        // A host that answers with chunks sends another path if it does not know the one begun.
         self.fruitless = 0;
-        // Once all were asked in vain, they are left alone for a while.
+        // After a full round without success, the fetch pauses.
         let sources = self.replicas.len() + self.holders.len();
         self.rests = self.passed_over.is_multiple_of(sources);
         self.asked = self.rests.then_some(now);
     }
 
-    /// Takes a chunk; returns the whole way if it was the last one missing.
+    /// Takes a received chunk; returns the complete path if it was the last one missing.
     pub(crate) fn take(
         &mut self,
         now: Moment,
@@ -192,7 +194,7 @@
             path.span == span && path.digest == digest && path.chunks.len() == count
         };
         if !self.path.as_ref().is_some_and(fits) {
-            // The host that is asked holds no more of the way begun: it gives another one.
+            // The host that was asked no longer holds the path begun, so it sends another one.
             if self.path.is_some() && self.asked_of.as_ref() != Some(from) {
                 return FetchStep::Unwanted;
             }
@@ -217,9 +219,9 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Questions
+    // Requests
 
-    /// Asks for what is missing, if nothing was asked for or the answer is overdue.
+    /// Returns a request for missing chunks if none is pending or the answer is overdue.
     pub(crate) fn ask(&mut self, now: Moment, held: ConfigVersion) -> Option<PlanQuestion> {
         let is_overdue = self.asked.is_some() && !self.rests;
         if self.asked.is_some_and(|asked| now.since(asked) < RETRY) {
@@ -248,14 +250,15 @@
         Some(PlanQuestion { to, content, is_overdue })
     }
 
-    /// Makes room for another holder if the one asked has not answered and no more can be noted.
+    /// Removes the host asked from the holders if it has not answered and the list is full, so that
+    /// another holder can be added.
     fn forget_silent_holder(&mut self) {
         if self.holders.len() >= HOLDER_LIMIT {
             self.holders.retain(|host| Some(host) != self.asked_of.as_ref());
         }
     }
 
-    /// The first chunk wanted, and a bit for each that is wanted from there on.
+    /// Returns the first chunk wanted, and a bit for each chunk wanted from there on.
     fn wanted(&self) -> (u32, u16) {
         let Some(path) = &self.path else {
             return (0, bits(0..self.window));
@@ -266,7 +269,7 @@
         (first, bits(missing.into_iter().map(|place| place - first)))
     }
 
-    /// Asks for more at a time where windows come quickly, and for less where they fill a link.
+    /// Enlarges the window if its chunks arrive quickly, and shrinks it if they fill the link.
     fn fit_window(&mut self, took: Duration) {
         if took <= WINDOW_AIM {
             self.window = (self.window * 2).min(WINDOW_LIMIT);
@@ -285,27 +288,27 @@
     }
 }
 
-/// A bit for each place below the width of a request.
+/// Returns a bit for each offset below the width of a request.
 fn bits(places: impl Iterator<Item = u32>) -> u16 {
     places.filter(|place| *place < WINDOW_LIMIT).fold(0, |bits, place| bits | 1 << place)
 }
 
-/// What to ask whom.
+/// A request for chunks and its receiver.
 #[derive(Clone, Debug)]
 pub(crate) struct PlanQuestion {
     pub(crate) to: HostId,
     pub(crate) content: PlanContent,
-    /// Whether an earlier question had no whole answer in time.
+    /// Whether an earlier request was not answered completely in time.
     pub(crate) is_overdue: bool,
 }
 
-/// What follows from a chunk.
+/// The result of receiving a chunk.
 #[derive(Clone, Debug)]
 pub(crate) enum FetchStep {
-    /// It is of no use.
+    /// The chunk is of no use.
     Unwanted,
-    /// More is missing.
+    /// Other chunks are still missing.
     Taken,
-    /// The way is whole.
+    /// The path is complete.
     Done(DeltaPath),
 }
--- a/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
@@ -1,4 +1,4 @@
-//! How a host gets hold of plans and passes them on.
+//! How a host fetches plans and serves them to other hosts.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     // ---------------------------------------------------------------------------------------------
     // Fetching
 
-    /// Wants the version that a lease names.
+    /// Fetches the version that a lease names, if it is not held yet.
     pub(super) fn want(&mut self, lease: &PlanLease) {
         if lease.version == ConfigVersion::default() && self.held.is_none() {
             self.held = Some(HeldPlan::empty());
@@ -23,7 +23,8 @@
         self.seek(lease.version, lease.digest);
     }
 
-    /// Takes up what another host has in force. That is always committed, whoever leads now.
+    /// Fetches the version that another host has in force. It is always committed, whoever leads
+    /// now.
     pub(super) fn take_committed(
         &mut self,
         now: Moment,
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Fetches a version, unless it is in force; a fetch under way goes on, to the later of both.
+    /// Starts to fetch a version unless it is in force. A fetch in progress continues, to the later
+    /// of both versions.
     fn seek(&mut self, version: ConfigVersion, digest: PlanDigest) {
         if version <= self.version() {
             return;
@@ -52,7 +54,7 @@
         self.fetch = Some(PlanFetch::new(version, digest, self.replicas_to_ask()));
     }
 
-    /// Has a fetch under way ask the hosts that have a replica now.
+    /// Directs a fetch in progress to the hosts that have a replica now.
     pub(super) fn meet_replicas(&mut self) {
         if self.fetch.is_none() {
             return;
@@ -63,8 +65,8 @@
         }
     }
 
-    /// The hosts with a replica, those of the own zone first; which of these goes first is up to
-    /// chance, so that all have about the same to do.
+    /// Returns the hosts with a replica, those in this host's zone first. Within each group the
+    /// order is random, so that the load is spread evenly.
     fn replicas_to_ask(&mut self) -> Vec<HostId> {
         let leased = self.lease.as_ref().map(|lease| &lease.replicas.hosts);
         let live = Some(&self.likely_replicas).filter(|live| !live.is_empty());
@@ -75,7 +77,7 @@
         replicas
     }
 
-    /// Asks for what is missing, if it is time to.
+    /// Requests missing chunks, if a request is due.
     pub(super) fn ask_for_plan(&mut self, now: Moment) -> Option<PlanSend> {
         let held = self.version();
         let question = self.fetch.as_mut()?.ask(now, held)?;
@@ -103,7 +105,7 @@
         self.ask_for_plan(now).into_iter().collect()
     }
 
-    /// Puts the plan in force to which a way leads, and tells the leader.
+    /// Puts the plan in force to which a path leads, and reports that to the leader.
     fn follow(&mut self, now: Moment, path: DeltaPath) -> Vec<PlanSend> {
         let empty = HeldPlan::empty;
         let held = self.held.clone().unwrap_or_else(empty);
@@ -124,9 +126,9 @@
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Passing on
+    // Serving
 
-    /// Answers a question for chunks of the way from the version that a host holds.
+    /// Answers a request for chunks of the path from the version that the requester holds.
     pub(super) fn serve(
         &mut self,
         now: Moment,
@@ -135,7 +137,7 @@
         (first, wanted): (u32, u16),
     ) -> Vec<PlanSend> {
         let Some(held) = self.held.clone().filter(|held| held.version > from) else {
-            // Without an answer its asker would wait for one before it asks another host.
+            // Without an answer the requester would wait for one before it asks another host.
             let nothing = || self.send(now, to.clone(), PlanContent::Busy);
             return vec![self.tell_lease(now, to.clone()).unwrap_or_else(nothing)];
         };
@@ -176,7 +178,7 @@
         self.hold(later);
     }
 
-    /// Puts a plan in force, unless a later one is already.
+    /// Puts a plan in force, unless it or a later one already is.
     fn hold(&mut self, plan: HeldPlan) {
         let version = plan.version;
         if self.held.as_ref().is_some_and(|held| held.version >= version) {
@@ -187,7 +189,7 @@
             Some(fetch) if fetch.goal() > version => fetch.note_held(version),
             _ => self.fetch = None,
         }
-        // Whoever has told of it by a lease has told that it is to be had.
+        // A host that sent a lease for this version has already announced that it can be fetched.
         self.flood |= self.lease.as_ref().is_none_or(|lease| lease.version < version);
     }
 }
--- a/crates/pulley_core/src/version/follower/plan_rows.rs
+++ b/crates/pulley_core/src/version/follower/plan_rows.rs
@@ -1,4 +1,5 @@
-//! Rows of a plan as they travel: by column, so that what repeats takes next to no room.
+//! The form in which rows of a plan are sent: by column, so that repeated values take almost no
+//! space.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -18,14 +19,14 @@
 };
 use crate::version::{AnswerSize, HostMatch, MethodMatch, RequestPriority, RouteTerms, WorkLength};
 
-/// How far the compressor looks for repetitions, from 0 to 10.
+/// The compression level: how far the compressor looks for repetitions, from 0 to 10.
 const DEFLATE_LEVEL: i32 = 4;
-/// Stands for a column's next new value.
+/// Marks the next new value of a column.
 const NEW_VALUE: u32 = 0;
 
-/// Rows by column; the letters of their kinds and paths are kept apart.
+/// Rows by column; the bytes of their kind names and paths are stored separately.
 ///
-/// Values that go together share a column.
+/// Correlated values share a column.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct RowColumns {
     kinds: NameColumn,
@@ -33,19 +34,19 @@
     /// Pool, service and host name.
     owners: ValueColumn<(PoolName, ServiceName, HostMatch)>,
     methods: ValueColumn<MethodMatch>,
-    /// Priority, attempts, and whether running it twice does no harm.
+    /// Priority, attempts, and whether running a request twice does no harm.
     handling: ValueColumn<(RequestPriority, u8, bool)>,
     /// Deadline and target.
     times: ValueColumn<(Duration, Option<Duration>)>,
     sizes: ValueColumn<(WorkLength, AnswerSize)>,
     weights: ValueColumn<u32>,
-    /// Share, slots kept free and probe budget.
+    /// Share, reserved slots and probe budget.
     capacities: ValueColumn<(ShareFraction, SlotCount, ProbeRate)>,
     connections: ValueColumn<Option<u32>>,
 }
 
 impl RowColumns {
-    /// Splits rows into columns, and puts the letters of names beside each other.
+    /// Splits rows into columns and appends the bytes of their names to `name_bytes`.
     pub(crate) fn split(rows: &[&KindPlan], letters: &mut Vec<u8>) -> Self {
         let owner =
             |row: &KindPlan| (row.pool.clone(), row.service.clone(), row.route.host.clone());
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Makes the rows again; none if there are too many, or the columns don't belong together.
+    /// Rebuilds the rows; `None` if there are too many or the columns do not belong together.
     pub(crate) fn join(self, letters: &[u8]) -> Option<Vec<KindPlan>> {
         let count = self.kinds.places.len();
         if count > PLAN_ROW_LIMIT {
@@ -111,10 +112,10 @@
     }
 }
 
-/// One value a row: each different one once, and for each row which it is.
+/// One value per row: each distinct value once, and for each row a reference to its value.
 #[derive(Debug, Serialize, Deserialize)]
 struct ValueColumn<V> {
-    /// For each row [`NEW_VALUE`], or the number of a value from 1 on.
+    /// For each row [`NEW_VALUE`], or the number of a value, counted from 1.
     places: Vec<u32>,
     values: Vec<V>,
 }
@@ -139,7 +140,8 @@
 }
 
 impl<V> ValueColumn<V> {
-    /// The value of each row, if there are as many as wanted; it ends early at one that is missing.
+    /// Returns the value of each row, or `None` if there are not `count` rows. The iterator ends
+    /// early at a missing value.
     fn items(&self, count: usize) -> Option<impl Iterator<Item = &V>> {
         let mut new = self.values.iter();
         let items = self.places.iter().map_while(move |place| match *place {
@@ -150,16 +152,16 @@
     }
 }
 
-/// One name a row: of each different one how much it shares with the one before.
+/// One name per row: for each distinct name, how much it shares with the previous one.
 #[derive(Debug, Serialize, Deserialize)]
 struct NameColumn {
     /// As in [`ValueColumn`].
     places: Vec<u32>,
-    /// How many bytes at its start are those of the name before.
+    /// How many leading bytes are those of the previous name.
     heads: Vec<u32>,
-    /// How many bytes at its end are those of the name before.
+    /// How many trailing bytes are those of the previous name.
     tails: Vec<u32>,
-    /// How many bytes it has; those between stand among the letters.
+    /// How many bytes the name has; those in between are among the name bytes.
     lengths: Vec<u32>,
 }
 
@@ -186,13 +188,13 @@
         Self { places, heads, tails, lengths }
     }
 
-    /// Makes the names again; returns the letters that are left, too.
+    /// Rebuilds the names; also returns the name bytes that are left.
     fn read(self, letters: &[u8]) -> Option<(ValueColumn<SmolStr>, &[u8])> {
         let Self { places, heads, tails, lengths } = self;
         if heads.len() != lengths.len() || tails.len() != lengths.len() {
             return None;
         }
-        // A few bytes can claim names that share long parts.
+        // A few bytes can encode many names that share long parts, so the decoded size is limited.
         let bytes: u64 = lengths.iter().copied().map(u64::from).sum();
         if usize::try_from(bytes).ok()? > PLAN_LIMIT {
             return None;
@@ -219,9 +221,9 @@
     u32::try_from(count).expect("names are far below 4 GB")
 }
 
-/// Compresses bytes, the same way wherever it is done.
+/// Compresses bytes; every host produces the same output.
 pub(crate) fn deflate(mut plain: &[u8]) -> Vec<u8> {
-    // Short repetitions in random names take more room than their letters.
+    // Encoding short repetitions in random names takes more space than the bytes themselves.
     let strategy = CompressionStrategy::Filtered;
     let flags = create_comp_flags_from_zip_params(DEFLATE_LEVEL, 0, strategy.into());
     let mut compressor = CompressorOxide::new(flags);
@@ -246,7 +248,7 @@
     packed
 }
 
-/// Takes compression back; none if that gives more than a plan may have.
+/// Decompresses bytes; `None` if the result is larger than a plan may be.
 pub(crate) fn inflate(packed: &[u8]) -> Option<Vec<u8>> {
     decompress_to_vec_with_limit(packed, PLAN_LIMIT).ok()
 }
--- a/crates/pulley_core/src/version/follower/plan_serve_budget.rs
+++ b/crates/pulley_core/src/version/follower/plan_serve_budget.rs
@@ -1,19 +1,20 @@
-//! How much of its link a host gives to passing on plans.
+//! Limits how much of its link a host uses to serve plans to other hosts.
 
 use std::time::Duration;
 
 use crate::process::Moment;
 
-/// The part of a host's link that plans may take; the rest is for callers and upstreams.
+/// The share of a host's link that plans may use; the rest is for callers and upstreams.
 const LINK_PART: f64 = 0.25;
-/// The rate of a link that nobody has told of, in bytes a second.
+/// The assumed rate of a link if none is set, in bytes per second.
 const USUAL_LINK: f64 = 12_500_000.0;
-/// What may go out at once, as time of the link: so long callers' bytes may wait behind it.
+/// The maximum burst, as transmission time: callers' bytes may have to wait behind it for this
+/// long.
 const BURST_TIME: Duration = Duration::from_millis(50);
-/// What may go out at once on any link, in bytes: one window of chunks.
+/// The burst allowed on any link, in bytes: one window of chunks.
 const BURST_FLOOR: f64 = 20_000.0;
 
-/// Bytes of plans that a host may send.
+/// The bytes of plans that a host may send.
 #[derive(Clone, Debug)]
 pub(crate) struct ServeBudget {
     link: f64,
@@ -22,7 +23,7 @@
 }
 
 impl ServeBudget {
-    /// Makes the budget of a host whose link bears so many bytes a second, if that is known.
+    /// Creates the budget of a host whose link has the given rate in bytes per second, if known.
     pub(crate) fn new(link: Option<f64>) -> Self {
         let link = link.unwrap_or(USUAL_LINK);
         let mut budget = Self { link, left: 0.0, refilled: Moment::ZERO };
@@ -34,7 +35,7 @@
         (self.link * BURST_TIME.as_secs_f64()).max(BURST_FLOOR)
     }
 
-    /// Whether any bytes are left now.
+    /// Refills the budget and returns whether any bytes are left.
     pub(crate) fn has_room(&mut self, now: Moment) -> bool {
         let refill = now.since(self.refilled).as_secs_f64() * self.link * LINK_PART;
         self.refilled = now;
@@ -42,8 +43,8 @@
         self.left > 0.0
     }
 
-    /// Takes out bytes that go out now, even if there are fewer left: half an answer would cost its
-    /// asker another question.
+    /// Spends bytes that are sent now, even if fewer are left: an incomplete answer would cost the
+    /// requester another request.
     pub(crate) fn take(&mut self, bytes: usize) {
         self.left -= bytes as f64;
     }
