--- a/crates/pulley_core/src/version/follower/plan_delta.rs
+++ b/crates/pulley_core/src/version/follower/plan_delta.rs
@@ -13,15 +13,15 @@
 use crate::process::FastMap;
 
 /// How many steps are kept for hosts that hold an earlier version.
-const STEPS_KEPT: usize = 64;
+const STEP_LIMIT: usize = 64;
 /// The total size of the steps kept, in bytes.
-const STEP_BYTES_KEPT: usize = 1024 * 1024;
+const STEP_BYTES_LIMIT: usize = 1024 * 1024;
 /// The maximum number of steps in a path; if no path is this short, the whole plan is sent.
-const PATH_LIMIT: usize = 32;
+const PATH_STEP_LIMIT: usize = 32;
 /// How many composed paths are cached for hosts that ask for the rest of one.
-const PATHS_KEPT: usize = 8;
+const PATH_CACHE_LIMIT: usize = 8;
 /// How many whole plans are cached; that of an earlier version cannot be built again.
-const WHOLES_KEPT: usize = 4;
+const WHOLE_CACHE_LIMIT: usize = 4;
 
 /// The versions between which a step or path leads. From version 0, the empty plan, it carries a
 /// whole plan.
@@ -33,7 +33,7 @@
 
 impl DeltaSpan {
     /// Whether it leads a host that holds version `held` to a later version.
-    pub(crate) fn leads_on(self, held: ConfigVersion) -> bool {
+    pub(crate) fn advances(self, held: ConfigVersion) -> bool {
         self.to > held && (self.from == held || self.from == ConfigVersion::default())
     }
 }
@@ -102,106 +102,106 @@
     bytes: usize,
     /// Cached paths of steps and, below, cached whole plans; the most recently used are at the end.
     paths: VecDeque<DeltaPath>,
-    wholes: VecDeque<DeltaPath>,
+    whole_plans: VecDeque<DeltaPath>,
 }
 
 impl DeltaHistory {
     /// Records the step between two plans that were in force here one after the other.
-    pub(crate) fn note_step(&mut self, before: &HeldPlan, after: &HeldPlan) {
+    pub(crate) fn record_step(&mut self, before: &HeldPlan, after: &HeldPlan) {
         let span = DeltaSpan { from: before.version, to: after.version };
         let packed = PlanDifference::between(&before.plan, &after.plan).pack();
-        self.push(PlanStep { span, digest: Some(after.digest), packed });
+        self.push_step(PlanStep { span, digest: Some(after.digest), packed });
     }
 
     /// Records a path that came from another host and was applied here, so that it can be served.
-    pub(crate) fn note_taken(&mut self, path: DeltaPath) {
+    pub(crate) fn record_received(&mut self, path: DeltaPath) {
         let mut from = path.span.from;
         for (to, packed) in split_steps(&path.body).unwrap_or_default() {
             let digest = (to == path.span.to).then_some(path.digest);
             let packed = Bytes::copy_from_slice(packed);
             if from > ConfigVersion::default() {
-                self.push(PlanStep { span: DeltaSpan { from, to }, digest, packed });
+                self.push_step(PlanStep { span: DeltaSpan { from, to }, digest, packed });
             }
             from = to;
         }
-        self.note_path(path);
+        self.cache_path(path);
     }
 
-    fn note_path(&mut self, path: DeltaPath) {
-        let (kept, limit) = self.kept(path.span);
-        if kept.iter().any(|known| known.span == path.span) {
+    fn cache_path(&mut self, path: DeltaPath) {
+        let (cache, limit) = self.cache(path.span);
+        if cache.iter().any(|known| known.span == path.span) {
             return;
         }
-        kept.push_back(path);
-        while kept.len() > limit {
-            kept.pop_front();
+        cache.push_back(path);
+        while cache.len() > limit {
+            cache.pop_front();
         }
     }
 
-    fn kept(&mut self, span: DeltaSpan) -> (&mut VecDeque<DeltaPath>, usize) {
+    fn cache(&mut self, span: DeltaSpan) -> (&mut VecDeque<DeltaPath>, usize) {
         match span.from == ConfigVersion::default() {
-            true => (&mut self.wholes, WHOLES_KEPT),
-            false => (&mut self.paths, PATHS_KEPT),
+            true => (&mut self.whole_plans, WHOLE_CACHE_LIMIT),
+            false => (&mut self.paths, PATH_CACHE_LIMIT),
         }
     }
 
     /// Returns a cached path. It stays cached for as long as hosts ask for it often.
-    fn known(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
-        let (kept, _) = self.kept(span);
-        let place = kept.iter().position(|path| path.span == span)?;
-        let path = kept.remove(place)?;
-        kept.push_back(path.clone());
+    fn cached(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
+        let (cache, _) = self.cache(span);
+        let position = cache.iter().position(|path| path.span == span)?;
+        let path = cache.remove(position)?;
+        cache.push_back(path.clone());
         Some(path)
     }
 
     /// Returns the path that a host has begun to fetch, if it is cached or can be composed.
     pub(crate) fn find(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
-        self.known(span).or_else(|| {
+        self.cached(span).or_else(|| {
             let path = self.compose(span)?;
-            self.note_path(path.clone());
+            self.cache_path(path.clone());
             Some(path)
         })
     }
 
     /// Returns the path to the held plan for a host that holds version `from`.
-    pub(crate) fn path(&mut self, from: ConfigVersion, held: &HeldPlan) -> DeltaPath {
+    pub(crate) fn path_from(&mut self, from: ConfigVersion, held: &HeldPlan) -> DeltaPath {
         let known = self.find(DeltaSpan { from, to: held.version });
-        known.unwrap_or_else(|| self.whole(held))
+        known.unwrap_or_else(|| self.whole_path(held))
     }
 
-    fn whole(&mut self, held: &HeldPlan) -> DeltaPath {
+    fn whole_path(&mut self, held: &HeldPlan) -> DeltaPath {
         let span = DeltaSpan { from: ConfigVersion::default(), to: held.version };
-        if let Some(path) = self.known(span) {
+        if let Some(path) = self.cached(span) {
             return path;
         }
         let packed = PlanDifference::between(&PolicyPlan::default(), &held.plan).pack();
         let body = join_steps([(held.version, &packed)].into_iter());
         let path = DeltaPath { span, digest: held.digest, body };
-        self.note_path(path.clone());
+        self.cache_path(path.clone());
         path
     }
 
     fn compose(&self, span: DeltaSpan) -> Option<DeltaPath> {
         let by_start: FastMap<ConfigVersion, &PlanStep> =
             self.steps.iter().map(|step| (step.span.from, step)).collect();
-        let mut way: Vec<&PlanStep> = Vec::new();
+        let mut chain: Vec<&PlanStep> = Vec::new();
         let mut reached = span.from;
-        while reached < span.to && way.len() < PATH_LIMIT {
+        while reached < span.to && chain.len() < PATH_STEP_LIMIT {
             let step = by_start.get(&reached)?;
             reached = step.span.to;
-            way.push(step);
+            chain.push(step);
         }
-        let last = way.last().filter(|_| reached == span.to)?;
+        let last = chain.last().filter(|_| reached == span.to)?;
         let digest = last.digest?;
-        let body = join_steps(way.iter().map(|step| (step.span.to, &step.packed)));
+        let body = join_steps(chain.iter().map(|step| (step.span.to, &step.packed)));
         (body.len() <= PLAN_LIMIT).then_some(DeltaPath { span, digest, body })
     }
 
-    fn push(&mut self, step: PlanStep) {
+    fn push_step(&mut self, step: PlanStep) {
         self.bytes += step.packed.len();
         self.steps.push_back(step);
-        while self.steps.len() > STEPS_KEPT
-            || (self.bytes > STEP_BYTES_KEPT && self.steps.len() > 1)
+        while self.steps.len() > STEP_LIMIT
+            || (self.bytes > STEP_BYTES_LIMIT && self.steps.len() > 1)
         {
             let oldest = self.steps.pop_front();
             self.bytes -= oldest.map_or(0, |step| step.packed.len());
@@ -218,5 +218,5 @@
 /// and its packed form.
 fn split_steps(body: &[u8]) -> Option<Vec<(ConfigVersion, &[u8])>> {
     let steps: Vec<(ConfigVersion, &[u8])> = postcard::from_bytes(body).ok()?;
-    (steps.len() <= PATH_LIMIT).then_some(steps)
+    (steps.len() <= PATH_STEP_LIMIT).then_some(steps)
 }
--- a/crates/pulley_core/src/version/follower/plan_difference.rs
+++ b/crates/pulley_core/src/version/follower/plan_difference.rs
@@ -28,7 +28,7 @@
 
 /// An encoded difference without the bytes of names.
 #[derive(Debug, Serialize, Deserialize)]
-struct StepColumns {
+struct DifferenceColumns {
     limits: Option<CallerLimits>,
     pools: Option<Vec<PoolTerms>>,
     origins: Vec<RowOrigin>,
@@ -64,16 +64,16 @@
             SequenceEdit::Copy { .. } => None,
             SequenceEdit::Insert(rows) => Some(rows),
         });
-        let mut letters = Vec::new();
-        let columns = StepColumns {
+        let mut name_bytes = Vec::new();
+        let columns = DifferenceColumns {
             limits: self.limits,
             pools: self.pools.clone(),
             origins: self.rows.iter().map(origin).collect(),
-            rows: RowColumns::split(&inserted.flatten().collect::<Vec<_>>(), &mut letters),
+            rows: RowColumns::from_rows(&inserted.flatten().collect::<Vec<_>>(), &mut name_bytes),
         };
         let columns = postcard::to_stdvec(&columns).expect("plain data types always encode");
         let columns = deflate(&columns);
-        let parts = (&columns[..], &deflate(&letters)[..]);
+        let parts = (&columns[..], &deflate(&name_bytes)[..]);
         Bytes::from(postcard::to_stdvec(&parts).expect("plain data types always encode"))
     }
 
@@ -81,14 +81,14 @@
     /// than a plan may have.
     #[must_use]
     pub fn unpack(packed: &[u8]) -> Option<Self> {
-        let (columns, letters): (&[u8], &[u8]) = postcard::from_bytes(packed).ok()?;
-        let StepColumns { limits, pools, origins, rows } =
+        let (columns, name_bytes): (&[u8], &[u8]) = postcard::from_bytes(packed).ok()?;
+        let DifferenceColumns { limits, pools, origins, rows } =
             postcard::from_bytes(&inflate(columns)?).ok()?;
         // Each origin stands for at least one row.
         if origins.len() > PLAN_ROW_LIMIT {
             return None;
         }
-        let mut inserted = rows.join(&inflate(letters)?)?.into_iter();
+        let mut inserted = rows.into_rows(&inflate(name_bytes)?)?.into_iter();
         let edit = |origin: RowOrigin| match origin {
             RowOrigin::Copy { from, count } => Some(SequenceEdit::Copy { from, count }),
             RowOrigin::Insert { count } => {
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -17,22 +17,22 @@
 use crate::process::{FastMap, HostId, Moment, PeerRing, SharedClock, SharedTime};
 
 /// The time in which a lease travels around the ring to all hosts.
-const CYCLE: Duration = Duration::from_secs(1);
+const RING_CYCLE: Duration = Duration::from_secs(1);
 /// The shortest interval between two rounds.
-const ROUND_FLOOR: Duration = Duration::from_millis(100);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// The longest interval between two rounds.
-const ROUND_CEILING: Duration = Duration::from_millis(250);
-/// The interval between questions for a lease on a host that has just started. It serves nobody
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval between questions for a lease on a host that has just started. It serves no caller
 /// until it knows the configuration: when all hosts start together, every caller is refused for
 /// each further tenth of a second.
-pub(super) const START_PAUSE: Duration = Duration::from_millis(100);
+pub(super) const START_ASK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a replica's answer remains valid. Together with the time an answer is in transit it
 /// stays below the 4 s in which a change must be in force on every host, or the host not ready.
-pub(super) const ANSWER_TERM: Duration = Duration::from_secs(3);
+pub(super) const ANSWER_VALIDITY: Duration = Duration::from_secs(3);
 /// How many hosts are sent the lease at once when this host learns of a new version or zone order.
 const FLOOD_TARGETS: u32 = 3;
 /// For how many versions the latest confirmation is kept; a host further behind is not ready.
-const CONFIRMATIONS: usize = 32;
+const CONFIRMATION_LIMIT: usize = 32;
 /// How many hosts that asked too early are remembered: all hosts of an installation of the planned
 /// size.
 pub(super) const ASKER_LIMIT: usize = 2_048;
@@ -72,12 +72,12 @@
     clock: SharedClock,
     pub(super) rng: SmallRng,
     pub(super) nonce: u64,
-    pub(super) asked: Option<Moment>,
+    pub(super) asked_at: Option<Moment>,
     /// Whether any host has answered the last question.
     pub(super) is_answered: bool,
     /// Whether the shared time is known: a host that knows it has answered this process, or this
     /// host has led.
-    pub(super) welcomed: bool,
+    pub(super) knows_time: bool,
     pub(super) lease: Option<PlanLease>,
     /// When each of the last versions was last confirmed to be the latest, as far as known here.
     confirmations: VecDeque<(ConfigVersion, SharedTime)>,
@@ -88,23 +88,23 @@
     pub(super) history: DeltaHistory,
     pub(super) fetch: Option<PlanFetch>,
     pub(super) counts: SpreadCounts,
-    pub(super) replica: Option<LogReport>,
-    pub(super) answers: FastMap<HostId, (Moment, LogReport)>,
+    pub(super) own_report: Option<LogReport>,
+    pub(super) log_reports: FastMap<HostId, (Moment, LogReport)>,
     /// Hosts that asked before this host could answer, with the nonce of their last question.
-    pub(super) askers: FastMap<HostId, u64>,
+    pub(super) pending_askers: FastMap<HostId, u64>,
     holders: FastMap<HostId, ConfigVersion>,
     pub(super) serve_budget: ServeBudget,
     next_round: Moment,
     round: u32,
     /// Hosts that announce that they hold a replica.
-    pub(super) likely_replicas: Vec<HostId>,
+    pub(super) announced_replicas: Vec<HostId>,
     /// Those of them in this host's zone.
-    pub(super) near_replicas: Vec<HostId>,
+    pub(super) same_zone_replicas: Vec<HostId>,
     /// Whether the next tick sends the lease to several hosts at once.
     pub(super) flood: bool,
     /// Whether the host keeps serving with its last known version while it cannot learn of a newer
     /// one.
-    serves_on: bool,
+    serves_without_quorum: bool,
 }
 
 impl PlanFollower {
@@ -117,9 +117,9 @@
             clock: SharedClock::default(),
             nonce: rng.random(),
             rng,
-            asked: None,
+            asked_at: None,
             is_answered: false,
-            welcomed: false,
+            knows_time: false,
             lease: None,
             confirmations: VecDeque::new(),
             held: None,
@@ -127,17 +127,17 @@
             history: DeltaHistory::default(),
             fetch: None,
             counts: SpreadCounts::default(),
-            replica: None,
-            answers: FastMap::default(),
-            askers: FastMap::default(),
+            own_report: None,
+            log_reports: FastMap::default(),
+            pending_askers: FastMap::default(),
             holders: FastMap::default(),
             serve_budget: ServeBudget::new(None),
             next_round: Moment::ZERO,
             round: 0,
-            likely_replicas: Vec::new(),
-            near_replicas: Vec::new(),
+            announced_replicas: Vec::new(),
+            same_zone_replicas: Vec::new(),
             flood: false,
-            serves_on: false,
+            serves_without_quorum: false,
         }
     }
 
@@ -147,8 +147,8 @@
     /// If so, the host may serve with an old version while it is cut off, but never goes back to
     /// one. If not, it is not ready until it hears from a majority again.
     #[must_use]
-    pub fn with_serving_on(mut self, serves_on: bool) -> Self {
-        self.serves_on = serves_on;
+    pub fn with_serving_on(mut self, serves_without_quorum: bool) -> Self {
+        self.serves_without_quorum = serves_without_quorum;
         self
     }
 
@@ -184,14 +184,14 @@
     /// Returns how current the configuration is now.
     #[must_use]
     pub fn standing(&self, now: Moment) -> PlanStanding {
-        let Some(held) = self.held.as_ref().filter(|_| self.welcomed) else {
+        let Some(held) = self.held.as_ref().filter(|_| self.knows_time) else {
             return PlanStanding::Starting;
         };
         let version = held.version;
         if self.is_confirmed(now, version) {
             return PlanStanding::InForce(version);
         }
-        match self.serves_on || self.is_static(now, version) {
+        match self.serves_without_quorum || self.is_static(now, version) {
             true => PlanStanding::Static(version),
             false => PlanStanding::Expired(version),
         }
@@ -226,11 +226,12 @@
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         let mut next = self.next_round;
-        if self.flood || self.has_askers() {
+        if self.flood || self.can_answer_pending() {
             next = Moment::ZERO;
         }
-        if !self.welcomed {
-            next = next.min(self.asked.map_or(Moment::ZERO, |asked| asked + self.ask_pause()));
+        if !self.knows_time {
+            next =
+                next.min(self.asked_at.map_or(Moment::ZERO, |asked| asked + self.ask_interval()));
         }
         if let Some(at) = self.fetch.as_ref().and_then(PlanFetch::next_wakeup) {
             next = next.min(at);
@@ -259,7 +260,7 @@
             self.confirmations.pop_back();
         }
         self.confirmations.push_back((version, at));
-        if self.confirmations.len() > CONFIRMATIONS {
+        if self.confirmations.len() > CONFIRMATION_LIMIT {
             self.confirmations.pop_front();
         }
     }
@@ -272,23 +273,23 @@
     /// there may or may not have been accepted, so it rules out serving on and is never put in
     /// force. The same holds for changes of the replica set, so the latest set seen decides.
     fn is_static(&self, now: Moment, version: ConfigVersion) -> bool {
-        let fresh = |at: &Moment| now.since(*at) < ANSWER_TERM;
+        let fresh = |at: &Moment| now.since(*at) < ANSWER_VALIDITY;
         let known = self.lease.as_ref().map(|lease| &lease.replicas);
-        let answered = self.answers.values().filter(|(at, _)| fresh(at));
-        let seen = answered.map(|(_, answer)| &answer.replicas);
+        let answered = self.log_reports.values().filter(|(at, _)| fresh(at));
+        let seen = answered.map(|(_, report)| &report.replicas);
         let Some(latest) = known.into_iter().chain(seen).max_by_key(|set| set.index) else {
             return false;
         };
-        let answers: Vec<&LogReport> = latest
+        let reports: Vec<&LogReport> = latest
             .hosts
             .iter()
-            .filter_map(|host| self.answers.get(host))
+            .filter_map(|host| self.log_reports.get(host))
             .filter(|(at, _)| fresh(at))
-            .map(|(_, answer)| answer)
+            .map(|(_, report)| report)
             .collect();
-        answers.len() >= latest.majority()
-            && answers.iter().all(|answer| {
-                answer.last_entry <= version && answer.last_order <= self.evacuated.revision
+        reports.len() >= latest.majority()
+            && reports.iter().all(|report| {
+                report.last_entry <= version && report.last_order <= self.evacuated.revision
             })
     }
 
@@ -297,7 +298,7 @@
 
     /// Adopts zone orders that this host's own replica knows to be committed.
     pub fn committed_zones(&mut self, zones: &Arc<EvacuatedZones>) {
-        self.take_zones(zones);
+        self.adopt_zones(zones);
     }
 
     /// Sets what this host's replica reports to hosts without a lease. `last_entry` is the latest
@@ -308,25 +309,25 @@
         last_entry: ConfigVersion,
         last_order: LogIndex,
     ) {
-        self.replica = Some(LogReport { replicas, last_entry, last_order });
+        self.own_report = Some(LogReport { replicas, last_entry, last_order });
     }
 
     /// Notes that this host no longer has a replica.
     pub fn clear_replica(&mut self) {
-        self.replica = None;
+        self.own_report = None;
     }
 
     /// Sets which hosts announce that they hold a replica. They are the ones to ask before a lease
     /// has named the replicas.
     pub fn apply_replicas(&mut self, hosts: &[HostId]) {
-        self.likely_replicas = hosts.to_vec();
-        self.meet_replicas();
+        self.announced_replicas = hosts.to_vec();
+        self.update_fetch_sources();
     }
 
     /// Sets which of them are in this host's zone. Plans are fetched from these first, because
     /// links between zones are expensive.
     pub fn prefer_replicas(&mut self, near: Vec<HostId>) {
-        self.near_replicas = near;
+        self.same_zone_replicas = near;
     }
 
     /// Issues a lease as the leader. `confirmed` is the start of the heartbeat round that a
@@ -343,8 +344,8 @@
             replicas,
         };
         // Answers from a majority are as fresh as an answer from any host.
-        self.welcomed = true;
-        self.take_lease(lease);
+        self.knows_time = true;
+        self.adopt_lease(lease);
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -358,26 +359,26 @@
     /// hosts, and a wake-up costs more than handling the message.
     pub fn join_round(&mut self, now: Moment, ring: &PeerRing, round: u32) -> Option<PlanSend> {
         self.round = round.wrapping_add(1);
-        self.next_round = now + round_pause(ring) * 2;
+        self.next_round = now + round_interval(ring) * 2;
         let to = ring.target(round).map(|(host, _)| host.clone())?;
-        self.tell_lease(now, to)
+        self.lease_message(now, to)
     }
 
     /// Does what is due by now. `ring` holds the live hosts.
     pub fn tick(&mut self, now: Moment, ring: &PeerRing) -> Vec<PlanSend> {
-        let mut sends = self.answer_askers(now);
+        let mut sends = self.answer_pending(now);
         if std::mem::take(&mut self.flood) {
-            let told: Vec<HostId> = self.flood_targets(ring);
-            sends.extend(told.into_iter().filter_map(|to| self.tell_lease(now, to)));
+            let targets: Vec<HostId> = self.flood_targets(ring);
+            sends.extend(targets.into_iter().filter_map(|to| self.lease_message(now, to)));
         }
         if now >= self.next_round {
             let target = ring.target(self.round).map(|(host, _)| host.clone());
-            sends.extend(target.and_then(|to| self.tell_lease(now, to)));
+            sends.extend(target.and_then(|to| self.lease_message(now, to)));
             self.round = self.round.wrapping_add(1);
-            self.next_round = now + round_pause(ring);
+            self.next_round = now + round_interval(ring);
         }
-        self.ask_around(now, ring, &mut sends);
-        sends.extend(self.ask_for_plan(now));
+        self.ask_for_lease(now, ring, &mut sends);
+        sends.extend(self.request_chunks(now));
         sends
     }
 
@@ -389,12 +390,12 @@
         steps.filter_map(|round| ring.target(round)).map(|(host, _)| host.clone()).collect()
     }
 
-    pub(super) fn tell_lease(&self, now: Moment, to: HostId) -> Option<PlanSend> {
-        let lease = self.lease.clone().filter(|_| self.welcomed && self.lease_holds(now))?;
+    pub(super) fn lease_message(&self, now: Moment, to: HostId) -> Option<PlanSend> {
+        let lease = self.lease.clone().filter(|_| self.knows_time && self.lease_holds(now))?;
         let held = self.version();
         let digest = self.held.as_ref().map(|held| held.digest).unwrap_or_default();
         let evacuated = Arc::clone(&self.evacuated);
-        Some(self.send(now, to, PlanContent::Lease { lease, held, digest, evacuated }))
+        Some(self.message(now, to, PlanContent::Lease { lease, held, digest, evacuated }))
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -402,40 +403,43 @@
 
     /// Handles a message that was authenticated as coming from a host of this installation.
     pub fn receive(&mut self, now: Moment, from: &HostId, body: &[u8]) -> Vec<PlanSend> {
-        let Some(PlanMessage { time, content }) = PlanMessage::unpack(body) else {
+        let Some(PlanMessage { time, content }) = PlanMessage::decode(body) else {
             return Vec::new();
         };
         // A message that was in transit for long would set the clock of a host that has just
         // started to the past and make an old lease look fresh. Only an answer may set it first.
-        if self.welcomed {
+        if self.knows_time {
             self.clock.adopt(now, time);
         }
         match content {
             PlanContent::Lease { lease, held, digest, evacuated } => {
-                self.take_zones(&evacuated);
-                if self.welcomed {
-                    self.take_lease(lease);
+                self.adopt_zones(&evacuated);
+                if self.knows_time {
+                    self.adopt_lease(lease);
                 }
-                self.take_committed(now, from, (held, digest));
+                self.fetch_from_holder(now, from, (held, digest));
             }
             PlanContent::Ask { nonce } => {
-                let is_early = !self.welcomed || self.held.is_none();
-                if is_early && (self.askers.len() < ASKER_LIMIT || self.askers.contains_key(from)) {
-                    self.askers.insert(from.clone(), nonce);
+                let cannot_answer = !self.knows_time || self.held.is_none();
+                if cannot_answer
+                    && (self.pending_askers.len() < ASKER_LIMIT
+                        || self.pending_askers.contains_key(from))
+                {
+                    self.pending_askers.insert(from.clone(), nonce);
                 }
                 return vec![self.answer(now, from, nonce)];
             }
-            PlanContent::Answer { nonce, welcomed, lease, held, digest, replica, evacuated } => {
-                self.take_zones(&evacuated);
+            PlanContent::Answer { nonce, knows_time, lease, held, digest, report, evacuated } => {
+                self.adopt_zones(&evacuated);
                 if nonce == self.nonce {
                     self.is_answered = true;
                     self.clock.adopt(now, time);
-                    self.take_answer(now, from, replica);
-                    self.welcomed |= welcomed;
+                    self.note_report(now, from, report);
+                    self.knows_time |= knows_time;
                     if let Some(lease) = lease {
-                        self.take_lease(lease);
+                        self.adopt_lease(lease);
                     }
-                    self.take_committed(now, from, (held, digest));
+                    self.fetch_from_holder(now, from, (held, digest));
                 }
             }
             PlanContent::Fetch { held, span, first, wanted } => {
@@ -444,9 +448,9 @@
             PlanContent::Chunk(chunk) => return self.take_chunk(now, from, chunk),
             PlanContent::Busy => {
                 if let Some(fetch) = &mut self.fetch {
-                    fetch.pass_over(now, from);
+                    fetch.skip_host(now, from);
                 }
-                return self.ask_for_plan(now).into_iter().collect();
+                return self.request_chunks(now).into_iter().collect();
             }
             PlanContent::Held { version } => {
                 let known = self.holders.entry(from.clone()).or_default();
@@ -456,8 +460,8 @@
         Vec::new()
     }
 
-    pub(super) fn send(&self, now: Moment, to: HostId, content: PlanContent) -> PlanSend {
-        PlanSend { to, body: PlanMessage::pack(self.clock.read(now), content) }
+    pub(super) fn message(&self, now: Moment, to: HostId, content: PlanContent) -> PlanSend {
+        PlanSend { to, body: PlanMessage::encode(self.clock.read(now), content) }
     }
 
     /// Adopts zone orders if they are newer than those known.
@@ -465,7 +469,7 @@
     /// Every lease carries them, and its sender knows all orders that were committed when the lease
     /// was issued. A host that holds a lease therefore uses no upstream of a zone whose evacuation
     /// was acknowledged before then.
-    fn take_zones(&mut self, zones: &Arc<EvacuatedZones>) {
+    fn adopt_zones(&mut self, zones: &Arc<EvacuatedZones>) {
         if zones.revision > self.evacuated.revision {
             self.evacuated = Arc::clone(zones);
             self.flood = true;
@@ -473,21 +477,21 @@
     }
 
     /// Adopts a lease if it is the freshest. A new version is passed on at once.
-    fn take_lease(&mut self, lease: PlanLease) {
+    fn adopt_lease(&mut self, lease: PlanLease) {
         let known = self.lease.as_ref();
         if known.is_some_and(|known| known.rank() >= lease.rank()) || lease.version < self.version()
         {
             return;
         }
         self.flood |= known.is_none_or(|known| known.version < lease.version);
-        self.want(&lease);
+        self.fetch_leased(&lease);
         self.note_confirmation(lease.version, lease.confirmed);
         self.lease = Some(lease);
-        self.meet_replicas();
+        self.update_fetch_sources();
     }
 }
 
 /// Returns the interval between two rounds of one host.
-fn round_pause(ring: &PeerRing) -> Duration {
-    (CYCLE / ring.rounds().max(1)).clamp(ROUND_FLOOR, ROUND_CEILING)
+fn round_interval(ring: &PeerRing) -> Duration {
+    (RING_CYCLE / ring.rounds().max(1)).clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL)
 }
--- a/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
@@ -15,12 +15,12 @@
 const WINDOW_START: u32 = 4;
 /// The target time between the first and the last chunk of a window. A window that takes more than
 /// twice as long fills the link and is halved.
-const WINDOW_AIM: Duration = Duration::from_millis(20);
+const WINDOW_TARGET: Duration = Duration::from_millis(20);
 /// How long a window may take before its rest is requested again, from another host.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_TIMEOUT: Duration = Duration::from_millis(200);
 /// How many windows in a row may bring no chunk before the chunks received are dropped, because
 /// perhaps no host holds the rest of that path any more.
-const FRUITLESS_LIMIT: u32 = 2;
+const EMPTY_WINDOW_LIMIT: u32 = 2;
 /// How many hosts that hold the plan are remembered, besides the replicas.
 const HOLDER_LIMIT: usize = 8;
 
@@ -35,7 +35,7 @@
 impl PartialPath {
     fn missing(&self) -> impl Iterator<Item = usize> {
         let chunks = self.chunks.iter().enumerate();
-        chunks.filter(|(_, chunk)| chunk.is_none()).map(|(place, _)| place)
+        chunks.filter(|(_, chunk)| chunk.is_none()).map(|(position, _)| position)
     }
 }
 
@@ -53,18 +53,18 @@
     path: Option<PartialPath>,
     window: u32,
     /// How many chunks of the window have not arrived yet.
-    awaited: u32,
-    fruitless: u32,
+    outstanding: u32,
+    empty_windows: u32,
     /// How many hosts in a row had nothing to send.
-    passed_over: usize,
-    wants_whole: bool,
-    asked: Option<Moment>,
+    skipped_hosts: usize,
+    needs_whole_plan: bool,
+    asked_at: Option<Moment>,
     /// The host asked then; the lists may have changed by the time it answers.
-    asked_of: Option<HostId>,
+    asked_host: Option<HostId>,
     /// Whether no host was asked then, because none had anything to send.
-    rests: bool,
+    is_paused: bool,
     /// When the first chunk of the window arrived.
-    begun: Option<Moment>,
+    window_begun: Option<Moment>,
 }
 
 impl PlanFetch {
@@ -78,14 +78,14 @@
             turn: 0,
             path: None,
             window: WINDOW_START,
-            awaited: 0,
-            fruitless: 0,
-            passed_over: 0,
-            wants_whole: false,
-            asked: None,
-            asked_of: None,
-            rests: false,
-            begun: None,
+            outstanding: 0,
+            empty_windows: 0,
+            skipped_hosts: 0,
+            needs_whole_plan: false,
+            asked_at: None,
+            asked_host: None,
+            is_paused: false,
+            window_begun: None,
         }
     }
 
@@ -99,32 +99,32 @@
 
     pub(crate) fn next_wakeup(&self) -> Option<Moment> {
         self.source()?;
-        Some(self.asked.map_or(Moment::ZERO, |asked| asked + RETRY))
+        Some(self.asked_at.map_or(Moment::ZERO, |asked| asked + RETRY_TIMEOUT))
     }
 
     /// Returns the host to ask next. Replicas and holders alternate if there are both.
     fn source(&self) -> Option<&HostId> {
-        let (list, place) = match (self.replicas.is_empty(), self.holders.is_empty()) {
+        let (list, turn) = match (self.replicas.is_empty(), self.holders.is_empty()) {
             (false, true) => (&self.replicas, self.turn),
             (true, _) => (&self.holders, self.turn),
             (false, false) if self.turn.is_multiple_of(2) => (&self.replicas, self.turn / 2),
             (false, false) => (&self.holders, self.turn / 2),
         };
-        (!list.is_empty()).then(|| &list[place % list.len()])
+        (!list.is_empty()).then(|| &list[turn % list.len()])
     }
 
     // ---------------------------------------------------------------------------------------------
     // Input from other hosts
 
     /// Raises the goal to a later version. Chunks received so far remain useful.
-    pub(crate) fn raise(&mut self, goal: ConfigVersion, digest: PlanDigest) {
+    pub(crate) fn raise_goal(&mut self, goal: ConfigVersion, digest: PlanDigest) {
         if goal >= self.goal {
             (self.goal, self.goal_digest) = (goal, digest);
         }
     }
 
     /// Sets which hosts have a replica now. Their order is kept while the set stays the same.
-    pub(crate) fn meet_replicas(&mut self, replicas: Vec<HostId>) {
+    pub(crate) fn set_replicas(&mut self, replicas: Vec<HostId>) {
         let is_same = replicas.len() == self.replicas.len()
             && replicas.iter().all(|host| self.replicas.contains(host));
         if !is_same {
@@ -134,19 +134,19 @@
     }
 
     /// Notes that a complete path did not lead to its plan: a whole plan has to be fetched next.
-    pub(crate) fn reject(&mut self, now: Moment) {
-        self.wants_whole = true;
-        self.asked = Some(now);
+    pub(crate) fn reject_path(&mut self, now: Moment) {
+        self.needs_whole_plan = true;
+        self.asked_at = Some(now);
     }
 
     /// Notes which version is in force here now. Chunks of a path that does not lead on from it are
     /// dropped.
     pub(crate) fn note_held(&mut self, held: ConfigVersion) {
-        self.wants_whole = false;
-        let leads_on = |path: &PartialPath| path.span.leads_on(held);
-        if !self.path.as_ref().is_none_or(leads_on) {
+        self.needs_whole_plan = false;
+        let advances = |path: &PartialPath| path.span.advances(held);
+        if !self.path.as_ref().is_none_or(advances) {
             self.path = None;
-            self.asked = None;
+            self.asked_at = None;
         }
     }
 
@@ -160,101 +160,105 @@
 
     /// Notes that a host has nothing useful, or no capacity to send it. If it is the host that was
     /// asked, another one is asked next.
-    pub(crate) fn pass_over(&mut self, now: Moment, host: &HostId) {
-        if self.asked.is_none() || self.rests || self.asked_of.as_ref() != Some(host) {
+    pub(crate) fn skip_host(&mut self, now: Moment, host: &HostId) {
+        if self.asked_at.is_none() || self.is_paused || self.asked_host.as_ref() != Some(host) {
             return;
         }
         self.turn += 1;
-        self.passed_over += 1;
+        self.skipped_hosts += 1;
         // A host that answers with chunks sends another path if it does not know the one begun.
-        self.fruitless = 0;
+        self.empty_windows = 0;
         // After a full round without success, the fetch pauses.
         let sources = self.replicas.len() + self.holders.len();
-        self.rests = self.passed_over.is_multiple_of(sources);
-        self.asked = self.rests.then_some(now);
+        self.is_paused = self.skipped_hosts.is_multiple_of(sources);
+        self.asked_at = self.is_paused.then_some(now);
     }
 
     /// Takes a received chunk; returns the complete path if it was the last one missing.
-    pub(crate) fn take(
+    pub(crate) fn take_chunk(
         &mut self,
         now: Moment,
         from: &HostId,
         held: ConfigVersion,
         chunk: PlanChunk,
-    ) -> FetchStep {
+    ) -> ChunkOutcome {
         let PlanChunk { span, digest, index, total, body } = chunk;
         let count = usize::try_from(total).unwrap_or(usize::MAX);
-        let place = usize::try_from(index).unwrap_or(usize::MAX);
-        let is_wrong = span.to == self.goal && digest != self.goal_digest;
-        let is_sound = place < count && count <= PLAN_LIMIT / CHUNK_BYTES;
-        if !span.leads_on(held) || is_wrong || !is_sound || body.len() > CHUNK_BYTES {
-            return FetchStep::Unwanted;
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        let has_wrong_digest = span.to == self.goal && digest != self.goal_digest;
+        let is_in_bounds = position < count && count <= PLAN_LIMIT / CHUNK_BYTES;
+        if !span.advances(held) || has_wrong_digest || !is_in_bounds || body.len() > CHUNK_BYTES {
+            return ChunkOutcome::Unwanted;
         }
-        let fits = |path: &PartialPath| {
+        let is_same_path = |path: &PartialPath| {
             path.span == span && path.digest == digest && path.chunks.len() == count
         };
-        if !self.path.as_ref().is_some_and(fits) {
+        if !self.path.as_ref().is_some_and(is_same_path) {
             // The host that was asked no longer holds the path begun, so it sends another one.
-            if self.path.is_some() && self.asked_of.as_ref() != Some(from) {
-                return FetchStep::Unwanted;
+            if self.path.is_some() && self.asked_host.as_ref() != Some(from) {
+                return ChunkOutcome::Unwanted;
             }
             self.path = Some(PartialPath { span, digest, chunks: vec![None; count] });
         }
-        let Some(path) = self.path.as_mut().filter(|path| path.chunks[place].is_none()) else {
-            return FetchStep::Unwanted;
+        let Some(path) = self.path.as_mut().filter(|path| path.chunks[position].is_none()) else {
+            return ChunkOutcome::Unwanted;
         };
-        path.chunks[place] = Some(body);
-        self.fruitless = 0;
-        self.passed_over = 0;
-        self.awaited = self.awaited.saturating_sub(1);
-        let begun = *self.begun.get_or_insert(now);
+        path.chunks[position] = Some(body);
+        self.empty_windows = 0;
+        self.skipped_hosts = 0;
+        self.outstanding = self.outstanding.saturating_sub(1);
+        let begun = *self.window_begun.get_or_insert(now);
         if path.missing().next().is_none() {
             return self.finish();
         }
-        if self.awaited == 0 {
-            self.fit_window(now.since(begun));
-            self.asked = None;
+        if self.outstanding == 0 {
+            self.adapt_window(now.since(begun));
+            self.asked_at = None;
         }
-        FetchStep::Taken
+        ChunkOutcome::Taken
     }
 
     // ---------------------------------------------------------------------------------------------
     // Requests
 
     /// Returns a request for missing chunks if none is pending or the answer is overdue.
-    pub(crate) fn ask(&mut self, now: Moment, held: ConfigVersion) -> Option<PlanQuestion> {
-        let is_overdue = self.asked.is_some() && !self.rests;
-        if self.asked.is_some_and(|asked| now.since(asked) < RETRY) {
+    pub(crate) fn next_request(
+        &mut self,
+        now: Moment,
+        held: ConfigVersion,
+    ) -> Option<ChunkRequest> {
+        let is_overdue = self.asked_at.is_some() && !self.is_paused;
+        if self.asked_at.is_some_and(|asked| now.since(asked) < RETRY_TIMEOUT) {
             return None;
         }
         if is_overdue {
-            self.forget_silent_holder();
+            self.drop_silent_holder();
             self.turn += 1;
             self.window = (self.window / 2).max(1);
-            self.fruitless += 1;
+            self.empty_windows += 1;
         }
-        if self.fruitless > FRUITLESS_LIMIT {
+        if self.empty_windows > EMPTY_WINDOW_LIMIT {
             self.path = None;
-            self.fruitless = 0;
+            self.empty_windows = 0;
         }
         let to = self.source()?.clone();
-        self.asked = Some(now);
-        self.asked_of = Some(to.clone());
-        self.rests = false;
-        self.begun = None;
+        self.asked_at = Some(now);
+        self.asked_host = Some(to.clone());
+        self.is_paused = false;
+        self.window_begun = None;
         let (first, wanted) = self.wanted();
-        self.awaited = wanted.count_ones();
+        self.outstanding = wanted.count_ones();
         let span = self.path.as_ref().map(|path| path.span);
-        let held = if self.wants_whole { ConfigVersion::default() } else { held };
+        let held = if self.needs_whole_plan { ConfigVersion::default() } else { held };
         let content = PlanContent::Fetch { held, span, first, wanted };
-        Some(PlanQuestion { to, content, is_overdue })
+        Some(ChunkRequest { to, content, is_overdue })
     }
 
     /// Removes the host asked from the holders if it has not answered and the list is full, so that
     /// another holder can be added.
-    fn forget_silent_holder(&mut self) {
+    fn drop_silent_holder(&mut self) {
         if self.holders.len() >= HOLDER_LIMIT {
-            self.holders.retain(|host| Some(host) != self.asked_of.as_ref());
+            self.holders.retain(|host| Some(host) != self.asked_host.as_ref());
         }
     }
 
@@ -263,39 +267,39 @@
         let Some(path) = &self.path else {
             return (0, bits(0..self.window));
         };
-        let missing = path.missing().filter_map(|place| u32::try_from(place).ok());
+        let missing = path.missing().filter_map(|position| u32::try_from(position).ok());
         let missing: Vec<u32> = missing.take(self.window as usize).collect();
         let first = missing.first().copied().unwrap_or(0);
-        (first, bits(missing.into_iter().map(|place| place - first)))
+        (first, bits(missing.into_iter().map(|position| position - first)))
     }
 
     /// Enlarges the window if its chunks arrive quickly, and shrinks it if they fill the link.
-    fn fit_window(&mut self, took: Duration) {
-        if took <= WINDOW_AIM {
+    fn adapt_window(&mut self, took: Duration) {
+        if took <= WINDOW_TARGET {
             self.window = (self.window * 2).min(WINDOW_LIMIT);
-        } else if took > 2 * WINDOW_AIM {
+        } else if took > 2 * WINDOW_TARGET {
             self.window = (self.window / 2).max(1);
         }
     }
 
-    fn finish(&mut self) -> FetchStep {
-        self.asked = None;
-        self.awaited = 0;
-        let Some(path) = self.path.take() else { return FetchStep::Taken };
+    fn finish(&mut self) -> ChunkOutcome {
+        self.asked_at = None;
+        self.outstanding = 0;
+        let Some(path) = self.path.take() else { return ChunkOutcome::Taken };
         let body: Vec<u8> = path.chunks.iter().flatten().flatten().copied().collect();
         let (span, digest) = (path.span, path.digest);
-        FetchStep::Done(DeltaPath { span, digest, body: Bytes::from(body) })
+        ChunkOutcome::Done(DeltaPath { span, digest, body: Bytes::from(body) })
     }
 }
 
 /// Returns a bit for each offset below the width of a request.
-fn bits(places: impl Iterator<Item = u32>) -> u16 {
-    places.filter(|place| *place < WINDOW_LIMIT).fold(0, |bits, place| bits | 1 << place)
+fn bits(offsets: impl Iterator<Item = u32>) -> u16 {
+    offsets.filter(|offset| *offset < WINDOW_LIMIT).fold(0, |bits, offset| bits | 1 << offset)
 }
 
 /// A request for chunks and its receiver.
 #[derive(Clone, Debug)]
-pub(crate) struct PlanQuestion {
+pub(crate) struct ChunkRequest {
     pub(crate) to: HostId,
     pub(crate) content: PlanContent,
     /// Whether an earlier request was not answered completely in time.
@@ -304,7 +308,7 @@
 
 /// The result of receiving a chunk.
 #[derive(Clone, Debug)]
-pub(crate) enum FetchStep {
+pub(crate) enum ChunkOutcome {
     /// The chunk is of no use.
     Unwanted,
     /// Other chunks are still missing.
--- a/crates/pulley_core/src/version/follower/plan_follower_message.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_message.rs
@@ -103,11 +103,11 @@
     Answer {
         nonce: u64,
         /// Whether the sender itself knows the shared time.
-        welcomed: bool,
+        knows_time: bool,
         lease: Option<PlanLease>,
         held: ConfigVersion,
         digest: PlanDigest,
-        replica: Option<LogReport>,
+        report: Option<LogReport>,
         evacuated: Arc<EvacuatedZones>,
     },
     /// Asks for chunks of the path from the held version to the latest, or of the path already
@@ -147,12 +147,12 @@
 }
 
 impl PlanMessage {
-    pub(crate) fn pack(time: SharedTime, content: PlanContent) -> Bytes {
+    pub(crate) fn encode(time: SharedTime, content: PlanContent) -> Bytes {
         let body = postcard::to_stdvec(&Self { time, content });
         Bytes::from(body.expect("plain data types always encode"))
     }
 
-    pub(crate) fn unpack(body: &[u8]) -> Option<Self> {
+    pub(crate) fn decode(body: &[u8]) -> Option<Self> {
         if body.len() > MEMBER_BODY_LIMIT {
             return None;
         }
--- a/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
@@ -6,7 +6,7 @@
 
 use super::plan_delta::{DeltaPath, DeltaSpan, HeldPlan};
 use super::plan_follower::PlanFollower;
-use super::plan_follower_fetch::{FetchStep, PlanFetch};
+use super::plan_follower_fetch::{ChunkOutcome, PlanFetch};
 use super::plan_follower_message::{CHUNK_BYTES, PlanChunk, PlanContent, PlanLease};
 use super::{ConfigVersion, PlanDigest, PlanSend, StoredPlan};
 use crate::process::{HostId, Moment};
@@ -16,74 +16,74 @@
     // Fetching
 
     /// Fetches the version that a lease names, if it is not held yet.
-    pub(super) fn want(&mut self, lease: &PlanLease) {
+    pub(super) fn fetch_leased(&mut self, lease: &PlanLease) {
         if lease.version == ConfigVersion::default() && self.held.is_none() {
             self.held = Some(HeldPlan::empty());
         }
-        self.seek(lease.version, lease.digest);
+        self.fetch_version(lease.version, lease.digest);
     }
 
     /// Fetches the version that another host has in force. It is always committed, whoever leads
     /// now.
-    pub(super) fn take_committed(
+    pub(super) fn fetch_from_holder(
         &mut self,
         now: Moment,
         from: &HostId,
         (version, digest): (ConfigVersion, PlanDigest),
     ) {
-        self.seek(version, digest);
+        self.fetch_version(version, digest);
         let Some(fetch) = &mut self.fetch else { return };
         if version >= fetch.goal() {
             fetch.add_holder(from);
         } else if version <= self.held.as_ref().map(|held| held.version).unwrap_or_default() {
-            fetch.pass_over(now, from);
+            fetch.skip_host(now, from);
         }
     }
 
     /// Starts to fetch a version unless it is in force. A fetch in progress continues, to the later
     /// of both versions.
-    fn seek(&mut self, version: ConfigVersion, digest: PlanDigest) {
+    fn fetch_version(&mut self, version: ConfigVersion, digest: PlanDigest) {
         if version <= self.version() {
             return;
         }
         if let Some(fetch) = &mut self.fetch {
-            fetch.raise(version, digest);
+            fetch.raise_goal(version, digest);
             return;
         }
         self.counts.fetches += 1;
-        self.fetch = Some(PlanFetch::new(version, digest, self.replicas_to_ask()));
+        self.fetch = Some(PlanFetch::new(version, digest, self.ordered_replicas()));
     }
 
     /// Directs a fetch in progress to the hosts that have a replica now.
-    pub(super) fn meet_replicas(&mut self) {
+    pub(super) fn update_fetch_sources(&mut self) {
         if self.fetch.is_none() {
             return;
         }
-        let replicas = self.replicas_to_ask();
+        let replicas = self.ordered_replicas();
         if let Some(fetch) = &mut self.fetch {
-            fetch.meet_replicas(replicas);
+            fetch.set_replicas(replicas);
         }
     }
 
     /// Returns the hosts with a replica, those in this host's zone first. Within each group the
     /// order is random, so that the load is spread evenly.
-    fn replicas_to_ask(&mut self) -> Vec<HostId> {
+    fn ordered_replicas(&mut self) -> Vec<HostId> {
         let leased = self.lease.as_ref().map(|lease| &lease.replicas.hosts);
-        let live = Some(&self.likely_replicas).filter(|live| !live.is_empty());
+        let live = Some(&self.announced_replicas).filter(|live| !live.is_empty());
         let mut replicas = live.or(leased).cloned().unwrap_or_default();
         replicas.retain(|host| *host != self.host);
         replicas.shuffle(&mut self.rng);
-        replicas.sort_by_key(|host| !self.near_replicas.contains(host));
+        replicas.sort_by_key(|host| !self.same_zone_replicas.contains(host));
         replicas
     }
 
     /// Requests missing chunks, if a request is due.
-    pub(super) fn ask_for_plan(&mut self, now: Moment) -> Option<PlanSend> {
+    pub(super) fn request_chunks(&mut self, now: Moment) -> Option<PlanSend> {
         let held = self.version();
-        let question = self.fetch.as_mut()?.ask(now, held)?;
+        let request = self.fetch.as_mut()?.next_request(now, held)?;
         self.counts.windows_asked += 1;
-        self.counts.windows_overdue += u64::from(question.is_overdue);
-        Some(self.send(now, question.to, question.content))
+        self.counts.windows_overdue += u64::from(request.is_overdue);
+        Some(self.message(now, request.to, request.content))
     }
 
     pub(super) fn take_chunk(
@@ -93,36 +93,36 @@
         chunk: PlanChunk,
     ) -> Vec<PlanSend> {
         let held = self.version();
-        let taken = self.fetch.as_mut().map(|fetch| fetch.take(now, from, held, chunk));
+        let taken = self.fetch.as_mut().map(|fetch| fetch.take_chunk(now, from, held, chunk));
         match taken {
-            None | Some(FetchStep::Unwanted) => self.counts.chunks_unwanted += 1,
-            Some(FetchStep::Taken) => self.counts.chunks_taken += 1,
-            Some(FetchStep::Done(path)) => {
+            None | Some(ChunkOutcome::Unwanted) => self.counts.chunks_unwanted += 1,
+            Some(ChunkOutcome::Taken) => self.counts.chunks_taken += 1,
+            Some(ChunkOutcome::Done(path)) => {
                 self.counts.chunks_taken += 1;
-                return self.follow(now, path);
+                return self.apply_path(now, path);
             }
         }
-        self.ask_for_plan(now).into_iter().collect()
+        self.request_chunks(now).into_iter().collect()
     }
 
     /// Puts the plan in force to which a path leads, and reports that to the leader.
-    fn follow(&mut self, now: Moment, path: DeltaPath) -> Vec<PlanSend> {
+    fn apply_path(&mut self, now: Moment, path: DeltaPath) -> Vec<PlanSend> {
         let empty = HeldPlan::empty;
         let held = self.held.clone().unwrap_or_else(empty);
         let Some(later) = held.advance(path.span, path.digest, &path.body) else {
             self.counts.dropped_paths += 1;
             if let Some(fetch) = &mut self.fetch {
-                fetch.reject(now);
+                fetch.reject_path(now);
             }
             return Vec::new();
         };
-        self.history.note_taken(path);
-        self.hold(later);
+        self.history.record_received(path);
+        self.put_in_force(later);
         let leader = self.lease.as_ref().map(|lease| lease.leader.clone());
         let leader = leader.filter(|leader| *leader != self.host);
         let held = PlanContent::Held { version: self.version() };
-        let told = leader.map(|to| self.send(now, to, held));
-        told.into_iter().chain(self.ask_for_plan(now)).collect()
+        let report = leader.map(|to| self.message(now, to, held));
+        report.into_iter().chain(self.request_chunks(now)).collect()
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -138,26 +138,26 @@
     ) -> Vec<PlanSend> {
         let Some(held) = self.held.clone().filter(|held| held.version > from) else {
             // Without an answer the requester would wait for one before it asks another host.
-            let nothing = || self.send(now, to.clone(), PlanContent::Busy);
-            return vec![self.tell_lease(now, to.clone()).unwrap_or_else(nothing)];
+            let nothing = || self.message(now, to.clone(), PlanContent::Busy);
+            return vec![self.lease_message(now, to.clone()).unwrap_or_else(nothing)];
         };
-        if !self.serve_budget.has_room(now) {
+        if !self.serve_budget.has_bytes(now) {
             self.counts.windows_unserved += 1;
-            return vec![self.send(now, to.clone(), PlanContent::Busy)];
+            return vec![self.message(now, to.clone(), PlanContent::Busy)];
         }
         let begun = span.and_then(|span| self.history.find(span));
         let (path, first, wanted) = match begun {
             Some(path) => (path, first, wanted),
-            None => (self.history.path(from, &held), 0, lowest_bits(wanted.count_ones())),
+            None => (self.history.path_from(from, &held), 0, lowest_bits(wanted.count_ones())),
         };
         let total = u32::try_from(path.body.len().div_ceil(CHUNK_BYTES)).unwrap_or(u32::MAX);
-        let places = (0..u16::BITS).filter(|bit| wanted & (1 << bit) != 0);
-        let places = places.filter_map(|bit| first.checked_add(bit)).filter(|at| *at < total);
-        let chunks: Vec<PlanSend> = places
+        let indices = (0..u16::BITS).filter(|bit| wanted & (1 << bit) != 0);
+        let indices = indices.filter_map(|bit| first.checked_add(bit)).filter(|at| *at < total);
+        let chunks: Vec<PlanSend> = indices
             .map(|index| PlanContent::Chunk(path_chunk(&path, index, total)))
-            .map(|content| self.send(now, to.clone(), content))
+            .map(|content| self.message(now, to.clone(), content))
             .collect();
-        self.serve_budget.take(chunks.iter().map(|chunk| chunk.body.len()).sum());
+        self.serve_budget.spend(chunks.iter().map(|chunk| chunk.body.len()).sum());
         self.counts.windows_served += 1;
         self.counts.chunks_served += chunks.len() as u64;
         chunks
@@ -173,13 +173,13 @@
         }
         let later = HeldPlan::new(plan.version, Arc::new(plan.plan.clone()));
         if let Some(held) = self.held.as_ref().filter(|held| held.version.0 > 0) {
-            self.history.note_step(held, &later);
+            self.history.record_step(held, &later);
         }
-        self.hold(later);
+        self.put_in_force(later);
     }
 
     /// Puts a plan in force, unless it or a later one already is.
-    fn hold(&mut self, plan: HeldPlan) {
+    fn put_in_force(&mut self, plan: HeldPlan) {
         let version = plan.version;
         if self.held.as_ref().is_some_and(|held| held.version >= version) {
             return;
--- a/crates/pulley_core/src/version/follower/plan_rows.rs
+++ b/crates/pulley_core/src/version/follower/plan_rows.rs
@@ -47,14 +47,14 @@
 
 impl RowColumns {
     /// Splits rows into columns and appends the bytes of their names to `name_bytes`.
-    pub(crate) fn split(rows: &[&KindPlan], letters: &mut Vec<u8>) -> Self {
+    pub(crate) fn from_rows(rows: &[&KindPlan], name_bytes: &mut Vec<u8>) -> Self {
         let owner =
             |row: &KindPlan| (row.pool.clone(), row.service.clone(), row.route.host.clone());
         let handling = |row: &KindPlan| (row.priority, row.route.attempts, row.idempotent);
         let capacity = |row: &KindPlan| (row.share, row.reserved_slots, row.probe_budget);
         Self {
-            kinds: NameColumn::new(rows, |row| row.kind.as_str(), letters),
-            paths: NameColumn::new(rows, |row| &row.path_prefix, letters),
+            kinds: NameColumn::new(rows, |row| row.kind.as_str(), name_bytes),
+            paths: NameColumn::new(rows, |row| &row.path_prefix, name_bytes),
             owners: ValueColumn::new(rows, owner),
             methods: ValueColumn::new(rows, |row| row.method.clone()),
             handling: ValueColumn::new(rows, handling),
@@ -67,22 +67,22 @@
     }
 
     /// Rebuilds the rows; `None` if there are too many or the columns do not belong together.
-    pub(crate) fn join(self, letters: &[u8]) -> Option<Vec<KindPlan>> {
-        let count = self.kinds.places.len();
+    pub(crate) fn into_rows(self, name_bytes: &[u8]) -> Option<Vec<KindPlan>> {
+        let count = self.kinds.references.len();
         if count > PLAN_ROW_LIMIT {
             return None;
         }
-        let (kinds, letters) = self.kinds.read(letters)?;
-        let (paths, letters) = self.paths.read(letters)?;
-        let (mut kinds, mut paths) = (kinds.items(count)?, paths.items(count)?);
-        let mut owners = self.owners.items(count)?;
-        let mut methods = self.methods.items(count)?;
-        let mut handling = self.handling.items(count)?;
-        let mut times = self.times.items(count)?;
-        let mut sizes = self.sizes.items(count)?;
-        let mut weights = self.weights.items(count)?;
-        let mut capacities = self.capacities.items(count)?;
-        let mut connections = self.connections.items(count)?;
+        let (kinds, name_bytes) = self.kinds.decode(name_bytes)?;
+        let (paths, name_bytes) = self.paths.decode(name_bytes)?;
+        let (mut kinds, mut paths) = (kinds.row_values(count)?, paths.row_values(count)?);
+        let mut owners = self.owners.row_values(count)?;
+        let mut methods = self.methods.row_values(count)?;
+        let mut handling = self.handling.row_values(count)?;
+        let mut times = self.times.row_values(count)?;
+        let mut sizes = self.sizes.row_values(count)?;
+        let mut weights = self.weights.row_values(count)?;
+        let mut capacities = self.capacities.row_values(count)?;
+        let mut connections = self.connections.row_values(count)?;
         let mut row = || {
             let (pool, service, host) = owners.next()?.clone();
             let (priority, attempts, idempotent) = *handling.next()?;
@@ -108,7 +108,7 @@
             })
         };
         let rows = (0..count).map(|_| row()).collect::<Option<Vec<_>>>()?;
-        letters.is_empty().then_some(rows)
+        name_bytes.is_empty().then_some(rows)
     }
 }
 
@@ -116,24 +116,24 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct ValueColumn<V> {
     /// For each row [`NEW_VALUE`], or the number of a value, counted from 1.
-    places: Vec<u32>,
+    references: Vec<u32>,
     values: Vec<V>,
 }
 
 impl<V: Clone + Eq + Hash> ValueColumn<V> {
     fn new<'row>(rows: &[&'row KindPlan], value: impl Fn(&'row KindPlan) -> V) -> Self {
         let mut known = FastMap::<V, u32>::default();
-        let mut column = Self { places: Vec::with_capacity(rows.len()), values: Vec::new() };
+        let mut column = Self { references: Vec::with_capacity(rows.len()), values: Vec::new() };
         let mut number = NEW_VALUE;
         for row in rows {
             let value = value(row);
-            let place = known.get(&value).copied().unwrap_or(NEW_VALUE);
-            if place == NEW_VALUE {
+            let reference = known.get(&value).copied().unwrap_or(NEW_VALUE);
+            if reference == NEW_VALUE {
                 number += 1;
                 known.insert(value.clone(), number);
                 column.values.push(value);
             }
-            column.places.push(place);
+            column.references.push(reference);
         }
         column
     }
@@ -142,13 +142,13 @@
 impl<V> ValueColumn<V> {
     /// Returns the value of each row, or `None` if there are not `count` rows. The iterator ends
     /// early at a missing value.
-    fn items(&self, count: usize) -> Option<impl Iterator<Item = &V>> {
+    fn row_values(&self, count: usize) -> Option<impl Iterator<Item = &V>> {
         let mut new = self.values.iter();
-        let items = self.places.iter().map_while(move |place| match *place {
+        let row_values = self.references.iter().map_while(move |reference| match *reference {
             NEW_VALUE => new.next(),
             number => self.values.get(number as usize - 1),
         });
-        (self.places.len() == count).then_some(items)
+        (self.references.len() == count).then_some(row_values)
     }
 }
 
@@ -156,11 +156,11 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct NameColumn {
     /// As in [`ValueColumn`].
-    places: Vec<u32>,
+    references: Vec<u32>,
     /// How many leading bytes are those of the previous name.
-    heads: Vec<u32>,
+    prefix_lengths: Vec<u32>,
     /// How many trailing bytes are those of the previous name.
-    tails: Vec<u32>,
+    suffix_lengths: Vec<u32>,
     /// How many bytes the name has; those in between are among the name bytes.
     lengths: Vec<u32>,
 }
@@ -169,29 +169,30 @@
     fn new<'row>(
         rows: &[&'row KindPlan],
         name: impl Fn(&'row KindPlan) -> &'row str,
-        letters: &mut Vec<u8>,
+        name_bytes: &mut Vec<u8>,
     ) -> Self {
-        let ValueColumn { places, values } = ValueColumn::new(rows, name);
-        let (mut heads, mut tails, mut lengths) = (Vec::new(), Vec::new(), Vec::new());
-        let mut before: &[u8] = &[];
+        let ValueColumn { references, values } = ValueColumn::new(rows, name);
+        let (mut prefix_lengths, mut suffix_lengths, mut lengths) =
+            (Vec::new(), Vec::new(), Vec::new());
+        let mut previous: &[u8] = &[];
         for name in values.iter().map(|name| name.as_bytes()) {
-            let alike = |(one, other): &(&u8, &u8)| one == other;
-            let head = before.iter().zip(name).take_while(alike).count();
-            let rests = before[head..].iter().rev().zip(name[head..].iter().rev());
-            let tail = rests.take_while(alike).count();
-            letters.extend_from_slice(&name[head..name.len() - tail]);
-            heads.push(byte_count(head));
-            tails.push(byte_count(tail));
+            let is_equal = |(one, other): &(&u8, &u8)| one == other;
+            let prefix = previous.iter().zip(name).take_while(is_equal).count();
+            let rests = previous[prefix..].iter().rev().zip(name[prefix..].iter().rev());
+            let suffix = rests.take_while(is_equal).count();
+            name_bytes.extend_from_slice(&name[prefix..name.len() - suffix]);
+            prefix_lengths.push(byte_count(prefix));
+            suffix_lengths.push(byte_count(suffix));
             lengths.push(byte_count(name.len()));
-            before = name;
+            previous = name;
         }
-        Self { places, heads, tails, lengths }
+        Self { references, prefix_lengths, suffix_lengths, lengths }
     }
 
     /// Rebuilds the names; also returns the name bytes that are left.
-    fn read(self, letters: &[u8]) -> Option<(ValueColumn<SmolStr>, &[u8])> {
-        let Self { places, heads, tails, lengths } = self;
-        if heads.len() != lengths.len() || tails.len() != lengths.len() {
+    fn decode(self, name_bytes: &[u8]) -> Option<(ValueColumn<SmolStr>, &[u8])> {
+        let Self { references, prefix_lengths, suffix_lengths, lengths } = self;
+        if prefix_lengths.len() != lengths.len() || suffix_lengths.len() != lengths.len() {
             return None;
         }
         // A few bytes can encode many names that share long parts, so the decoded size is limited.
@@ -199,21 +200,21 @@
         if usize::try_from(bytes).ok()? > PLAN_LIMIT {
             return None;
         }
-        let mut left = letters;
+        let mut remaining = name_bytes;
         let mut values: Vec<SmolStr> = Vec::with_capacity(lengths.len());
-        let mut before: Vec<u8> = Vec::new();
-        for ((head, tail), length) in heads.iter().zip(&tails).zip(&lengths) {
-            let (head, tail) = (*head as usize, *tail as usize);
-            let middle = (*length as usize).checked_sub(head)?.checked_sub(tail)?;
-            let (new, rest) = left.split_at_checked(middle)?;
-            let before_rest = before.get(head..)?;
-            let tail_at = before_rest.len().checked_sub(tail)?;
-            let name = [&before[..head], new, &before_rest[tail_at..]].concat();
+        let mut previous: Vec<u8> = Vec::new();
+        for ((prefix, suffix), length) in prefix_lengths.iter().zip(&suffix_lengths).zip(&lengths) {
+            let (prefix, suffix) = (*prefix as usize, *suffix as usize);
+            let middle = (*length as usize).checked_sub(prefix)?.checked_sub(suffix)?;
+            let (new, rest) = remaining.split_at_checked(middle)?;
+            let previous_rest = previous.get(prefix..)?;
+            let suffix_at = previous_rest.len().checked_sub(suffix)?;
+            let name = [&previous[..prefix], new, &previous_rest[suffix_at..]].concat();
             values.push(SmolStr::new(std::str::from_utf8(&name).ok()?));
-            before = name;
-            left = rest;
+            previous = name;
+            remaining = rest;
         }
-        Some((ValueColumn { places, values }, left))
+        Some((ValueColumn { references, values }, remaining))
     }
 }
 
