--- a/crates/pulley_core/tests/mutated_messages.rs
+++ b/crates/pulley_core/tests/mutated_messages.rs
@@ -1,10 +1,10 @@
-//! Fuzzing of what comes from outside: sheets, and every message between hosts.
+//! Fuzzes input from outside: sheets and every message between hosts.
 //!
-//! Real messages are recorded from hosts that talk to each other, bytes of them are changed, cut
-//! off and doubled, and fed back. Nothing may panic, and a host must go on working afterwards. The
-//! run is seeded; `PULLEY_FUZZ_CASES` makes it longer.
+//! Guards against malformed input that panics or leaves a host unable to work. Messages are
+//! recorded from hosts that talk to each other; their bytes are changed, truncated and duplicated,
+//! and the results are fed back. The run is seeded; `PULLEY_FUZZ_CASES` makes it longer.
 
-#![allow(clippy::unwrap_used, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,12 +24,12 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Mutations of each recorded message in an ordinary run.
-const CASES: usize = 40;
+/// The number of mutations of each recorded message in an ordinary run.
+const CASES_PER_MESSAGE: usize = 40;
 
-fn cases() -> usize {
-    let asked = std::env::var("PULLEY_FUZZ_CASES").ok().and_then(|text| text.parse().ok());
-    asked.unwrap_or(CASES)
+fn cases_per_message() -> usize {
+    let configured = std::env::var("PULLEY_FUZZ_CASES").ok().and_then(|text| text.parse().ok());
+    configured.unwrap_or(CASES_PER_MESSAGE)
 }
 
 fn host(number: u16) -> HostId {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Changes some bytes, cuts the end off, doubles a part, or mixes two messages.
+/// Returns a message with some bytes changed, its end cut off or repeated, or mixed with another.
 fn mutated(rng: &mut StdRng, message: &[u8], other: &[u8]) -> Vec<u8> {
     let mut bytes = message.to_vec();
     match rng.random_range(0..5) {
@@ -85,12 +85,12 @@
     bytes
 }
 
-/// Feeds mutations of recorded messages.
-fn feed(seed: u64, recorded: &[Bytes], mut take: impl FnMut(&[u8])) {
+/// Calls `take` with mutations of each recorded message.
+fn feed_mutations(seed: u64, recorded: &[Bytes], mut take: impl FnMut(&[u8])) {
     assert!(!recorded.is_empty());
     let mut rng = StdRng::seed_from_u64(seed);
     for message in recorded {
-        for _ in 0..cases() {
+        for _ in 0..cases_per_message() {
             let other = &recorded[rng.random_range(0..recorded.len())];
             take(&mutated(&mut rng, message, other));
         }
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn no_mutated_message_of_membership_panics() {
+fn no_mutated_membership_message_panics() {
     let record = |number| MemberRecord {
         host: host(number),
         zone: "a".parse().unwrap(),
@@ -130,7 +130,7 @@
             }
         }
     }
-    feed(1, &recorded, |bytes| {
+    feed_mutations(1, &recorded, |bytes| {
         tables[0].receive(now, address(1), bytes);
     });
     tables[0].tick(now + Duration::from_secs(1));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn no_mutated_message_of_the_registry_panics() {
+fn no_mutated_registry_message_panics() {
     let mut registries = [UpstreamRegistry::new(), UpstreamRegistry::new()];
     let ring = |own: u16| PeerRing::new(&host(own), vec![(host(1 - own), address(1 - own))]);
     let mut recorded = Vec::new();
@@ -164,7 +164,7 @@
             }
         }
     }
-    feed(2, &recorded, |bytes| {
+    feed_mutations(2, &recorded, |bytes| {
         registries[1].receive(now, address(0), bytes);
         registries[1].take_departure(now, bytes);
     });
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn no_mutated_message_about_plans_panics() {
+fn no_mutated_plan_message_panics() {
     let mut leader = PlanFollower::new(host(0), 1);
     let mut follower = PlanFollower::new(host(1), 2);
     let ring = |own: u16| PeerRing::new(&host(own), vec![(host(1 - own), address(1 - own))]);
@@ -192,14 +192,14 @@
             assert!(recorded.len() < 1_000, "step {step}");
         }
     }
-    feed(3, &recorded, |bytes| {
+    feed_mutations(3, &recorded, |bytes| {
         follower.receive(now, &host(0), bytes);
     });
     follower.tick(now + Duration::from_secs(1), &ring(1));
 }
 
-/// Lets replicas found a cluster and elect a leader; returns what they said to each other.
-fn converse(drivers: &mut [ReplicaDriver]) -> (Moment, Vec<Bytes>) {
+/// Lets replicas found a cluster and elect a leader; returns the messages between them.
+fn record_election(drivers: &mut [ReplicaDriver]) -> (Moment, Vec<Bytes>) {
     let mut recorded = Vec::new();
     let mut now = Moment::ZERO;
     for _ in 0..60 {
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn no_mutated_message_of_the_log_panics() {
+fn no_mutated_replica_message_panics() {
     let founders: Vec<_> =
         (0..3).map(|number| (host(number), MemberId(u64::from(number) + 1))).collect();
     let mut drivers: Vec<ReplicaDriver> = (0..3_u16)
@@ -245,15 +245,15 @@
             ReplicaDriver::new(identity, recovered, settings, Moment::ZERO, u64::from(number))
         })
         .collect();
-    let (now, mut recorded) = converse(&mut drivers);
+    let (now, mut recorded) = record_election(&mut drivers);
     recorded.truncate(400);
-    feed(4, &recorded, |bytes| {
+    feed_mutations(4, &recorded, |bytes| {
         let body = Bytes::copy_from_slice(bytes);
         drivers[0].handle(now, DriverInput::Peer { from: host(1), body });
     });
 }
 
-/// A change of a sheet large enough to be packed.
+/// Returns a change whose sheet is large enough to be packed.
 fn large_change(version: u64) -> ChangeRequest {
     let sheet = (0..4_000).map(|number| format!("{{\"Row\":{}}}\n", number * version)).collect();
     ChangeRequest {
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn no_mutated_change_of_the_log_panics() {
+fn no_mutated_stored_change_panics() {
     let mut machine = ConfigurationMachine::default();
     machine.apply(LogIndex(1), &StoredChange::new(large_change(1), machine.current()));
     let current = machine.current().clone();
@@ -283,7 +283,7 @@
     let recorded: Vec<Bytes> =
         stored.iter().map(|change| postcard::to_allocvec(change).unwrap().into()).collect();
     let mut read = 0;
-    feed(7, &recorded, |bytes| {
+    feed_mutations(7, &recorded, |bytes| {
         if let Ok(change) = postcard::from_bytes::<StoredChange>(bytes) {
             read += 1;
             machine.clone().apply(LogIndex(2), &change);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn no_mutated_message_of_the_router_panics() {
+fn no_mutated_router_message_panics() {
     let now = Moment::ZERO + Duration::from_secs(1);
     let mut router = QuestionRouter::new(host(0), 1);
     router.apply_replicas(vec![host(0), host(1)]);
@@ -318,7 +318,7 @@
             },
         ));
     }
-    feed(5, &questions, |bytes| {
+    feed_mutations(5, &questions, |bytes| {
         router.receive(now, &host(1), bytes);
     });
 }
@@ -333,7 +333,7 @@
     .into_iter()
     .map(Bytes::from_static)
     .collect();
-    feed(6, &sheets, |bytes| {
+    feed_mutations(6, &sheets, |bytes| {
         let _ = SheetReader::read(bytes);
     });
 }
