--- a/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching what leads to a later plan, in chunks, from hosts that hold it.
+//! Fetches the path to a later plan, in chunks, from hosts that hold the plan.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use super::plan_follower_message::{CHUNK_BYTES, PLAN_LIMIT, PlanChunk, PlanContent, PlanDigest};
 use crate::process::{HostId, Moment};
 
-/// How many chunks are asked for at once, at most: as many as a request can name.
+/// The maximum number of chunks in a window: as many as one request can name.
 const WINDOW_LIMIT: u32 = 16;
-/// How many are asked for at first: on a slow link, no more than callers' bytes can wait behind.
+/// The size of the first window. On a slow link, callers' bytes can wait behind no more than this.
 const WINDOW_START: u32 = 4;
-/// How long after its first chunk a window's last one is meant to come; a window that takes twice as
-/// long fills the link, and is halved.
-const WINDOW_AIM: Duration = Duration::from_millis(20);
-/// How long a window may take until the rest of it is asked for again, from another host.
-const RETRY: Duration = Duration::from_millis(200);
-/// How many windows in a row may bring nothing until what has come is given up: nobody may hold the
-/// rest of it any more.
-const FRUITLESS_LIMIT: u32 = 2;
-/// How many hosts that hold the plan are remembered, besides replicas.
+/// The target time between the first and the last chunk of a window. A window that takes more than
+/// twice as long fills the link and is halved.
+const WINDOW_TARGET: Duration = Duration::from_millis(20);
+/// How long a window may take before its rest is requested again, from another host.
+const RETRY_TIMEOUT: Duration = Duration::from_millis(200);
+/// How many windows in a row may bring no chunk before the chunks received are dropped, because
+/// perhaps no host holds the rest of that path any more.
+const EMPTY_WINDOW_LIMIT: u32 = 2;
+/// How many hosts that hold the plan are remembered, besides the replicas.
 const HOLDER_LIMIT: usize = 8;
 
-/// What has come of the way to a later plan.
+/// The chunks received of the path to a later plan.
 #[derive(Clone, Debug)]
 struct PartialPath {
     span: DeltaSpan,
@@ -35,40 +35,40 @@
 impl PartialPath {
     fn missing(&self) -> impl Iterator<Item = usize> {
         let chunks = self.chunks.iter().enumerate();
-        chunks.filter(|(_, chunk)| chunk.is_none()).map(|(place, _)| place)
+        chunks.filter(|(_, chunk)| chunk.is_none()).map(|(position, _)| position)
     }
 }
 
-/// The way to a later plan, as far as it has come.
+/// The fetch of a later plan: whom to ask, and what has arrived so far.
 #[derive(Clone, Debug)]
 pub(crate) struct PlanFetch {
     goal: ConfigVersion,
     goal_digest: PlanDigest,
-    /// Hosts with a replica, in the order in which they are to be asked.
+    /// Hosts with a replica, in the order in which to ask them.
     replicas: Vec<HostId>,
-    /// Other hosts that said they hold the goal.
+    /// Other hosts that reported that they hold the goal.
     holders: Vec<HostId>,
-    /// How often the host to be asked has changed.
+    /// How often the fetch has moved on to another host.
     turn: usize,
     path: Option<PartialPath>,
     window: u32,
-    /// How many chunks of the window have not come.
-    awaited: u32,
-    fruitless: u32,
-    /// How many hosts in a row had nothing to give.
-    passed_over: usize,
-    wants_whole: bool,
-    asked: Option<Moment>,
-    /// Who was asked then: the lists may be others by the time of the answer.
-    asked_of: Option<HostId>,
-    /// Whether nobody was asked then, as all had nothing to give.
-    rests: bool,
-    /// When the first chunk of the window came.
-    begun: Option<Moment>,
+    /// How many chunks of the window have not arrived yet.
+    outstanding: u32,
+    empty_windows: u32,
+    /// How many hosts in a row had nothing to send.
+    skipped_hosts: usize,
+    needs_whole_plan: bool,
+    asked_at: Option<Moment>,
+    /// The host asked then; the lists may have changed by the time it answers.
+    asked_host: Option<HostId>,
+    /// Whether no host was asked then, because none had anything to send.
+    is_paused: bool,
+    /// When the first chunk of the window arrived.
+    window_begun: Option<Moment>,
 }
 
 impl PlanFetch {
-    /// Makes a fetch that asks hosts with a replica, the first first.
+    /// Creates a fetch that asks hosts with a replica in the given order.
     pub(crate) fn new(goal: ConfigVersion, digest: PlanDigest, replicas: Vec<HostId>) -> Self {
         Self {
             goal,
@@ -78,53 +78,53 @@
             turn: 0,
             path: None,
             window: WINDOW_START,
-            awaited: 0,
-            fruitless: 0,
-            passed_over: 0,
-            wants_whole: false,
-            asked: None,
-            asked_of: None,
-            rests: false,
-            begun: None,
+            outstanding: 0,
+            empty_windows: 0,
+            skipped_hosts: 0,
+            needs_whole_plan: false,
+            asked_at: None,
+            asked_host: None,
+            is_paused: false,
+            window_begun: None,
         }
     }
 
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// The latest version known to be accepted.
+    /// Returns the latest version known to be accepted.
     pub(crate) const fn goal(&self) -> ConfigVersion {
         self.goal
     }
 
     pub(crate) fn next_wakeup(&self) -> Option<Moment> {
         self.source()?;
-        Some(self.asked.map_or(Moment::ZERO, |asked| asked + RETRY))
+        Some(self.asked_at.map_or(Moment::ZERO, |asked| asked + RETRY_TIMEOUT))
     }
 
-    /// The host to be asked: replicas and holders by turns, where there are both.
+    /// Returns the host to ask next. Replicas and holders alternate if there are both.
     fn source(&self) -> Option<&HostId> {
-        let (list, place) = match (self.replicas.is_empty(), self.holders.is_empty()) {
+        let (list, turn) = match (self.replicas.is_empty(), self.holders.is_empty()) {
             (false, true) => (&self.replicas, self.turn),
             (true, _) => (&self.holders, self.turn),
             (false, false) if self.turn.is_multiple_of(2) => (&self.replicas, self.turn / 2),
             (false, false) => (&self.holders, self.turn / 2),
         };
-        (!list.is_empty()).then(|| &list[place % list.len()])
+        (!list.is_empty()).then(|| &list[turn % list.len()])
     }
 
     // ---------------------------------------------------------------------------------------------
-    // What others say
+    // Input from other hosts
 
-    /// Notes a later version than the goal; what has come so far stays of use.
-    pub(crate) fn raise(&mut self, goal: ConfigVersion, digest: PlanDigest) {
+    /// Raises the goal to a later version. Chunks received so far remain useful.
+    pub(crate) fn raise_goal(&mut self, goal: ConfigVersion, digest: PlanDigest) {
         if goal >= self.goal {
             (self.goal, self.goal_digest) = (goal, digest);
         }
     }
 
-    /// Notes which hosts have a replica now; those known keep their places while they are the same.
-    pub(crate) fn meet_replicas(&mut self, replicas: Vec<HostId>) {
+    /// Sets which hosts have a replica now. Their order is kept while the set stays the same.
+    pub(crate) fn set_replicas(&mut self, replicas: Vec<HostId>) {
         let is_same = replicas.len() == self.replicas.len()
             && replicas.iter().all(|host| self.replicas.contains(host));
         if !is_same {
@@ -133,19 +133,20 @@
         }
     }
 
-    /// Notes that a way that came whole did not lead to its plan: the next one has to be a whole plan.
-    pub(crate) fn reject(&mut self, now: Moment) {
-        self.wants_whole = true;
-        self.asked = Some(now);
+    /// Notes that a complete path did not lead to its plan: a whole plan has to be fetched next.
+    pub(crate) fn reject_path(&mut self, now: Moment) {
+        self.needs_whole_plan = true;
+        self.asked_at = Some(now);
     }
 
-    /// Notes which version is in force here now; what has come on another way to it is of no use.
+    /// Notes which version is in force here now. Chunks of a path that does not lead on from it are
+    /// dropped.
     pub(crate) fn note_held(&mut self, held: ConfigVersion) {
-        self.wants_whole = false;
-        let leads_on = |path: &PartialPath| path.span.leads_on(held);
-        if !self.path.as_ref().is_none_or(leads_on) {
+        self.needs_whole_plan = false;
+        let advances = |path: &PartialPath| path.span.advances(held);
+        if !self.path.as_ref().is_none_or(advances) {
             self.path = None;
-            self.asked = None;
+            self.asked_at = None;
         }
     }
 
@@ -157,155 +158,161 @@
         }
     }
 
-    /// Notes that a host has nothing of use or no room for it; if it was asked, another one is.
-    pub(crate) fn pass_over(&mut self, now: Moment, host: &HostId) {
-        if self.asked.is_none() || self.rests || self.asked_of.as_ref() != Some(host) {
+    /// Notes that a host has nothing useful, or no capacity to send it. If it is the host that was
+    /// asked, another one is asked next.
+    pub(crate) fn skip_host(&mut self, now: Moment, host: &HostId) {
+        if self.asked_at.is_none() || self.is_paused || self.asked_host.as_ref() != Some(host) {
             return;
         }
         self.turn += 1;
-        self.passed_over += 1;
-        // Whoever answers gives another way if it doesn't know the one begun.
-        self.fruitless = 0;
-        // Once all were asked in vain, they are left alone for a while.
+        self.skipped_hosts += 1;
+        // A host that answers with chunks sends another path if it does not know the one begun.
+        self.empty_windows = 0;
+        // After a full round without success, the fetch pauses.
         let sources = self.replicas.len() + self.holders.len();
-        self.rests = self.passed_over.is_multiple_of(sources);
-        self.asked = self.rests.then_some(now);
+        self.is_paused = self.skipped_hosts.is_multiple_of(sources);
+        self.asked_at = self.is_paused.then_some(now);
     }
 
-    /// Takes a chunk; returns the whole way if it was the last one missing.
-    pub(crate) fn take(
+    /// Takes a received chunk; returns the complete path if it was the last one missing.
+    pub(crate) fn take_chunk(
         &mut self,
         now: Moment,
         from: &HostId,
         held: ConfigVersion,
         chunk: PlanChunk,
-    ) -> FetchStep {
+    ) -> ChunkOutcome {
         let PlanChunk { span, digest, index, total, body } = chunk;
         let count = usize::try_from(total).unwrap_or(usize::MAX);
-        let place = usize::try_from(index).unwrap_or(usize::MAX);
-        let is_wrong = span.to == self.goal && digest != self.goal_digest;
-        let is_sound = place < count && count <= PLAN_LIMIT / CHUNK_BYTES;
-        if !span.leads_on(held) || is_wrong || !is_sound || body.len() > CHUNK_BYTES {
-            return FetchStep::Unwanted;
+        let position = usize::try_from(index).unwrap_or(usize::MAX);
+        let has_wrong_digest = span.to == self.goal && digest != self.goal_digest;
+        let is_in_bounds = position < count && count <= PLAN_LIMIT / CHUNK_BYTES;
+        if !span.advances(held) || has_wrong_digest || !is_in_bounds || body.len() > CHUNK_BYTES {
+            return ChunkOutcome::Unwanted;
         }
-        let fits = |path: &PartialPath| {
+        let is_same_path = |path: &PartialPath| {
             path.span == span && path.digest == digest && path.chunks.len() == count
         };
-        if !self.path.as_ref().is_some_and(fits) {
-            // The host that is asked holds no more of the way begun: it gives another one.
-            if self.path.is_some() && self.asked_of.as_ref() != Some(from) {
-                return FetchStep::Unwanted;
+        if !self.path.as_ref().is_some_and(is_same_path) {
+            // The host that was asked no longer holds the path begun, so it sends another one.
+            if self.path.is_some() && self.asked_host.as_ref() != Some(from) {
+                return ChunkOutcome::Unwanted;
             }
             self.path = Some(PartialPath { span, digest, chunks: vec![None; count] });
         }
-        let Some(path) = self.path.as_mut().filter(|path| path.chunks[place].is_none()) else {
-            return FetchStep::Unwanted;
+        let Some(path) = self.path.as_mut().filter(|path| path.chunks[position].is_none()) else {
+            return ChunkOutcome::Unwanted;
         };
-        path.chunks[place] = Some(body);
-        self.fruitless = 0;
-        self.passed_over = 0;
-        self.awaited = self.awaited.saturating_sub(1);
-        let begun = *self.begun.get_or_insert(now);
+        path.chunks[position] = Some(body);
+        self.empty_windows = 0;
+        self.skipped_hosts = 0;
+        self.outstanding = self.outstanding.saturating_sub(1);
+        let begun = *self.window_begun.get_or_insert(now);
         if path.missing().next().is_none() {
             return self.finish();
         }
-        if self.awaited == 0 {
-            self.fit_window(now.since(begun));
-            self.asked = None;
+        if self.outstanding == 0 {
+            self.adapt_window(now.since(begun));
+            self.asked_at = None;
         }
-        FetchStep::Taken
+        ChunkOutcome::Taken
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Questions
+    // Requests
 
-    /// Asks for what is missing, if nothing was asked for or the answer is overdue.
-    pub(crate) fn ask(&mut self, now: Moment, held: ConfigVersion) -> Option<PlanQuestion> {
-        let is_overdue = self.asked.is_some() && !self.rests;
-        if self.asked.is_some_and(|asked| now.since(asked) < RETRY) {
+    /// Returns a request for missing chunks if none is pending or the answer is overdue.
+    pub(crate) fn next_request(
+        &mut self,
+        now: Moment,
+        held: ConfigVersion,
+    ) -> Option<ChunkRequest> {
+        let is_overdue = self.asked_at.is_some() && !self.is_paused;
+        if self.asked_at.is_some_and(|asked| now.since(asked) < RETRY_TIMEOUT) {
             return None;
         }
         if is_overdue {
-            self.forget_silent_holder();
+            self.drop_silent_holder();
             self.turn += 1;
             self.window = (self.window / 2).max(1);
-            self.fruitless += 1;
+            self.empty_windows += 1;
         }
-        if self.fruitless > FRUITLESS_LIMIT {
+        if self.empty_windows > EMPTY_WINDOW_LIMIT {
             self.path = None;
-            self.fruitless = 0;
+            self.empty_windows = 0;
         }
         let to = self.source()?.clone();
-        self.asked = Some(now);
-        self.asked_of = Some(to.clone());
-        self.rests = false;
-        self.begun = None;
+        self.asked_at = Some(now);
+        self.asked_host = Some(to.clone());
+        self.is_paused = false;
+        self.window_begun = None;
         let (first, wanted) = self.wanted();
-        self.awaited = wanted.count_ones();
+        self.outstanding = wanted.count_ones();
         let span = self.path.as_ref().map(|path| path.span);
-        let held = if self.wants_whole { ConfigVersion::default() } else { held };
+        let held = if self.needs_whole_plan { ConfigVersion::default() } else { held };
         let content = PlanContent::Fetch { held, span, first, wanted };
-        Some(PlanQuestion { to, content, is_overdue })
+        Some(ChunkRequest { to, content, is_overdue })
     }
 
-    /// Makes room for another holder if the one asked has not answered and no more can be noted.
-    fn forget_silent_holder(&mut self) {
+    /// Removes the host asked from the holders if it has not answered and the list is full, so that
+    /// another holder can be added.
+    fn drop_silent_holder(&mut self) {
         if self.holders.len() >= HOLDER_LIMIT {
-            self.holders.retain(|host| Some(host) != self.asked_of.as_ref());
+            self.holders.retain(|host| Some(host) != self.asked_host.as_ref());
         }
     }
 
-    /// The first chunk wanted, and a bit for each that is wanted from there on.
+    /// Returns the first chunk wanted, and a bit for each chunk wanted from there on.
     fn wanted(&self) -> (u32, u16) {
         let Some(path) = &self.path else {
             return (0, bits(0..self.window));
         };
-        let missing = path.missing().filter_map(|place| u32::try_from(place).ok());
+        let missing = path.missing().filter_map(|position| u32::try_from(position).ok());
         let missing: Vec<u32> = missing.take(self.window as usize).collect();
         let first = missing.first().copied().unwrap_or(0);
-        (first, bits(missing.into_iter().map(|place| place - first)))
+        (first, bits(missing.into_iter().map(|position| position - first)))
     }
 
-    /// Asks for more at a time where windows come quickly, and for less where they fill a link.
-    fn fit_window(&mut self, took: Duration) {
-        if took <= WINDOW_AIM {
+    /// Enlarges the window if its chunks arrive quickly, and shrinks it if they fill the link.
+    fn adapt_window(&mut self, took: Duration) {
+        if took <= WINDOW_TARGET {
             self.window = (self.window * 2).min(WINDOW_LIMIT);
-        } else if took > 2 * WINDOW_AIM {
+        } else if took > 2 * WINDOW_TARGET {
             self.window = (self.window / 2).max(1);
         }
     }
 
-    fn finish(&mut self) -> FetchStep {
-        self.asked = None;
-        self.awaited = 0;
-        let Some(path) = self.path.take() else { return FetchStep::Taken };
+    fn finish(&mut self) -> ChunkOutcome {
+        self.asked_at = None;
+        self.outstanding = 0;
+        let Some(path) = self.path.take() else { return ChunkOutcome::Taken };
         let body: Vec<u8> = path.chunks.iter().flatten().flatten().copied().collect();
         let (span, digest) = (path.span, path.digest);
-        FetchStep::Done(DeltaPath { span, digest, body: Bytes::from(body) })
+        ChunkOutcome::Done(DeltaPath { span, digest, body: Bytes::from(body) })
     }
 }
 
-/// A bit for each place below the width of a request.
-fn bits(places: impl Iterator<Item = u32>) -> u16 {
-    places.filter(|place| *place < WINDOW_LIMIT).fold(0, |bits, place| bits | 1 << place)
+/// Returns a bit for each offset below the width of a request.
+fn bits(offsets: impl Iterator<Item = u32>) -> u16 {
+    offsets.filter(|offset| *offset < WINDOW_LIMIT).fold(0, |bits, offset| bits | 1 << offset)
 }
 
-/// What to ask whom.
+/// A request for chunks and its receiver.
 #[derive(Clone, Debug)]
-pub(crate) struct PlanQuestion {
+pub(crate) struct ChunkRequest {
     pub(crate) to: HostId,
     pub(crate) content: PlanContent,
-    /// Whether an earlier question had no whole answer in time.
+    /// Whether an earlier request was not answered completely in time.
     pub(crate) is_overdue: bool,
 }
 
-/// What follows from a chunk.
+/// The result of receiving a chunk.
 #[derive(Clone, Debug)]
-pub(crate) enum FetchStep {
-    /// It is of no use.
+pub(crate) enum ChunkOutcome {
+    /// The chunk is of no use.
     Unwanted,
-    /// More is missing.
+    /// Other chunks are still missing.
     Taken,
-    /// The way is whole.
+    /// The path is complete.
     Done(DeltaPath),
 }
