--- a/crates/pulleyd/src/request/answer_body.rs
+++ b/crates/pulleyd/src/request/answer_body.rs
@@ -14,7 +14,7 @@
 use pulley_core::request::AttemptOutcome;
 use thiserror::Error;
 
-use super::traffic_counters::RequestSeat;
+use super::traffic_counters::RequestPermit;
 use super::{AttemptGuard, TrafficCounters};
 use crate::connection::{Answering, UpstreamLink};
 use crate::process::{ProcessClock, TimerService, TimerSubscription};
@@ -56,21 +56,21 @@
     pacer: Arc<Mutex<LinkPacer>>,
     clock: ProcessClock,
     /// Bytes received so far.
-    passed: u64,
+    bytes_received: u64,
     /// The end of the current pause in reading.
     pause: Option<TimerSubscription>,
 }
 
 impl AnswerPacing {
     pub(super) const fn new(pacer: Arc<Mutex<LinkPacer>>, clock: ProcessClock) -> Self {
-        Self { pacer, clock, passed: 0, pause: None }
+        Self { pacer, clock, bytes_received: 0, pause: None }
     }
 
-    fn note(&mut self, timer: &TimerService, frame: &Frame<Bytes>) {
+    fn record_frame(&mut self, timer: &TimerService, frame: &Frame<Bytes>) {
         let bytes = frame.data_ref().map_or(0, |data| data.len() as u64);
-        let next = self.pacer.lock().note(self.clock.now(), self.passed, bytes);
-        self.passed += bytes;
-        self.pause = next.map(|at| timer.at(at));
+        let resume_at = self.pacer.lock().note(self.clock.now(), self.bytes_received, bytes);
+        self.bytes_received += bytes;
+        self.pause = resume_at.map(|at| timer.at(at));
     }
 
     fn poll_pause(&mut self, context: &mut Context<'_>) -> Poll<()> {
@@ -96,37 +96,37 @@
 #[derive(Debug)]
 pub struct AnswerBody {
     /// Frames that were read ahead.
-    ahead: VecDeque<Frame<Bytes>>,
+    buffered: VecDeque<Frame<Bytes>>,
     source: AnswerSource,
     stall: Option<TimerSubscription>,
     /// The permit of the request in progress; `None` for a response made by the system itself.
-    seat: Option<RequestSeat>,
+    permit: Option<RequestPermit>,
 }
 
 impl AnswerBody {
     /// Creates a body whose whole content is known.
     #[must_use]
-    pub fn whole(bytes: Bytes) -> Self {
-        let ahead = if bytes.is_empty() { None } else { Some(Frame::data(bytes)) };
-        let ahead = ahead.into_iter().collect();
-        Self { ahead, source: AnswerSource::Ended, stall: None, seat: None }
+    pub fn from_bytes(bytes: Bytes) -> Self {
+        let buffered = if bytes.is_empty() { None } else { Some(Frame::data(bytes)) };
+        let buffered = buffered.into_iter().collect();
+        Self { buffered, source: AnswerSource::Ended, stall: None, permit: None }
     }
 
     /// Wraps an upstream's body. The attempt ends and the connection is returned to the pool when
     /// the body has ended.
-    pub(super) fn upstream(answer: UpstreamAnswer, seat: RequestSeat) -> Self {
+    pub(super) fn upstream(answer: UpstreamAnswer, permit: RequestPermit) -> Self {
         let source = if answer.body.is_end_stream() {
             answer.complete();
             AnswerSource::Ended
         } else {
             AnswerSource::Upstream(Box::new(answer))
         };
-        Self { ahead: VecDeque::new(), source, stall: None, seat: Some(seat) }
+        Self { buffered: VecDeque::new(), source, stall: None, permit: Some(permit) }
     }
 
     /// Puts frames that were read from this body back in front of it.
     pub(super) fn unread(&mut self, frames: impl IntoIterator<Item = Frame<Bytes>>) {
-        self.ahead = frames.into_iter().chain(std::mem::take(&mut self.ahead)).collect();
+        self.buffered = frames.into_iter().chain(std::mem::take(&mut self.buffered)).collect();
     }
 
     /// Resolves to an error once the upstream has sent nothing for `STALL_LIMIT`.
@@ -138,16 +138,16 @@
         Poll::Ready(BodyFault::Stalled)
     }
 
-    fn end(&mut self, is_whole: bool) {
+    fn end(&mut self, is_complete: bool) {
         self.stall = None;
         let source = std::mem::replace(&mut self.source, AnswerSource::Ended);
         let AnswerSource::Upstream(answer) = source else { return };
-        if is_whole {
+        if is_complete {
             answer.complete();
             return;
         }
-        if let Some(seat) = &self.seat {
-            TrafficCounters::add(&seat.counters().cut_short);
+        if let Some(permit) = &self.permit {
+            TrafficCounters::add(&permit.counters().cut_short);
         }
         answer.attempt.settle(AttemptOutcome::Broken);
     }
@@ -169,7 +169,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
         let this = self.get_mut();
-        if let Some(frame) = this.ahead.pop_front() {
+        if let Some(frame) = this.buffered.pop_front() {
             return Poll::Ready(Some(Ok(frame)));
         }
         let AnswerSource::Upstream(answer) = &mut this.source else { return Poll::Ready(None) };
@@ -185,7 +185,7 @@
             Poll::Ready(Some(Ok(frame))) => {
                 this.stall = None;
                 if let Some(pacing) = &mut answer.pacing {
-                    pacing.note(&answer.timer, &frame);
+                    pacing.record_frame(&answer.timer, &frame);
                 }
                 let ended = answer.body.is_end_stream();
                 if ended {
@@ -205,20 +205,21 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ahead.is_empty() && matches!(self.source, AnswerSource::Ended)
+        self.buffered.is_empty() && matches!(self.source, AnswerSource::Ended)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let ahead: usize = self.ahead.iter().filter_map(Frame::data_ref).map(Bytes::len).sum();
+        let buffered: usize =
+            self.buffered.iter().filter_map(Frame::data_ref).map(Bytes::len).sum();
         let rest = match &self.source {
             AnswerSource::Ended => SizeHint::with_exact(0),
             AnswerSource::Upstream(answer) => answer.body.size_hint(),
         };
         let mut hint = SizeHint::new();
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + ahead as u64);
+            hint.set_upper(upper + buffered as u64);
         }
-        hint.set_lower(rest.lower() + ahead as u64);
+        hint.set_lower(rest.lower() + buffered as u64);
         hint
     }
 }
--- a/crates/pulleyd/src/request/upstream_answer.rs
+++ b/crates/pulleyd/src/request/answer_metadata.rs
@@ -9,7 +9,7 @@
 use pulley_core::request::LoadReport;
 
 use super::protocol_headers::{CAUSE_HEADER, DRAINING_HEADER, VERDICT_HEADER};
-use super::request_headers::{strip_hop_by_hop, strip_own};
+use super::request_headers::{strip_hop_by_hop, strip_own_headers};
 use super::{HeaderDialect, TrafficCounters};
 
 /// The longest `Retry-After` accepted from an upstream.
@@ -24,9 +24,9 @@
 
 /// What an upstream's response tells this entry; the headers that carry it are not forwarded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct AnswerSigns {
+pub(super) struct AnswerMetadata {
     /// Whether the upstream shed the request without running it.
-    pub(super) has_shed: bool,
+    pub(super) is_shed: bool,
     /// Whether the upstream passes on a response of this system: another layer has already given
     /// up.
     pub(super) retried_below: bool,
@@ -37,10 +37,10 @@
     /// When it may receive requests again, if it shed this one.
     pub(super) retry_after: Duration,
     /// Whether the status says that the request was not run and no header confirms it.
-    pub(super) is_empty_promise: bool,
+    pub(super) is_unconfirmed_not_run: bool,
 }
 
-impl AnswerSigns {
+impl AnswerMetadata {
     /// Reads the metadata and removes the headers that belong to the upstream's connection.
     ///
     /// Only status 429 or 503 together with the verdict `not-run` counts as shed: a bare 503 may
@@ -53,28 +53,28 @@
     ) -> Self {
         let status = response.status();
         let headers = response.headers_mut();
-        let is_other =
+        let is_misdirected =
             dialect.expected_upstream.is_some() && status == StatusCode::MISDIRECTED_REQUEST;
-        let has_shed = is_other || says_not_run(status, headers, dialect);
+        let is_shed = is_misdirected || declares_not_run(status, headers, dialect);
         let mut report = take_report(headers, dialect, counters);
-        if dialect.load_counts_own && !has_shed {
+        if dialect.load_counts_own && !is_shed {
             report = report.map(LoadReport::less_one);
         }
-        let signs = Self {
-            has_shed,
+        let metadata = Self {
+            is_shed,
             retried_below: dialect.own_headers && headers.contains_key(CAUSE_HEADER),
             is_draining: headers.get(DRAINING_HEADER).is_some_and(|value| value == "true"),
             report,
             retry_after: retry_after(headers, dialect),
-            is_empty_promise: !has_shed && !dialect.own_headers && is_promise(status),
+            is_unconfirmed_not_run: !is_shed && !dialect.own_headers && implies_not_run(status),
         };
         strip_hop_by_hop(headers);
-        strip_own(headers);
-        signs
+        strip_own_headers(headers);
+        metadata
     }
 }
 
-fn says_not_run(status: StatusCode, headers: &HeaderMap, dialect: &HeaderDialect) -> bool {
+fn declares_not_run(status: StatusCode, headers: &HeaderMap, dialect: &HeaderDialect) -> bool {
     if let Some(name) = &dialect.not_run {
         return headers.contains_key(name);
     }
@@ -85,7 +85,7 @@
 }
 
 /// Whether callers take a status to mean that the request was not run.
-fn is_promise(status: StatusCode) -> bool {
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -111,9 +111,9 @@
 fn retry_after(headers: &HeaderMap, dialect: &HeaderDialect) -> Duration {
     let value = headers.get(RETRY_AFTER).and_then(|value| value.to_str().ok());
     let seconds = value.and_then(|value| value.trim().parse::<f64>().ok());
-    let told = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let reported = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     // Callers that read fractions of a second need not wait a whole second if one upstream shed the
     // request: others may be free.
     let default = if dialect.own_headers { RETRY_AFTER_DEFAULT } else { SHED_RETRY };
-    told.unwrap_or(default).min(RETRY_AFTER_LIMIT)
+    reported.unwrap_or(default).min(RETRY_AFTER_LIMIT)
 }
--- a/crates/pulleyd/src/request/arrival_probing.rs
+++ b/crates/pulleyd/src/request/arrival_probing.rs
@@ -25,23 +25,23 @@
 /// How much longer a request waits for other answers once one upstream has reported free capacity.
 /// Whatever slows down an upstream's work also slows down its probe answers. A request that waits
 /// for all of them loses most of that time only to learn which upstreams not to choose.
-const SETTLE_WAIT: Duration = Duration::from_millis(10);
+const EXTRA_WAIT: Duration = Duration::from_millis(10);
 
 /// When a probe is abandoned and its connection closed. It is longer than any request waits: the
 /// connection of a slowed-down upstream is still usable, and opening another costs that upstream
 /// more than the probe.
-const PROBE_END: Duration = Duration::from_millis(150);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Divides the time left until the deadline; probes may take the resulting part.
-const LEFT_PART: u32 = 8;
+const DEADLINE_DIVISOR: u32 = 8;
 
 /// The factor by which an upstream that reports itself unhealthy is assumed to be slower. Some
 /// healthy upstreams report themselves unhealthy too, so they are not excluded: a pool in which all
 /// upstreams do so would serve no requests.
-const UNWELL: f32 = 1.6;
+const UNHEALTHY_FACTOR: f32 = 1.6;
 
 /// The maximum number of probe rounds within the same reach.
-const STAGES: u32 = 2;
+const PROBE_ROUNDS: u32 = 2;
 
 /// No upstream is probed if the best expected time, in multiples of the usual response time, is
 /// below this value: an upstream has just reported a free slot and no slowdown.
@@ -61,14 +61,14 @@
     /// The number of probes without an answer.
     unanswered: usize,
     /// Whether probes went unanswered and no upstream of the pool has answered recently.
-    is_mute: bool,
+    is_pool_silent: bool,
     /// The connections over which probes were answered.
     links: Vec<(UpstreamId, UpstreamLink<Unused>)>,
 }
 
 impl ArrivalProbing {
     /// Probes a few upstreams of the kind's pool, and more if all of those are slow.
-    pub(super) async fn ask(
+    pub(super) async fn probe(
         context: &Arc<TrafficContext>,
         row: &KindPlan,
         ticket: &RequestTicket,
@@ -84,24 +84,24 @@
         probing.is_on = true;
         probing.readings = context.schedulers.fresh_readings(&row.pool, ticket);
         let mut asked = Vec::new();
-        for stage in 0..STAGES {
+        for round in 0..PROBE_ROUNDS {
             let best = context.schedulers.best_cost(&row.pool, &probing.readings);
-            let enough = if stage == 0 { GOOD_COST } else { POOR_COST };
-            if best.is_some_and(|cost| cost < enough) {
+            let good_enough = if round == 0 { GOOD_COST } else { POOR_COST };
+            if best.is_some_and(|cost| cost < good_enough) {
                 break;
             }
             let question = ProbeQuestion { asked: &asked, wanted, reach };
             let targets = context.schedulers.probe_targets(&row.pool, ticket, &question);
             asked.extend(targets.iter().map(|target| target.upstream.clone()));
-            probing.ask_all(context, row, &path, ticket, targets).await;
+            probing.probe_all(context, row, &path, ticket, targets).await;
         }
-        let may_leave = reach == ProbeReach::OwnZone && row.route.answers != AnswerSize::Large;
-        if may_leave && context.schedulers.is_risky(&row.pool, ticket, &probing.readings) {
+        let may_leave_zone = reach == ProbeReach::OwnZone && row.route.answers != AnswerSize::Large;
+        if may_leave_zone && context.schedulers.is_risky(&row.pool, ticket, &probing.readings) {
             let question = ProbeQuestion { asked: &asked, wanted, reach: ProbeReach::EveryZone };
             let targets = context.schedulers.probe_targets(&row.pool, ticket, &question);
-            probing.ask_all(context, row, &path, ticket, targets).await;
+            probing.probe_all(context, row, &path, ticket, targets).await;
         }
-        probing.is_mute = probing.unanswered > 0 && !context.schedulers.has_heard(&row.pool);
+        probing.is_pool_silent = probing.unanswered > 0 && !context.schedulers.has_heard(&row.pool);
         probing
     }
 
@@ -110,9 +110,9 @@
     ///
     /// If other upstreams of the pool have answered within the last second, those probed now are
     /// slow. Placed by counts alone, requests went to exactly those upstreams and took a second.
-    pub(super) fn asked(&self) -> Option<&[ProbeReading]> {
-        let is_blind = !self.is_on || (self.readings.is_empty() && self.is_mute);
-        (!is_blind).then_some(&self.readings)
+    pub(super) fn placement_readings(&self) -> Option<&[ProbeReading]> {
+        let is_unprobed = !self.is_on || (self.readings.is_empty() && self.is_pool_silent);
+        (!is_unprobed).then_some(&self.readings)
     }
 
     /// Returns the connection over which the chosen upstream answered and returns the others to the
@@ -135,7 +135,7 @@
     }
 
     /// Probes upstreams concurrently and waits until one is good enough or all have answered.
-    async fn ask_all(
+    async fn probe_all(
         &mut self,
         context: &Arc<TrafficContext>,
         row: &KindPlan,
@@ -146,20 +146,20 @@
         let mut silent: Vec<UpstreamId> =
             targets.iter().map(|target| target.upstream.clone()).collect();
         let now = context.clock.now();
-        let mut limit = now + PROBE_WAIT.min(ticket.deadline.since(now) / LEFT_PART);
-        let mut asking: FuturesUnordered<_> = targets
+        let mut limit = now + PROBE_WAIT.min(ticket.deadline.since(now) / DEADLINE_DIVISOR);
+        let mut pending: FuturesUnordered<_> = targets
             .into_iter()
             .map(|target| {
                 let (context, path) = (Arc::clone(context), path.clone());
                 async move {
-                    let end = now + PROBE_END;
-                    let asked = ask_one(&context, &path, &target, end);
-                    let answer = context.timer.limit(end, asked).await.flatten();
+                    let end = now + PROBE_TIMEOUT;
+                    let reply = probe_one(&context, &path, &target, end);
+                    let answer = context.timer.limit(end, reply).await.flatten();
                     (target.upstream, answer)
                 }
             })
             .collect();
-        while let Some(answer) = context.timer.limit(limit, asking.next()).await {
+        while let Some(answer) = context.timer.limit(limit, pending.next()).await {
             let Some((upstream, answer)) = answer else { break };
             let Some((report, link)) = answer else {
                 self.unanswered += 1;
@@ -172,23 +172,23 @@
             match context.schedulers.best_cost(&row.pool, &self.readings) {
                 Some(cost) if cost < GOOD_COST => break,
                 Some(cost) if cost < POOR_COST => {
-                    limit = limit.min(context.clock.now() + SETTLE_WAIT);
+                    limit = limit.min(context.clock.now() + EXTRA_WAIT);
                 }
                 _ => {}
             }
         }
         // An upstream may still answer if the wait ended early because another one has free
         // capacity.
-        let was_waited_for = context.clock.now() >= now + PROBE_WAIT;
-        if was_waited_for || asking.is_empty() {
+        let has_waited_fully = context.clock.now() >= now + PROBE_WAIT;
+        if has_waited_fully || pending.is_empty() {
             context.schedulers.note_unanswered(&row.pool, &silent);
         }
-        if asking.is_empty() {
+        if pending.is_empty() {
             return;
         }
-        self.unanswered += asking.len();
+        self.unanswered += pending.len();
         tokio::spawn(async move {
-            while let Some((_, answer)) = asking.next().await {
+            while let Some((_, answer)) = pending.next().await {
                 if let Some((_, link)) = answer {
                     link.give_back();
                 }
@@ -198,7 +198,7 @@
 }
 
 /// Sends one probe. Returns `None` if there is no answer or another upstream answered.
-async fn ask_one(
+async fn probe_one(
     context: &TrafficContext,
     path: &Uri,
     target: &ProbeTarget,
@@ -214,15 +214,15 @@
     let (parts, link) = link.probe(probe_request(context, path, target)?).await?;
     let dialect = &context.dialect;
     if let Some(name) = &dialect.instance {
-        let is_meant = parts.headers.get(name).is_some_and(|id| id == target.upstream.as_str());
-        if !is_meant {
+        let is_expected = parts.headers.get(name).is_some_and(|id| id == target.upstream.as_str());
+        if !is_expected {
             return None;
         }
     }
     let mut report = parts.headers.get(&dialect.load).and_then(dialect.read_load)?;
     report.cold_left = dialect.cold_left(&parts.headers);
     if !parts.status.is_success() {
-        report.slowdown = Some(report.slowdown.unwrap_or(1.0) * UNWELL);
+        report.slowdown = Some(report.slowdown.unwrap_or(1.0) * UNHEALTHY_FACTOR);
     }
     Some((report, link))
 }
--- a/crates/pulleyd/src/request/attempt_fault.rs
+++ b/crates/pulleyd/src/request/attempt_fault.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use super::SystemAnswer;
-use super::upstream_answer::AnswerSigns;
+use super::answer_metadata::AnswerMetadata;
 use crate::connection::LinkFault;
 
 /// `Retry-After` for a request whose attempts have failed.
-const GIVEN_UP_RETRY: Duration = Duration::from_secs(1);
+const ATTEMPT_FAILED_RETRY: Duration = Duration::from_secs(1);
 
 /// `Retry-After` for a request whose pool has changed; the new plan is already known.
 const PLAN_CHANGED_RETRY: Duration = Duration::from_millis(10);
@@ -21,7 +21,7 @@
     pub(super) answer: SystemAnswer,
     pub(super) outcome: AttemptOutcome,
     /// Whether another attempt can change the result.
-    pub(super) may_repeat: bool,
+    pub(super) is_retryable: bool,
     /// Whether another layer of this system has already given up on the request.
     pub(super) retried_below: bool,
 }
@@ -32,7 +32,7 @@
         Self {
             answer: SystemAnswer::refused(cause, Some(retry_after)),
             outcome: AttemptOutcome::Cancelled,
-            may_repeat: false,
+            is_retryable: false,
             retried_below: false,
         }
     }
@@ -43,48 +43,48 @@
     }
 
     /// The caller aborted its own request.
-    pub(super) fn caller_broke(verdict: RequestVerdict) -> Self {
+    pub(super) fn caller_aborted(verdict: RequestVerdict) -> Self {
         let status = StatusCode::BAD_REQUEST;
         Self {
             answer: SystemAnswer::failed(status, verdict, "caller-broke-off", None),
             outcome: AttemptOutcome::Cancelled,
-            may_repeat: false,
+            is_retryable: false,
             retried_below: false,
         }
     }
 
     /// The connection failed before a response arrived.
-    pub(super) fn of_link(fault: &LinkFault) -> Self {
+    pub(super) fn from_link(fault: &LinkFault) -> Self {
         let outcome = match fault {
             LinkFault::Unreachable(_) | LinkFault::ConnectTimeout => AttemptOutcome::Unreachable,
             LinkFault::ShareInUse | LinkFault::ClosedUnsent => AttemptOutcome::Cancelled,
             LinkFault::Broken(_) | LinkFault::Lost => AttemptOutcome::Broken,
         };
-        let (status, retry_after) = (StatusCode::BAD_GATEWAY, Some(GIVEN_UP_RETRY));
+        let (status, retry_after) = (StatusCode::BAD_GATEWAY, Some(ATTEMPT_FAILED_RETRY));
         let answer = SystemAnswer::failed(status, fault.verdict(), fault.cause(), retry_after);
-        Self { answer, outcome, may_repeat: true, retried_below: false }
+        Self { answer, outcome, is_retryable: true, retried_below: false }
     }
 
     /// The deadline passed.
-    pub(super) fn time_up(verdict: RequestVerdict) -> Self {
-        let (status, retry_after) = (StatusCode::GATEWAY_TIMEOUT, Some(GIVEN_UP_RETRY));
+    pub(super) fn timed_out(verdict: RequestVerdict) -> Self {
+        let (status, retry_after) = (StatusCode::GATEWAY_TIMEOUT, Some(ATTEMPT_FAILED_RETRY));
         let answer = SystemAnswer::failed(status, verdict, "no-answer-in-time", retry_after);
-        Self { answer, outcome: AttemptOutcome::Broken, may_repeat: true, retried_below: false }
+        Self { answer, outcome: AttemptOutcome::Broken, is_retryable: true, retried_below: false }
     }
 
     /// The response must not be passed on; whether the request ran is unknown.
     pub(super) fn untrusted(cause: &'static str, outcome: AttemptOutcome) -> Self {
         let verdict = RequestVerdict::MayHaveRun;
         let answer = SystemAnswer::failed(StatusCode::BAD_GATEWAY, verdict, cause, None);
-        Self { answer, outcome, may_repeat: true, retried_below: false }
+        Self { answer, outcome, is_retryable: true, retried_below: false }
     }
 
     /// The upstream declared that it did not run the request.
-    pub(super) fn shed(signs: &AnswerSigns) -> Self {
+    pub(super) fn shed(metadata: &AnswerMetadata) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        let (verdict, retry_after) = (RequestVerdict::NotRun, Some(signs.retry_after));
+        let (verdict, retry_after) = (RequestVerdict::NotRun, Some(metadata.retry_after));
         let answer = SystemAnswer::failed(status, verdict, "upstream-shed", retry_after);
-        let (outcome, retried_below) = (AttemptOutcome::Shed, signs.retried_below);
-        Self { answer, outcome, may_repeat: true, retried_below }
+        let (outcome, retried_below) = (AttemptOutcome::Shed, metadata.retried_below);
+        Self { answer, outcome, is_retryable: true, retried_below }
     }
 }
--- a/crates/pulleyd/src/request/attempt_guard.rs
+++ b/crates/pulleyd/src/request/attempt_guard.rs
@@ -28,7 +28,7 @@
     }
 
     /// Stores the upstream's load report until the attempt ends.
-    pub fn note_report(&mut self, report: Option<LoadReport>) {
+    pub fn set_report(&mut self, report: Option<LoadReport>) {
         self.report = report;
     }
 
--- a/crates/pulleyd/src/request/call_terms.rs
+++ b/crates/pulleyd/src/request/call_terms.rs
@@ -49,9 +49,10 @@
         let deadline = now + read_deadline(headers.get(&dialect.deadline), row.deadline)?;
         let mut terms = Self { deadline, earlier_attempts: 0, priority: row.priority };
         if is_trusted {
-            terms.earlier_attempts = trusted_number(headers.get(ATTEMPT_HEADER))?.unwrap_or(0);
-            let asked = trusted_number(headers.get(PRIORITY_HEADER))?;
-            terms.priority = row.priority.max(RequestPriority(asked.unwrap_or(0).min(9)));
+            terms.earlier_attempts =
+                read_optional_number(headers.get(ATTEMPT_HEADER))?.unwrap_or(0);
+            let requested = read_optional_number(headers.get(PRIORITY_HEADER))?;
+            terms.priority = row.priority.max(RequestPriority(requested.unwrap_or(0).min(9)));
         }
         Ok(terms)
     }
@@ -71,13 +72,13 @@
             return;
         }
         let attempt = self.earlier_attempts.saturating_add(attempt);
-        headers.insert(ATTEMPT_HEADER, small_number(attempt));
-        headers.insert(PRIORITY_HEADER, small_number(self.priority.0));
+        headers.insert(ATTEMPT_HEADER, number_value(attempt));
+        headers.insert(PRIORITY_HEADER, number_value(self.priority.0));
     }
 }
 
 /// Returns a number as a header value; one-digit numbers need no allocation.
-fn small_number(number: u8) -> HeaderValue {
+fn number_value(number: u8) -> HeaderValue {
     const DIGITS: [&str; 10] = ["0", "1", "2", "3", "4", "5", "6", "7", "8", "9"];
     match DIGITS.get(usize::from(number)) {
         Some(digit) => HeaderValue::from_static(digit),
@@ -87,14 +88,14 @@
 
 fn read_deadline(value: Option<&HeaderValue>, longest: Duration) -> Result<Duration> {
     let Some(value) = value else { return Ok(longest) };
-    let asked = read_millis(value).ok_or(RefusalCause::BadRequest)?;
-    if asked.is_zero() {
+    let requested = read_millis(value).ok_or(RefusalCause::BadRequest)?;
+    if requested.is_zero() {
         return Err(RefusalCause::DeadlineTooClose);
     }
-    Ok(asked.min(longest))
+    Ok(requested.min(longest))
 }
 
-fn trusted_number(value: Option<&HeaderValue>) -> Result<Option<u8>> {
+fn read_optional_number(value: Option<&HeaderValue>) -> Result<Option<u8>> {
     let Some(value) = value else { return Ok(None) };
     read_number(value).map(Some).ok_or(RefusalCause::BadRequest)
 }
--- a/crates/pulleyd/src/request/keyed_run.rs
+++ b/crates/pulleyd/src/request/keyed_run.rs
@@ -14,7 +14,7 @@
 use super::ledger_claim::{ClaimRefusal, LedgerClaim};
 use super::protocol_headers::{CAUSE_HEADER, VERDICT_HEADER};
 use super::request_run::RequestRun;
-use super::traffic_counters::RequestSeat;
+use super::traffic_counters::RequestPermit;
 use super::{AnswerBody, BodyFault, SystemAnswer};
 use crate::process::{ClaimRequest, RecordedAnswer};
 
@@ -22,7 +22,7 @@
 type Result<T> = std::result::Result<T, SystemAnswer>;
 
 /// `Retry-After` for a caller whose request has an unknown outcome; it resends the same key.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+const OUTCOME_UNKNOWN_RETRY: Duration = Duration::from_secs(1);
 
 /// The longest recorded content type, in bytes.
 const CONTENT_TYPE_LIMIT: usize = 256;
@@ -33,19 +33,19 @@
 /// nobody would ever know whether the refund was recorded. Run to completion, the request has a
 /// recorded outcome for the resend. It also ensures that a claim granted after the caller has left
 /// is not leaked.
-pub(super) async fn carry_keyed(
+pub(super) async fn run_keyed(
     run: RequestRun,
     request: ClaimRequest,
-    seat: RequestSeat,
+    permit: RequestPermit,
 ) -> Result<Response<AnswerBody>> {
-    let carried = tokio::spawn(complete(run, request, seat)).await;
-    carried.unwrap_or_else(|_| Err(outcome_unknown("task-failed")))
+    let finished = tokio::spawn(claim_and_run(run, request, permit)).await;
+    finished.unwrap_or_else(|_| Err(outcome_unknown("task-failed")))
 }
 
 /// Returns the recorded outcome of an earlier run of the same request.
 pub(super) fn recorded_response(answer: RecordedAnswer) -> Response<AnswerBody> {
     let cause = if answer.body.is_some() { "recorded" } else { "recorded-without-body" };
-    let mut response = Response::new(AnswerBody::whole(answer.body.unwrap_or_default()));
+    let mut response = Response::new(AnswerBody::from_bytes(answer.body.unwrap_or_default()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     let verdict = RequestVerdict::Ran.as_str();
@@ -58,10 +58,10 @@
     response
 }
 
-async fn complete(
+async fn claim_and_run(
     run: RequestRun,
     request: ClaimRequest,
-    seat: RequestSeat,
+    permit: RequestPermit,
 ) -> Result<Response<AnswerBody>> {
     let limit = run.context().limits.recorded_bytes;
     let claim = match LedgerClaim::take(run.context(), request).await {
@@ -75,24 +75,24 @@
     let response = run.run().await?;
     let claim = run.take_claim();
     let (parts, answer) = response.into_parts();
-    let mut body = AnswerBody::upstream(answer, seat);
-    let Ok(start) = AnswerStart::read(&mut body, limit).await else {
+    let mut body = AnswerBody::upstream(answer, permit);
+    let Ok(prefix) = AnswerPrefix::read(&mut body, limit).await else {
         return Err(outcome_unknown("answer-cut-short"));
     };
     if let Some(claim) = claim {
-        claim.record(start.recorded(&parts));
+        claim.record(prefix.recorded(&parts));
     }
-    body.unread(start.frames);
+    body.unread(prefix.frames);
     Ok(Response::from_parts(parts, body))
 }
 
 /// The beginning of a response body, or all of it.
-struct AnswerStart {
+struct AnswerPrefix {
     frames: VecDeque<Frame<Bytes>>,
-    is_whole: bool,
+    is_complete: bool,
 }
 
-impl AnswerStart {
+impl AnswerPrefix {
     async fn read(body: &mut AnswerBody, limit: usize) -> std::result::Result<Self, BodyFault> {
         let mut frames = VecDeque::new();
         let mut length = 0;
@@ -101,10 +101,10 @@
             length += frame.data_ref().map_or(0, Bytes::len);
             frames.push_back(frame);
             if length > limit {
-                return Ok(Self { frames, is_whole: false });
+                return Ok(Self { frames, is_complete: false });
             }
         }
-        Ok(Self { frames, is_whole: true })
+        Ok(Self { frames, is_complete: true })
     }
 
     fn recorded(&self, parts: &Parts) -> RecordedAnswer {
@@ -118,12 +118,12 @@
         RecordedAnswer {
             status: parts.status.as_u16(),
             content_type: content_type.map(str::to_owned),
-            body: self.is_whole.then(|| body.freeze()),
+            body: self.is_complete.then(|| body.freeze()),
         }
     }
 }
 
 fn outcome_unknown(cause: &'static str) -> SystemAnswer {
     let status = StatusCode::BAD_GATEWAY;
-    SystemAnswer::failed(status, RequestVerdict::MayHaveRun, cause, Some(ASK_AGAIN))
+    SystemAnswer::failed(status, RequestVerdict::MayHaveRun, cause, Some(OUTCOME_UNKNOWN_RETRY))
 }
--- a/crates/pulleyd/src/request/ledger_claim.rs
+++ b/crates/pulleyd/src/request/ledger_claim.rs
@@ -25,10 +25,10 @@
 const LEDGER_RETRY: Duration = Duration::from_secs(1);
 
 /// The number of attempts to record an outcome before it is left as unknown.
-const RECORD_TRIES: u32 = 5;
+const RECORD_ATTEMPTS: u32 = 5;
 
 /// The backoff before another attempt to record an outcome; it doubles each time.
-const RECORD_PAUSE: Duration = Duration::from_millis(20);
+const RECORD_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Why a request with a key is not sent.
 #[derive(Debug)]
@@ -57,9 +57,10 @@
 impl LedgerClaim {
     /// Claims a key for a request; the claim is on a quorum's disks before this returns.
     pub(super) async fn take(context: &Arc<TrafficContext>, request: ClaimRequest) -> Result<Self> {
-        let question = request.clone();
-        let asked = context.control.ask(|reply| ControlRequest::Claim(question, reply)).await;
-        match asked {
+        let control_request = request.clone();
+        let claimed =
+            context.control.ask(|reply| ControlRequest::Claim(control_request, reply)).await;
+        match claimed {
             Ok(ClaimAnswer::Granted(token)) => Ok(Self {
                 context: Arc::clone(context),
                 request,
@@ -77,12 +78,12 @@
     }
 
     /// Marks that bytes may be sent from now on.
-    pub(super) fn note_sending(&mut self) {
+    pub(super) fn mark_sending(&mut self) {
         self.may_have_run = true;
     }
 
     /// Marks that no bytes were sent after all.
-    pub(super) fn note_unsent(&mut self) {
+    pub(super) fn mark_unsent(&mut self) {
         self.may_have_run = false;
     }
 
@@ -96,18 +97,18 @@
         let context = Arc::clone(&self.context);
         let (request, token) = (self.request.clone(), self.token);
         spawn(async move {
-            let question =
+            let control_request =
                 |reply| ControlRequest::Record(request.clone(), token, answer.clone(), reply);
-            let mut pause = RECORD_PAUSE;
-            for _ in 0..RECORD_TRIES {
-                match context.control.ask(question).await {
+            let mut backoff = RECORD_BACKOFF;
+            for _ in 0..RECORD_ATTEMPTS {
+                match context.control.ask(control_request).await {
                     Ok(Ok(())) => return,
                     // The ledger has rejected the record; another attempt would be rejected too.
                     Ok(Err(ControlFault::Refused(_))) => break,
                     Ok(Err(_)) | Err(_) => {}
                 }
-                let _ = context.timer.after(pause).await;
-                pause *= 2;
+                let _ = context.timer.after(backoff).await;
+                backoff *= 2;
             }
             TrafficCounters::add(&context.counters.unrecorded);
         });
@@ -117,16 +118,16 @@
         let context = Arc::clone(&self.context);
         let (request, token) = (self.request.clone(), self.token);
         spawn(async move {
-            let question = |reply| ControlRequest::Release(request.clone(), token, reply);
-            let mut pause = RECORD_PAUSE;
-            for _ in 0..RECORD_TRIES {
+            let control_request = |reply| ControlRequest::Release(request.clone(), token, reply);
+            let mut backoff = RECORD_BACKOFF;
+            for _ in 0..RECORD_ATTEMPTS {
                 if let Ok(Ok(()) | Err(ControlFault::Refused(_))) =
-                    context.control.ask(question).await
+                    context.control.ask(control_request).await
                 {
                     return;
                 }
-                let _ = context.timer.after(pause).await;
-                pause *= 2;
+                let _ = context.timer.after(backoff).await;
+                backoff *= 2;
             }
         });
     }
@@ -146,8 +147,8 @@
     let mut values = parts.headers.get_all(KEY_HEADER).iter();
     let Some(value) = values.next() else { return Ok(None) };
     let key = value.to_str().map_err(|_| RefusalCause::BadRequest)?;
-    let is_fit = !key.is_empty() && key.len() <= KEY_LIMIT && values.next().is_none();
-    if is_fit { Ok(Some(key)) } else { Err(RefusalCause::BadRequest) }
+    let is_valid = !key.is_empty() && key.len() <= KEY_LIMIT && values.next().is_none();
+    if is_valid { Ok(Some(key)) } else { Err(RefusalCause::BadRequest) }
 }
 
 /// Builds the ledger's claim request; the digest distinguishes a resend from another use of its
--- a/crates/pulleyd/src/request/load_report.rs
+++ b/crates/pulleyd/src/request/load_report.rs
@@ -37,8 +37,8 @@
         match name.trim() {
             "cpu_utilization" => cpu = Some(number),
             "application_utilization" => application = Some(number),
-            "named_metrics.in_flight" => in_flight = Some(whole(number)),
-            "named_metrics.waiting" => waiting = Some(whole(number)),
+            "named_metrics.in_flight" => in_flight = Some(truncate(number)),
+            "named_metrics.waiting" => waiting = Some(truncate(number)),
             "named_metrics.slowdown" => slowdown = Some(number),
             _ => {}
         }
@@ -53,6 +53,6 @@
     clippy::cast_sign_loss,
     reason = "finite and not negative; a cast of a larger float saturates"
 )]
-fn whole(number: f32) -> u32 {
+fn truncate(number: f32) -> u32 {
     number as u32
 }
--- a/crates/pulleyd/src/request/mod.rs
+++ b/crates/pulleyd/src/request/mod.rs
@@ -1,6 +1,7 @@
 //! The request path, from arrival to response, and the state that requests share.
 
 mod answer_body;
+mod answer_metadata;
 mod arrival_probing;
 mod attempt_fault;
 mod attempt_guard;
@@ -21,7 +22,6 @@
 mod system_answer;
 mod traffic_context;
 mod traffic_counters;
-mod upstream_answer;
 
 pub use answer_body::{AnswerBody, BodyFault};
 pub use attempt_guard::AttemptGuard;
--- a/crates/pulleyd/src/request/request_attempt.rs
+++ b/crates/pulleyd/src/request/request_attempt.rs
@@ -15,10 +15,10 @@
 use pulley_core::{Moment, RefusalCause, RequestVerdict, UpstreamId};
 
 use super::answer_body::{AnswerPacing, UpstreamAnswer};
+use super::answer_metadata::AnswerMetadata;
 use super::arrival_probing::ArrivalProbing;
 use super::attempt_fault::AttemptFault;
 use super::request_run::{RequestRun, SentAttempt};
-use super::upstream_answer::AnswerSigns;
 use super::{AttemptGuard, Placement, RequestBody};
 use crate::connection::{Answering, LinkFault, LinkRequest, Unused, UpstreamLink};
 use crate::process::ControlRequest;
@@ -27,20 +27,20 @@
 pub(super) type Result<T> = std::result::Result<T, AttemptFault>;
 
 /// The number of connections one attempt tries if each was closed before anything was sent.
-const CLOSED_UNSENT_TRIES: u32 = 4;
+const MAX_CONNECTIONS_PER_ATTEMPT: u32 = 4;
 
 /// How long a request waits before it probes again if all probed upstreams were slowed down or
 /// full.
 ///
 /// The load is a burst of requests or a brief slowdown, after which the next slot is free, or the
-/// next upstream fast again, within a part of a response time. The harm is twofold: with a shorter
-/// delay upstreams would give the same answer, and with a longer one free slots would stay idle for
-/// longer. This is the reason for the limit.
-const FULL_PAUSE: Duration = Duration::from_millis(30);
+/// next upstream fast again, within a part of a response time. The reason for the limit: with a
+/// shorter delay upstreams would give the same answer, with a longer one free slots would stay idle
+/// for longer.
+const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// Divides the time in which a request can still meet its target. For that part of it a request
 /// with a large response looks in its own zone only.
-const LARGE_STAYS: u32 = 2;
+const LARGE_OWN_ZONE_DIVISOR: u32 = 2;
 
 /// The upstream chosen for a request.
 struct PlacedRequest {
@@ -56,23 +56,23 @@
         &self,
         mut ticket: RequestTicket,
     ) -> Result<Response<UpstreamAnswer>> {
-        let begun = self.context.clock.now();
+        let started = self.context.clock.now();
         let patience = self.context.schedulers.patience(&self.row().pool, &ticket);
         let placed = loop {
-            let reach = self.reach(begun, patience);
-            let probed = ArrivalProbing::ask(&self.context, self.row(), &ticket, reach).await;
+            let reach = self.reach(started, patience);
+            let probed = ArrivalProbing::probe(&self.context, self.row(), &ticket, reach).await;
             match self.place(&ticket, probed).await {
                 Ok(placed) => break placed,
                 Err(fault) if !self.may_wait(&fault, patience) => return Err(fault),
                 Err(_) => {}
             }
-            let _ = self.context.timer.after(FULL_PAUSE).await;
+            let _ = self.context.timer.after(PLACEMENT_RETRY_DELAY).await;
             // The request's number was released with the refusal. It is still the same request and
             // earns the retry budget nothing more.
             ticket.number = self.context.next_number();
             ticket.attempt = ticket.attempt.max(1);
         };
-        self.carry(&ticket, placed).await
+        self.send_placed(&ticket, placed).await
     }
 
     /// Makes one attempt at one of the probed upstreams.
@@ -82,7 +82,7 @@
         probed: ArrivalProbing,
     ) -> Result<Response<UpstreamAnswer>> {
         let placed = self.place(&ticket, probed).await?;
-        self.carry(&ticket, placed).await
+        self.send_placed(&ticket, placed).await
     }
 
     /// Returns how far a request looks for an upstream at this moment.
@@ -90,25 +90,29 @@
     /// A slowdown in the request's own zone has mostly ended when it probes again, and waiting
     /// costs nothing while the target can be met; another zone costs bytes at once. Large responses
     /// stay in their zone for longer, because their bytes cost many times the rest of the request.
-    fn reach(&self, begun: Moment, patience: Moment) -> ProbeReach {
-        let waited = self.context.clock.now().since(begun);
+    fn reach(&self, started: Moment, patience: Moment) -> ProbeReach {
+        let waited = self.context.clock.now().since(started);
         let is_large = self.row().route.answers == AnswerSize::Large;
-        let stays = if is_large { patience.since(begun) / LARGE_STAYS } else { Duration::ZERO };
-        let is_first = waited < FULL_PAUSE && begun + FULL_PAUSE < patience;
-        if is_first || waited < stays { ProbeReach::OwnZone } else { ProbeReach::EveryZone }
+        let own_zone_time = if is_large {
+            patience.since(started) / LARGE_OWN_ZONE_DIVISOR
+        } else {
+            Duration::ZERO
+        };
+        let is_first = waited < PLACEMENT_RETRY_DELAY && started + PLACEMENT_RETRY_DELAY < patience;
+        if is_first || waited < own_zone_time { ProbeReach::OwnZone } else { ProbeReach::EveryZone }
     }
 
     /// Whether a request that was not placed may probe again a little later.
     fn may_wait(&self, fault: &AttemptFault, patience: Moment) -> bool {
         let is_busy = fault.answer.cause == RefusalCause::PoolBusy.as_str();
-        is_busy && self.context.clock.now() + FULL_PAUSE < patience
+        is_busy && self.context.clock.now() + PLACEMENT_RETRY_DELAY < patience
     }
 
     async fn place(&self, ticket: &RequestTicket, probed: ArrivalProbing) -> Result<PlacedRequest> {
         let pool = &self.row().pool;
-        match self.context.schedulers.place(pool, ticket, probed.asked()).await {
+        match self.context.schedulers.place(pool, ticket, probed.placement_readings()).await {
             Placement::Start { upstream, address } => {
-                self.note_reading(&upstream, &probed.readings);
+                self.record_reading(&upstream, &probed.readings);
                 let link = probed.into_link(&upstream);
                 Ok(PlacedRequest { upstream, address, link })
             }
@@ -119,7 +123,7 @@
         }
     }
 
-    async fn carry(
+    async fn send_placed(
         &self,
         ticket: &RequestTicket,
         placed: PlacedRequest,
@@ -127,7 +131,7 @@
         let schedulers = Arc::clone(&self.context.schedulers);
         let mut attempt = AttemptGuard::new(schedulers, self.row().pool.clone(), ticket.number);
         let upstream = placed.upstream.clone();
-        self.note_tried(&upstream);
+        self.record_tried(&upstream);
         let (mut response, link) = match self.send(placed).await {
             Ok(sent) => sent,
             Err(fault) => {
@@ -135,22 +139,23 @@
                 return Err(fault);
             }
         };
-        if !self.is_own_answer(&response) {
+        if !self.is_genuine_answer(&response) {
             attempt.settle(AttemptOutcome::Broken);
             return Err(AttemptFault::untrusted("foreign-answer", AttemptOutcome::Broken));
         }
-        let signs = AnswerSigns::take(&mut response, &self.context.dialect, &self.context.counters);
-        attempt.note_report(signs.report);
-        if signs.is_draining {
+        let metadata =
+            AnswerMetadata::take(&mut response, &self.context.dialect, &self.context.counters);
+        attempt.set_report(metadata.report);
+        if metadata.is_draining {
             self.observe_drain(&upstream);
         }
-        if signs.is_empty_promise {
+        if metadata.is_unconfirmed_not_run {
             attempt.settle(AttemptOutcome::Failed);
             return Err(AttemptFault::untrusted("upstream-failed", AttemptOutcome::Failed));
         }
-        if signs.has_shed {
+        if metadata.is_shed {
             attempt.settle(AttemptOutcome::Shed);
-            return Err(AttemptFault::shed(&signs));
+            return Err(AttemptFault::shed(&metadata));
         }
         Ok(self.answer(response, link, attempt))
     }
@@ -163,15 +168,15 @@
         &self,
         placed: PlacedRequest,
     ) -> Result<(Response<Incoming>, UpstreamLink<Answering>)> {
-        let PlacedRequest { upstream, address, link: mut proven } = placed;
+        let PlacedRequest { upstream, address, link: mut probed } = placed;
         let request = LinkRequest {
             upstream: &upstream,
             address,
             safety: self.safety(),
             deadline: self.terms.deadline,
         };
-        for _ in 0..CLOSED_UNSENT_TRIES {
-            let link = match proven.take() {
+        for _ in 0..MAX_CONNECTIONS_PER_ATTEMPT {
+            let link = match probed.take() {
                 Some(link) => link,
                 None => {
                     let link = self.context.connections.checkout(request).await;
@@ -181,7 +186,7 @@
             match self.send_over(&upstream, link).await {
                 Ok(Err(LinkFault::ClosedUnsent)) if self.body.can_restart() => {}
                 Ok(sent) => return sent.map_err(|fault| self.link_fault(&fault)),
-                Err(time_up) => return Err(time_up),
+                Err(timed_out) => return Err(timed_out),
             }
         }
         Err(self.link_fault(&LinkFault::ClosedUnsent))
@@ -195,23 +200,23 @@
     ) -> Result<std::result::Result<(Response<Incoming>, UpstreamLink<Answering>), LinkFault>> {
         let request = self.upstream_request(upstream);
         let (meter, record) = (link.meter(), link.send_record());
-        self.note_sending(SentAttempt { at: self.context.clock.now(), record: record.clone() });
+        self.record_sending(SentAttempt { at: self.context.clock.now(), record: record.clone() });
         let sending = pin!(link.send(request));
         let timer = self.context.timer.clone();
         if let Some(sent) = timer.limit(self.terms.deadline, sending).await {
             return Ok(sent);
         }
         record.suspect();
-        let has_left = meter.seal();
-        let verdict = if has_left { RequestVerdict::MayHaveRun } else { RequestVerdict::NotRun };
-        Err(AttemptFault::time_up(verdict))
+        let has_sent = meter.seal();
+        let verdict = if has_sent { RequestVerdict::MayHaveRun } else { RequestVerdict::NotRun };
+        Err(AttemptFault::timed_out(verdict))
     }
 
     fn upstream_request(&self, upstream: &UpstreamId) -> Request<RequestBody> {
         let mut headers = self.parts.headers.clone();
         let dialect = &self.context.dialect;
-        self.terms.write(self.context.clock.now(), self.earlier(), dialect, &mut headers);
-        self.name_upstream(upstream, &mut headers);
+        self.terms.write(self.context.clock.now(), self.earlier_attempts(), dialect, &mut headers);
+        self.set_expected_upstream(upstream, &mut headers);
         let mut request = Request::new(self.body.restart());
         let path = self.parts.uri.path_and_query().cloned();
         *request.method_mut() = self.parts.method.clone();
@@ -223,7 +228,7 @@
 
     /// Sets the id of the intended upstream if upstreams check it. Its address may have been
     /// reassigned to an upstream of another service, which must not run the request.
-    fn name_upstream(&self, upstream: &UpstreamId, headers: &mut HeaderMap) {
+    fn set_expected_upstream(&self, upstream: &UpstreamId, headers: &mut HeaderMap) {
         let Some(name) = &self.context.dialect.expected_upstream else { return };
         match HeaderValue::from_str(upstream.as_str()) {
             Ok(id) => drop(headers.insert(name, id)),
@@ -237,12 +242,12 @@
     /// would receive it: a caller would see another caller's policy. The request id that the
     /// upstream repeats distinguishes the two. A success without proof was not produced by the
     /// upstream.
-    fn is_own_answer(&self, response: &Response<Incoming>) -> bool {
+    fn is_genuine_answer(&self, response: &Response<Incoming>) -> bool {
         let dialect = &self.context.dialect;
         let name = &dialect.request_id;
         if dialect.echoes_id
-            && let Some(asked) = self.parts.headers.get(name)
-            && response.headers().get(name) != Some(asked)
+            && let Some(sent_id) = self.parts.headers.get(name)
+            && response.headers().get(name) != Some(sent_id)
         {
             return false;
         }
@@ -270,9 +275,9 @@
     }
 
     fn link_fault(&self, fault: &LinkFault) -> AttemptFault {
-        match self.body.caller_broke() {
-            true => AttemptFault::caller_broke(fault.verdict()),
-            false => AttemptFault::of_link(fault),
+        match self.body.caller_aborted() {
+            true => AttemptFault::caller_aborted(fault.verdict()),
+            false => AttemptFault::from_link(fault),
         }
     }
 
--- a/crates/pulleyd/src/request/request_body.rs
+++ b/crates/pulleyd/src/request/request_body.rs
@@ -20,10 +20,10 @@
 pub enum RequestFault {
     /// The caller's connection failed or was closed.
     #[error("the caller's body was cut short: {0}")]
-    CallerBroke(#[from] hyper::Error),
+    CallerAborted(#[from] hyper::Error),
     /// A later attempt has taken over the body.
-    #[error("the attempt was given up")]
-    GivenUp,
+    #[error("a later attempt has taken over the body")]
+    Superseded,
     /// The body is larger than a request with an idempotency key may have.
     #[error("the body is too large for a request with an idempotency key")]
     TooLarge,
@@ -46,7 +46,7 @@
     limit: usize,
     /// Whether all frames read so far were kept.
     is_complete: bool,
-    caller_broke: bool,
+    caller_aborted: bool,
     /// The attempt that may read; earlier ones get `Superseded`, otherwise they would take frames
     /// away.
     attempt: u32,
@@ -71,7 +71,7 @@
             kept_bytes: 0,
             limit,
             is_complete: true,
-            caller_broke: false,
+            caller_aborted: false,
             attempt: 0,
         };
         Self { state: Some(Arc::new(Mutex::new(state))) }
@@ -99,7 +99,7 @@
             kept_bytes,
             limit,
             is_complete: true,
-            caller_broke: false,
+            caller_aborted: false,
             attempt: 0,
         };
         Ok((Self { state: Some(Arc::new(Mutex::new(state))) }, data))
@@ -123,14 +123,14 @@
     pub fn can_restart(&self) -> bool {
         self.state.as_ref().is_none_or(|state| {
             let state = state.lock();
-            state.is_complete && !state.caller_broke
+            state.is_complete && !state.caller_aborted
         })
     }
 
     /// Whether the caller aborted its body.
     #[must_use]
-    pub fn caller_broke(&self) -> bool {
-        self.state.as_ref().is_some_and(|state| state.lock().caller_broke)
+    pub fn caller_aborted(&self) -> bool {
+        self.state.as_ref().is_some_and(|state| state.lock().caller_aborted)
     }
 }
 
@@ -184,7 +184,7 @@
     fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>>>> {
         let mut state = self.state.lock();
         if state.attempt != self.attempt {
-            return Poll::Ready(Some(Err(RequestFault::GivenUp)));
+            return Poll::Ready(Some(Err(RequestFault::Superseded)));
         }
         if let Some(kept) = state.kept.get(self.position) {
             let frame = kept.clone().into();
@@ -213,7 +213,7 @@
                 Poll::Ready(Some(Ok(frame.into())))
             }
             Some(Err(fault)) => {
-                self.caller_broke = true;
+                self.caller_aborted = true;
                 Poll::Ready(Some(Err(fault.into())))
             }
         }
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -21,11 +21,11 @@
 use tower::Service;
 
 use super::call_terms::CallTerms;
-use super::keyed_run::carry_keyed;
+use super::keyed_run::run_keyed;
 use super::ledger_claim::{claim_request, read_key};
 use super::request_headers::{body_bytes, header_bytes, is_ambiguous, read_millis};
 use super::request_run::{PlannedKind, RequestRun};
-use super::traffic_counters::RequestSeat;
+use super::traffic_counters::RequestPermit;
 use super::{AnswerBody, BodySource, RequestFault, SystemAnswer, TrafficContext, TrafficCounters};
 use crate::process::{HostReadiness, RunningView};
 
@@ -37,14 +37,14 @@
     Pin<Box<dyn Future<Output = std::result::Result<Response<AnswerBody>, Infallible>> + Send>>;
 
 /// `Retry-After` of a host at its request limit.
-const HOST_RETRY: Duration = Duration::from_secs(1);
+const HOST_FULL_RETRY: Duration = Duration::from_secs(1);
 
 /// `Retry-After` of a host that lacks the newest configuration. The configuration is on its way,
 /// and a caller with a second left waits no longer than a third of it.
 const BEHIND_RETRY: Duration = Duration::from_millis(200);
 
 /// The interval at which a request that waits for its host to become ready checks again.
-const START_LOOK: Duration = Duration::from_millis(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The service that handles requests; each caller connection has its own clone.
 ///
@@ -121,7 +121,7 @@
         };
         let forwarder = self.clone();
         Box::pin(async move {
-            forwarder.wait_for_start(&request, wait).await;
+            forwarder.wait_until_ready(&request, wait).await;
             forwarder.forward_now(request, arrived).await
         })
     }
@@ -132,28 +132,28 @@
         let uptime = self.context.clock.now().since(Moment::ZERO);
         let dialect = &self.context.dialect;
         let left = request.headers().get(&dialect.deadline).and_then(read_millis);
-        start_wait(uptime, left).filter(|_| !self.refuses_all && !self.is_settled(request))
+        start_wait(uptime, left).filter(|_| !self.refuses_all && !self.can_decide(request))
     }
 
     /// Waits until the request can be placed here or its wait has ended. It holds a permit
     /// meanwhile, so that waiting requests count against the limit of the process.
-    async fn wait_for_start(&self, request: &Request<Incoming>, wait: Duration) {
-        let Ok(seat) = self.enter() else { return };
+    async fn wait_until_ready(&self, request: &Request<Incoming>, wait: Duration) {
+        let Ok(permit) = self.acquire_permit() else { return };
         let until = self.context.clock.now() + wait;
-        while self.context.clock.now() < until && !self.is_settled(request) {
-            let _ = self.context.timer.after(START_LOOK).await;
+        while self.context.clock.now() < until && !self.can_decide(request) {
+            let _ = self.context.timer.after(READY_POLL_INTERVAL).await;
         }
-        drop(seat);
+        drop(permit);
     }
 
     /// Whether this host knows the request's row and an upstream for it, or knows that it has none.
-    fn is_settled(&self, request: &Request<Incoming>) -> bool {
+    fn can_decide(&self, request: &Request<Incoming>) -> bool {
         if matches!(self.context.view.readiness(), HostReadiness::NotReady { .. }) {
             return false;
         }
         let view = self.context.view.load();
         let method = request.method().as_str();
-        let host = named_host(request.uri(), request.headers());
+        let host = requested_host(request.uri(), request.headers());
         let found = view.plan.find(host, method, request.uri().path(), rand::random());
         let Some((_, row)) = found else { return view.awaited.is_none() };
         let upstreams = view.upstreams.get(&row.pool);
@@ -166,19 +166,19 @@
     /// Refusals that need no waiting are decided before a future is created.
     fn forward_now(&self, request: Request<Incoming>, arrived: Moment) -> ForwardFuture {
         let id = self.context.dialect.id_of(request.headers());
-        match self.take_up(request, arrived) {
+        match self.accept(request, arrived) {
             Ok(future) => future,
             Err(answer) => {
-                let held = self.context.clock.now().since(arrived);
-                let asked = RefusedRequest { id, held, ..RefusedRequest::default() };
-                Box::pin(ready(Ok(refuse(&self.context, &asked, answer, self.refuses_all))))
+                let elapsed = self.context.clock.now().since(arrived);
+                let refused = RefusedRequest { id, elapsed, ..RefusedRequest::default() };
+                Box::pin(ready(Ok(refuse(&self.context, &refused, answer, self.refuses_all))))
             }
         }
     }
 
-    fn take_up(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
+    fn accept(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
         self.arrival.note();
-        let seat = self.enter()?;
+        let permit = self.acquire_permit()?;
         let admitted = self.admit(request, arrived)?;
         let row = admitted.kind.row();
         let key = match read_key(&admitted.parts) {
@@ -189,16 +189,16 @@
         let Some(key) = key else {
             let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
             let body = BodySource::new(body, context.limits.replay_bytes);
-            let run = RequestRun::new(context, parts, body, kind, terms).begun_at(arrived);
+            let run = RequestRun::new(context, parts, body, kind, terms).arrived_at(arrived);
             let run = Box::new(run);
-            return Ok(Box::pin(carry_plain(run, seat)));
+            return Ok(Box::pin(forward_unkeyed(run, permit)));
         };
         Ok(Box::pin(async move {
             let kind = admitted.kind.clone();
             let id = context.dialect.id_of(&admitted.parts.headers);
-            let carried = carry_once(&context, admitted, seat, &key).await;
-            let asked = RefusedRequest { id, row: Some(kind.row()), ..RefusedRequest::default() };
-            Ok(carried.unwrap_or_else(|answer| refuse(&context, &asked, answer, false)))
+            let forwarded = forward_keyed(&context, admitted, permit, &key).await;
+            let refused = RefusedRequest { id, row: Some(kind.row()), ..RefusedRequest::default() };
+            Ok(forwarded.unwrap_or_else(|answer| refuse(&context, &refused, answer, false)))
         }))
     }
 
@@ -207,10 +207,10 @@
     /// The load is a burst beyond what memory can hold. The harm is that each further request would
     /// slow down all others until the process is killed with them. The reason for the limit is that
     /// a refused caller can go to another host at once, because nothing has run.
-    fn enter(&self) -> Result<RequestSeat> {
+    fn acquire_permit(&self) -> Result<RequestPermit> {
         let limit = if self.refuses_all { 0 } else { self.context.limits.requests };
-        let seat = self.context.counters.enter(limit);
-        seat.ok_or_else(|| SystemAnswer::refused(RefusalCause::HostFull, Some(HOST_RETRY)))
+        let permit = self.context.counters.acquire_permit(limit);
+        permit.ok_or_else(|| SystemAnswer::refused(RefusalCause::HostFull, Some(HOST_FULL_RETRY)))
     }
 
     fn check_readiness(&self) -> Result<()> {
@@ -235,7 +235,7 @@
         if is_ambiguous(&parts) {
             return Err(SystemAnswer::refused(RefusalCause::BadRequest, None));
         }
-        let (host, path) = (named_host(&parts.uri, &parts.headers), parts.uri.path());
+        let (host, path) = (requested_host(&parts.uri, &parts.headers), parts.uri.path());
         let found = view.plan.find(host, parts.method.as_str(), path, rand::random());
         let Some((kind, row)) = found else {
             let denial = SystemAnswer::refused(RefusalCause::NoSuchKind, None);
@@ -286,27 +286,27 @@
 }
 
 /// Returns the host name that a request is for; empty if it names none.
-fn named_host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> &'a str {
+fn requested_host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> &'a str {
     let authority = uri.authority().map(|authority| authority.as_str());
     let header = || headers.get(HOST).and_then(|value| value.to_str().ok());
     authority.or_else(header).unwrap_or_default()
 }
 
-async fn carry_plain(
+async fn forward_unkeyed(
     mut run: Box<RequestRun>,
-    seat: RequestSeat,
+    permit: RequestPermit,
 ) -> std::result::Result<Response<AnswerBody>, Infallible> {
     match run.run().await {
-        Ok(response) => Ok(response.map(|answer| AnswerBody::upstream(answer, seat))),
+        Ok(response) => Ok(response.map(|answer| AnswerBody::upstream(answer, permit))),
         Err(answer) => {
-            let asked = RefusedRequest {
+            let refused = RefusedRequest {
                 id: run.id().map(SmolStr::new),
                 row: Some(run.row()),
                 attempts: run.attempts(),
                 upstream: run.last_tried(),
-                held: run.held(),
+                elapsed: run.elapsed(),
             };
-            Ok(refuse(run.context(), &asked, answer, false))
+            Ok(refuse(run.context(), &refused, answer, false))
         }
     }
 }
@@ -315,10 +315,10 @@
 ///
 /// The claim precedes the queue: a resend of a request that ran gets its recorded outcome even
 /// while the pool is full, and no slot stays idle while a quorum syncs.
-async fn carry_once(
+async fn forward_keyed(
     context: &Arc<TrafficContext>,
     admitted: AdmittedRequest,
-    seat: RequestSeat,
+    permit: RequestPermit,
     key: &str,
 ) -> Result<Response<AnswerBody>> {
     let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
@@ -326,12 +326,12 @@
     let gathered = context.timer.limit(terms.deadline, gathering).await;
     let (body, data) = match gathered {
         Some(Ok(gathered)) => gathered,
-        Some(Err(fault)) => return Err(ungathered(&fault)),
+        Some(Err(fault)) => return Err(gather_fault_answer(&fault)),
         None => return Err(SystemAnswer::refused(RefusalCause::DeadlineTooClose, None)),
     };
     let request = claim_request(kind.row(), key, &parts, &data);
-    let run = RequestRun::new(Arc::clone(context), parts, body, kind, terms).begun_at(arrived);
-    carry_keyed(run, request, seat).await
+    let run = RequestRun::new(Arc::clone(context), parts, body, kind, terms).arrived_at(arrived);
+    run_keyed(run, request, permit).await
 }
 
 /// What is known of a request that the system answers itself, for logs and metrics.
@@ -344,18 +344,18 @@
     /// The upstream tried last.
     upstream: Option<UpstreamId>,
     /// How long the request was held.
-    held: Duration,
+    elapsed: Duration,
 }
 
 fn refuse(
     context: &TrafficContext,
-    asked: &RefusedRequest<'_>,
+    refused: &RefusedRequest<'_>,
     answer: SystemAnswer,
-    is_last: bool,
+    closes_connection: bool,
 ) -> Response<AnswerBody> {
     let counters = &context.counters;
     if let Some(metrics) = &context.metrics {
-        metrics.record_refusal(asked.row, answer.cause, answer.verdict);
+        metrics.record_refusal(refused.row, answer.cause, answer.verdict);
     }
     match answer.verdict {
         RequestVerdict::NotRun => TrafficCounters::add(&counters.refused),
@@ -364,15 +364,15 @@
     }
     let view = context.view.load();
     let mut response = answer.into_response(&context.dialect);
-    info!(context.logger, "request-refused"; "id" => asked.id.as_deref(),
-        "kind" => asked.row.map(|row| row.kind.to_string()),
+    info!(context.logger, "request-refused"; "id" => refused.id.as_deref(),
+        "kind" => refused.row.map(|row| row.kind.to_string()),
         "status" => response.status().as_u16(), "cause" => answer.cause,
-        "verdict" => %answer.verdict, "attempts" => asked.attempts,
-        "upstream" => asked.upstream.as_ref().map(ToString::to_string),
-        "held_ms" => u64::try_from(asked.held.as_millis()).unwrap_or(u64::MAX),
+        "verdict" => %answer.verdict, "attempts" => refused.attempts,
+        "upstream" => refused.upstream.as_ref().map(ToString::to_string),
+        "held_ms" => u64::try_from(refused.elapsed.as_millis()).unwrap_or(u64::MAX),
         "config" => view.version.0, "awaited" => view.awaited.map(|version| version.0),
         "retry_after_ms" => answer.retry_after.map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)));
-    if is_last {
+    if closes_connection {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -403,13 +403,13 @@
     }
 }
 
-fn ungathered(fault: &RequestFault) -> SystemAnswer {
+fn gather_fault_answer(fault: &RequestFault) -> SystemAnswer {
     match fault {
         RequestFault::TooLarge => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             SystemAnswer::failed(status, RequestVerdict::NotRun, "body-too-large", None)
         }
-        RequestFault::CallerBroke(_) | RequestFault::GivenUp => {
+        RequestFault::CallerAborted(_) | RequestFault::Superseded => {
             SystemAnswer::refused(RefusalCause::BadRequest, None)
         }
     }
--- a/crates/pulleyd/src/request/request_headers.rs
+++ b/crates/pulleyd/src/request/request_headers.rs
@@ -37,7 +37,7 @@
 }
 
 /// Removes the system's own headers, so that neither side can impersonate the system to the other.
-pub(super) fn strip_own(headers: &mut HeaderMap) {
+pub(super) fn strip_own_headers(headers: &mut HeaderMap) {
     let own: Vec<_> =
         headers.keys().filter(|name| name.as_str().starts_with(OWN_PREFIX)).cloned().collect();
     for name in own {
@@ -46,7 +46,7 @@
 }
 
 /// Whether the caller accepts trailers.
-pub(super) fn takes_trailers(headers: &HeaderMap) -> bool {
+pub(super) fn accepts_trailers(headers: &HeaderMap) -> bool {
     let values = headers.get_all(TE).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|coding| coding.trim() == "trailers")
 }
@@ -109,11 +109,11 @@
     if !path.contains(['.', '%', '\\']) {
         return false;
     }
-    let plain = path
+    let decoded = path
         .to_ascii_lowercase()
         .replace("%2e", ".")
         .replace("%2f", "/")
         .replace("%5c", "/")
         .replace('\\', "/");
-    plain.split('/').any(|segment| segment == "." || segment == "..")
+    decoded.split('/').any(|segment| segment == "." || segment == "..")
 }
--- a/crates/pulleyd/src/request/request_run.rs
+++ b/crates/pulleyd/src/request/request_run.rs
@@ -23,19 +23,19 @@
 use super::call_terms::CallTerms;
 use super::ledger_claim::LedgerClaim;
 use super::request_attempt::Result;
-use super::request_headers::{strip_hop_by_hop, strip_own, takes_trailers};
+use super::request_headers::{accepts_trailers, strip_hop_by_hop, strip_own_headers};
 use super::{BodySource, SystemAnswer, TrafficContext, TrafficCounters};
 use crate::connection::SendRecord;
 
 /// The least time another attempt needs: a round trip between two zones, a connection and a short
 /// response.
-const TYPICAL_ANSWER: Duration = Duration::from_millis(5);
+const MIN_RETRY_TIME: Duration = Duration::from_millis(5);
 
 /// The least time the first attempt of an idempotent request gets before another is made.
-const SHORTEST_ATTEMPT: Duration = Duration::from_millis(50);
+const MIN_FIRST_ATTEMPT: Duration = Duration::from_millis(50);
 
 /// Divides the time left; a second attempt is considered after the resulting part.
-const SECOND_PART: u32 = 2;
+const FIRST_ATTEMPT_DIVISOR: u32 = 2;
 
 /// A request's kind in the plan that was in force when the request arrived.
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
     /// The worst verdict of all attempts so far.
     verdict: RequestVerdict,
     /// When the request arrived.
-    begun: Moment,
+    arrived: Moment,
 }
 
 impl RequestRun {
@@ -101,7 +101,7 @@
         terms: CallTerms,
     ) -> Self {
         prepare_headers(&mut parts);
-        let begun = context.clock.now();
+        let arrived = context.clock.now();
         Self {
             context,
             parts,
@@ -111,13 +111,13 @@
             progress: Mutex::default(),
             attempts: AtomicU8::new(0),
             verdict: RequestVerdict::NotRun,
-            begun,
+            arrived,
         }
     }
 
     /// Sets when the request arrived; its target and the time it is held count from then on.
-    pub(super) const fn begun_at(mut self, arrived: Moment) -> Self {
-        self.begun = arrived;
+    pub(super) const fn arrived_at(mut self, arrived: Moment) -> Self {
+        self.arrived = arrived;
         self
     }
 
@@ -154,34 +154,34 @@
                 }
                 Err(fault) => fault,
             };
-            self.note_fault(&fault);
-            if !self.retries(&fault) {
-                return Err(self.conclude(&fault));
+            self.record_fault(&fault);
+            if !self.should_retry(&fault) {
+                return Err(self.final_answer(&fault));
             }
         }
     }
 
     // ---------------------------------------------------------------------------------------------
-    // Recording of attempts
+    // Progress of attempts
 
     /// Returns the number of attempts before the one under way.
-    pub(super) fn earlier(&self) -> u8 {
+    pub(super) fn earlier_attempts(&self) -> u8 {
         self.attempts.load(Ordering::Relaxed).saturating_sub(1)
     }
 
-    pub(super) fn note_tried(&self, upstream: &UpstreamId) {
+    pub(super) fn record_tried(&self, upstream: &UpstreamId) {
         self.progress.lock().tried.push(upstream.clone());
     }
 
-    pub(super) fn note_reading(&self, upstream: &UpstreamId, readings: &[ProbeReading]) {
+    pub(super) fn record_reading(&self, upstream: &UpstreamId, readings: &[ProbeReading]) {
         let reading = readings.iter().find(|reading| reading.upstream == *upstream);
         self.progress.lock().reading = reading.cloned();
     }
 
-    pub(super) fn note_sending(&self, sent: SentAttempt) {
+    pub(super) fn record_sending(&self, sent: SentAttempt) {
         let mut progress = self.progress.lock();
         if let Some(claim) = &mut progress.claim {
-            claim.note_sending();
+            claim.mark_sending();
         }
         progress.sent = Some(sent);
     }
@@ -196,12 +196,12 @@
     /// spent the time. The first response to arrive is passed on.
     async fn try_once(&self) -> Result<Response<UpstreamAnswer>> {
         let first = self.attempt(self.ticket(1)?);
-        let Some(at) = self.second_at() else { return first.await };
+        let Some(at) = self.second_attempt_at() else { return first.await };
         let mut first = pin!(first);
         if let Some(done) = self.context.timer.limit(at, first.as_mut()).await {
             return done;
         }
-        self.suspect_silence();
+        self.suspect_idle_connections();
         let second = pin!(self.second_attempt());
         match select(first, second).await {
             Either::Left((Err(fault), second)) => second.await.unwrap_or(Err(fault)),
@@ -215,11 +215,13 @@
     async fn second_attempt(&self) -> Option<Result<Response<UpstreamAnswer>>> {
         let ticket = self.ticket(0).ok()?;
         let probed =
-            ArrivalProbing::ask(&self.context, self.row(), &ticket, ProbeReach::EveryZone).await;
+            ArrivalProbing::probe(&self.context, self.row(), &ticket, ProbeReach::EveryZone).await;
         let pool = &self.row().pool;
         let is_slow = !probed.readings.is_empty()
             && !self.context.schedulers.is_soon(pool, &ticket, &probed.readings);
-        if is_slow || !self.is_granted(AttemptOutcome::Broken, RequestVerdict::MayHaveRun, false) {
+        if is_slow
+            || !self.try_grant_retry(AttemptOutcome::Broken, RequestVerdict::MayHaveRun, false)
+        {
             probed.give_back();
             return None;
         }
@@ -237,7 +239,7 @@
             number: self.context.next_number(),
             kind,
             deadline: self.terms.deadline,
-            target: self.row().route.target.map(|target| self.begun + target),
+            target: self.row().route.target.map(|target| self.arrived + target),
             attempt: before,
             avoid: self.progress.lock().tried.clone(),
         })
@@ -249,25 +251,25 @@
     /// have gone silent or the upstream's machine may have slowed down, and another upstream can
     /// still answer in time. Long work, and work that may be sent only once, waits until its
     /// deadline.
-    fn second_at(&self) -> Option<Moment> {
+    fn second_attempt_at(&self) -> Option<Moment> {
         let row = self.row();
-        let could_follow = row.idempotent
-            && self.earlier() == 0
+        let allows_second = row.idempotent
+            && self.earlier_attempts() == 0
             && row.route.attempts > 1
             && self.terms.earlier_attempts == 0
             && row.length == WorkLength::Short;
-        if !could_follow {
+        if !allows_second {
             return None;
         }
         let now = self.context.clock.now();
         let left = self.terms.deadline.since(now);
-        let at = now + (left / SECOND_PART).max(SHORTEST_ATTEMPT);
+        let at = now + (left / FIRST_ATTEMPT_DIVISOR).max(MIN_FIRST_ATTEMPT);
         Some(at).filter(|at| *at < self.terms.deadline)
     }
 
     /// Closes idle connections that have not answered since the attempt under way was sent: they
     /// may have gone silent together with that attempt's connection.
-    fn suspect_silence(&self) {
+    fn suspect_idle_connections(&self) {
         let sent = self.progress.lock().sent.clone();
         if let Some(sent) = sent {
             sent.record.suspect();
@@ -282,9 +284,9 @@
     fn record_answer(&self, status: StatusCode) {
         let now = self.context.clock.now();
         let progress = self.progress.lock();
-        let sent = progress.sent.as_ref().map_or(self.begun, |sent| sent.at);
+        let sent = progress.sent.as_ref().map_or(self.arrived, |sent| sent.at);
         let upstream = now.since(sent);
-        let added = now.since(self.begun).saturating_sub(upstream);
+        let added = now.since(self.arrived).saturating_sub(upstream);
         let report = progress.reading.as_ref().map(|reading| reading.report);
         info!(self.context.logger, "request-answered"; "id" => self.id(),
             "kind" => %self.row().kind, "status" => status.as_u16(),
@@ -316,16 +318,16 @@
     }
 
     /// Returns how long the request has been held.
-    pub(super) fn held(&self) -> Duration {
-        self.context.clock.now().since(self.begun)
+    pub(super) fn elapsed(&self) -> Duration {
+        self.context.clock.now().since(self.arrived)
     }
 
-    fn note_fault(&mut self, fault: &AttemptFault) {
+    fn record_fault(&mut self, fault: &AttemptFault) {
         let progress = self.progress.get_mut();
         if fault.answer.verdict == RequestVerdict::MayHaveRun {
             self.verdict = RequestVerdict::MayHaveRun;
         } else if let Some(claim) = &mut progress.claim {
-            claim.note_unsent();
+            claim.mark_unsent();
         }
         let upstream = progress.tried.last().map(ToString::to_string);
         info!(self.context.logger, "attempt-failed"; "id" => self.id(),
@@ -334,9 +336,9 @@
             "upstream" => upstream);
     }
 
-    fn retries(&self, fault: &AttemptFault) -> bool {
-        let is_other_layers = self.terms.earlier_attempts > 0;
-        if !fault.may_repeat || is_other_layers || !self.body.can_restart() {
+    fn should_retry(&self, fault: &AttemptFault) -> bool {
+        let is_retried_by_caller = self.terms.earlier_attempts > 0;
+        if !fault.is_retryable || is_retried_by_caller || !self.body.can_restart() {
             return false;
         }
         // A cancelled attempt does not count against the upstream, but the retry decision treats it
@@ -345,10 +347,10 @@
             AttemptOutcome::Cancelled => AttemptOutcome::Unreachable,
             outcome => outcome,
         };
-        self.is_granted(outcome, self.verdict, fault.retried_below)
+        self.try_grant_retry(outcome, self.verdict, fault.retried_below)
     }
 
-    fn is_granted(
+    fn try_grant_retry(
         &self,
         outcome: AttemptOutcome,
         verdict: RequestVerdict,
@@ -361,11 +363,11 @@
             outcome,
             verdict,
             idempotent: self.row().idempotent,
-            attempt: self.earlier(),
+            attempt: self.earlier_attempts(),
             retried_below,
             most_attempts: self.row().route.attempts,
             left: self.terms.deadline.since(self.context.clock.now()),
-            typical: TYPICAL_ANSWER,
+            typical: MIN_RETRY_TIME,
         };
         let decision = self.context.schedulers.decide_retry(&self.row().pool, &question);
         let counters = &self.context.counters;
@@ -377,7 +379,7 @@
     }
 
     /// Builds the final answer: that of the last attempt, with the worst verdict of all attempts.
-    fn conclude(&self, fault: &AttemptFault) -> SystemAnswer {
+    fn final_answer(&self, fault: &AttemptFault) -> SystemAnswer {
         SystemAnswer { verdict: self.verdict, ..fault.answer }
     }
 }
@@ -389,9 +391,9 @@
 /// Turns a caller's headers into those of a request of this system.
 fn prepare_headers(parts: &mut Parts) {
     let headers = &mut parts.headers;
-    let trailers = takes_trailers(headers);
+    let trailers = accepts_trailers(headers);
     strip_hop_by_hop(headers);
-    strip_own(headers);
+    strip_own_headers(headers);
     headers.remove(EXPECT);
     if trailers {
         headers.insert(TE, HeaderValue::from_static("trailers"));
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -120,7 +120,7 @@
                 cell.state.lock().retries.share(allowance, view.live_entries);
             }
             let upstreams = view.upstreams.get(pool).cloned().unwrap_or_default();
-            let rate = self.part_of_probes(upstreams.len(), view.live_entries);
+            let rate = self.probe_share(upstreams.len(), view.live_entries);
             {
                 let mut state = cell.state.lock();
                 state.scheduler.set_probe_rate(rate);
@@ -139,13 +139,13 @@
     /// Dropping the future removes the request from the queue and releases a slot that was granted
     /// meanwhile.
     ///
-    /// `asked` holds the load reports of the upstreams probed for this request; `None` places it by
-    /// counts.
+    /// `readings` holds the load reports of the upstreams probed for this request; `None` places it
+    /// by counts.
     pub async fn place(
         &self,
         pool: &PoolName,
         ticket: &RequestTicket,
-        asked: Option<&[ProbeReading]>,
+        readings: Option<&[ProbeReading]>,
     ) -> Placement {
         let Some(cell) = self.cell(pool) else {
             let cause = RefusalCause::NoUpstream;
@@ -157,12 +157,12 @@
                 state.retries.note_request();
             }
             let now = self.clock.now();
-            let mut effects = match asked {
+            let mut effects = match readings {
                 None => state.scheduler.arrive(now, ticket),
                 Some(readings) => state.scheduler.arrive_probed(now, ticket, readings),
             };
             // Most requests are decided at once and need no queue.
-            if let Some(placement) = take_sole(&mut effects, ticket.number) {
+            if let Some(placement) = take_only_decision(&mut effects, ticket.number) {
                 return placement;
             }
             let (sender, receiver) = oneshot::channel();
@@ -171,7 +171,7 @@
         };
         let mut waiter = QueuedRequest { set: self, cell: &cell, number: ticket.number, receiver };
         self.deliver(&cell, effects);
-        waiter.settle().await
+        waiter.wait().await
     }
 
     /// Returns the index of a request's kind in the plan that its pool uses now, if it has one.
@@ -253,9 +253,9 @@
     /// Returns this entry's part of a pool's probe rate. It uses four fifths of its due part,
     /// because other entries may not know yet how many entries there are.
     #[expect(clippy::cast_precision_loss, reason = "hosts and upstreams are few")]
-    fn part_of_probes(&self, upstreams: usize, entries: u32) -> f32 {
-        const KNOWN_PART: f32 = 0.8;
-        KNOWN_PART * self.probe_rate * upstreams as f32 / entries.max(1) as f32
+    fn probe_share(&self, upstreams: usize, entries: u32) -> f32 {
+        const SAFETY_FACTOR: f32 = 0.8;
+        SAFETY_FACTOR * self.probe_rate * upstreams as f32 / entries.max(1) as f32
     }
 
     fn tick(&self) {
@@ -421,7 +421,7 @@
 }
 
 /// Removes and returns the only effect if it decides the request itself.
-fn take_sole(effects: &mut SchedulerEffects, wanted: RequestNumber) -> Option<Placement> {
+fn take_only_decision(effects: &mut SchedulerEffects, wanted: RequestNumber) -> Option<Placement> {
     let [SchedulerEffect::Start { number, .. } | SchedulerEffect::Refuse { number, .. }] =
         effects.as_slice()
     else {
@@ -453,7 +453,7 @@
 }
 
 impl QueuedRequest<'_> {
-    async fn settle(&mut self) -> Placement {
+    async fn wait(&mut self) -> Placement {
         let lost = Placement::Refuse { cause: RefusalCause::NotReady, retry_after: IDLE_TICK };
         (&mut self.receiver).await.unwrap_or(lost)
     }
--- a/crates/pulleyd/src/request/scheduler_set_probes.rs
+++ b/crates/pulleyd/src/request/scheduler_set_probes.rs
@@ -16,7 +16,7 @@
         ticket: &RequestTicket,
         question: &ProbeQuestion<'_>,
     ) -> Vec<ProbeTarget> {
-        self.look(pool, |scheduler, now| scheduler.probe_targets(now, ticket, question))
+        self.with_scheduler(pool, |scheduler, now| scheduler.probe_targets(now, ticket, question))
             .unwrap_or_default()
     }
 
@@ -24,24 +24,25 @@
     /// the usual response time.
     #[must_use]
     pub fn best_cost(&self, pool: &PoolName, readings: &[ProbeReading]) -> Option<f32> {
-        self.look(pool, |scheduler, now| scheduler.best_cost(now, readings)).flatten()
+        self.with_scheduler(pool, |scheduler, now| scheduler.best_cost(now, readings)).flatten()
     }
 
     /// Returns the load reports that upstreams have sent very recently.
     #[must_use]
     pub fn fresh_readings(&self, pool: &PoolName, ticket: &RequestTicket) -> Vec<ProbeReading> {
-        self.look(pool, |scheduler, now| scheduler.fresh_readings(now, ticket)).unwrap_or_default()
+        self.with_scheduler(pool, |scheduler, now| scheduler.fresh_readings(now, ticket))
+            .unwrap_or_default()
     }
 
     /// Whether any upstream of a pool has reported its load within the last second.
     #[must_use]
     pub fn has_heard(&self, pool: &PoolName) -> bool {
-        self.look(pool, |scheduler, now| scheduler.has_heard(now)).unwrap_or_default()
+        self.with_scheduler(pool, |scheduler, now| scheduler.has_heard(now)).unwrap_or_default()
     }
 
     /// Records that upstreams have left a probe unanswered.
     pub fn note_unanswered(&self, pool: &PoolName, upstreams: &[UpstreamId]) {
-        self.look(pool, |scheduler, now| {
+        self.with_scheduler(pool, |scheduler, now| {
             upstreams.iter().for_each(|upstream| scheduler.note_unanswered(now, upstream));
         });
     }
@@ -49,7 +50,7 @@
     /// Returns until when a request may look for an upstream that is worth starting at.
     #[must_use]
     pub fn patience(&self, pool: &PoolName, ticket: &RequestTicket) -> Moment {
-        self.look(pool, |scheduler, now| scheduler.patience(now, ticket))
+        self.with_scheduler(pool, |scheduler, now| scheduler.patience(now, ticket))
             .unwrap_or_else(|| self.clock.now())
     }
 
@@ -61,7 +62,7 @@
         ticket: &RequestTicket,
         readings: &[ProbeReading],
     ) -> bool {
-        self.look(pool, |scheduler, now| scheduler.is_soon(now, ticket, readings))
+        self.with_scheduler(pool, |scheduler, now| scheduler.is_soon(now, ticket, readings))
             .unwrap_or_default()
     }
 
@@ -73,18 +74,18 @@
         ticket: &RequestTicket,
         readings: &[ProbeReading],
     ) -> bool {
-        self.look(pool, |scheduler, now| scheduler.is_risky(now, ticket, readings))
+        self.with_scheduler(pool, |scheduler, now| scheduler.is_risky(now, ticket, readings))
             .unwrap_or_default()
     }
 
     /// Runs a query on a pool's scheduler that neither starts nor ends a request; `None` for an
     /// unknown pool.
-    fn look<T>(
+    fn with_scheduler<T>(
         &self,
         pool: &PoolName,
-        question: impl FnOnce(&mut PoolScheduler, Moment) -> T,
+        query: impl FnOnce(&mut PoolScheduler, Moment) -> T,
     ) -> Option<T> {
         let now = self.clock.now();
-        Some(question(&mut self.cell(pool)?.state.lock().scheduler, now))
+        Some(query(&mut self.cell(pool)?.state.lock().scheduler, now))
     }
 }
--- a/crates/pulleyd/src/request/system_answer.rs
+++ b/crates/pulleyd/src/request/system_answer.rs
@@ -58,13 +58,13 @@
     #[must_use]
     pub fn into_response(self, dialect: &HeaderDialect) -> Response<AnswerBody> {
         let text = format!("verdict={} cause={}\n", self.verdict, self.cause);
-        let mut response = Response::new(AnswerBody::whole(text.into()));
+        let mut response = Response::new(AnswerBody::from_bytes(text.into()));
         *response.status_mut() =
-            if dialect.own_headers { self.status } else { self.telling_status() };
+            if dialect.own_headers { self.status } else { self.status_without_verdict() };
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if !dialect.own_headers {
-            self.insert_delay(headers);
+            self.insert_fractional_retry_after(headers);
             return response;
         }
         headers.insert(VERDICT_HEADER, HeaderValue::from_static(self.verdict.as_str()));
@@ -80,15 +80,15 @@
     /// Without a verdict header, callers resend a refund after 429 or 503 and after nothing else.
     /// If one of these were returned for a refund that may have run, it would be paid twice. A
     /// request that was not run but got 502 would be lost, although resending it is safe.
-    fn telling_status(&self) -> StatusCode {
-        let promises = [
+    fn status_without_verdict(&self) -> StatusCode {
+        let not_run_statuses = [
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::MISDIRECTED_REQUEST,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::SERVICE_UNAVAILABLE,
         ];
         let may_have_run = self.verdict != RequestVerdict::NotRun;
-        if may_have_run && promises.contains(&self.status) {
+        if may_have_run && not_run_statuses.contains(&self.status) {
             return StatusCode::BAD_GATEWAY;
         }
         if !may_have_run && self.status.is_server_error() {
@@ -99,7 +99,7 @@
 
     /// Inserts `Retry-After` with a fraction of a second. Callers that read fractions need not wait
     /// a whole second for a queue that is free in 200 ms.
-    fn insert_delay(&self, headers: &mut HeaderMap) {
+    fn insert_fractional_retry_after(&self, headers: &mut HeaderMap) {
         let Some(delay) = self.retry_after else { return };
         let text = format!("{:.3}", delay.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&text) {
--- a/crates/pulleyd/src/request/traffic_counters.rs
+++ b/crates/pulleyd/src/request/traffic_counters.rs
@@ -39,27 +39,27 @@
     }
 
     /// Counts a request and returns a permit if fewer than `limit` are in progress.
-    pub(super) fn enter(self: &Arc<Self>, limit: usize) -> Option<RequestSeat> {
+    pub(super) fn acquire_permit(self: &Arc<Self>, limit: usize) -> Option<RequestPermit> {
         Self::add(&self.requests);
         let before = self.in_progress.fetch_add(1, Ordering::Relaxed);
-        let seat = RequestSeat { counters: Arc::clone(self) };
-        (before < limit).then_some(seat)
+        let permit = RequestPermit { counters: Arc::clone(self) };
+        (before < limit).then_some(permit)
     }
 }
 
 /// A permit for a request in progress, held until the response has been streamed.
 #[derive(Debug)]
-pub(super) struct RequestSeat {
+pub(super) struct RequestPermit {
     counters: Arc<TrafficCounters>,
 }
 
-impl RequestSeat {
+impl RequestPermit {
     pub(super) fn counters(&self) -> &TrafficCounters {
         &self.counters
     }
 }
 
-impl Drop for RequestSeat {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         self.counters.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
