--- a/crates/pulleyd/src/request/arrival_probing.rs
+++ b/crates/pulleyd/src/request/arrival_probing.rs
@@ -1,4 +1,4 @@
-//! Asks a few upstreams how loaded they are before a request is placed.
+//! Probes a few upstreams for their load before a request is placed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,55 +17,58 @@
 use super::{RequestBody, TrafficContext};
 use crate::connection::{LinkRequest, Unused, UpstreamLink};
 
-/// How long arriving requests wait for an upstream's word. A usual probe takes about 6 ms; who
-/// takes several times as long will not be the best place, or its connection has gone silent.
+/// How long an arriving request waits for probe answers. A probe usually takes about 6 ms; an
+/// upstream that takes several times as long is not the best choice, or its connection has gone
+/// silent.
 const PROBE_WAIT: Duration = Duration::from_millis(40);
 
-/// How long they wait for others once one has said that it has room. What slows an upstream's work
-/// slows its word as well: a request that waits for all loses most of that time to hear that some
-/// upstream is not to be chosen.
-const SETTLE_WAIT: Duration = Duration::from_millis(10);
+/// How much longer a request waits for other answers once one upstream has reported free capacity.
+/// Whatever slows down an upstream's work also slows down its probe answers. A request that waits
+/// for all of them loses most of that time only to learn which upstreams not to choose.
+const EXTRA_WAIT: Duration = Duration::from_millis(10);
 
-/// When a question is given up, and its connection with it. Longer than anybody waits, as a slowed
-/// upstream's connection is as good as any, and opening another costs it more than the question.
-const PROBE_END: Duration = Duration::from_millis(150);
+/// When a probe is abandoned and its connection closed. It is longer than any request waits: the
+/// connection of a slowed-down upstream is still usable, and opening another costs that upstream
+/// more than the probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The part of the time a request has left that its probes may take.
-const LEFT_PART: u32 = 8;
+/// Divides the time left until the deadline; probes may take the resulting part.
+const DEADLINE_DIVISOR: u32 = 8;
 
-/// How much slower an upstream is taken to be that says it is not well. Some say so that are, so it
-/// is not left out: a pool whose upstreams all say so would answer nobody.
-const UNWELL: f32 = 1.6;
+/// The factor by which an upstream that reports itself unhealthy is assumed to be slower. Some
+/// healthy upstreams report themselves unhealthy too, so they are not excluded: a pool in which all
+/// upstreams do so would serve no requests.
+const UNHEALTHY_FACTOR: f32 = 1.6;
 
-/// How often more upstreams are asked in one go.
-const STAGES: u32 = 2;
+/// The maximum number of probe rounds within the same reach.
+const PROBE_ROUNDS: u32 = 2;
 
-/// Below which expected time, in usual times of an answer, nobody needs to be asked: an upstream
-/// has just said that it has a free slot and that nothing slows it down.
+/// No upstream is probed if the best expected time, in multiples of the usual response time, is
+/// below this value: an upstream has just reported a free slot and no slowdown.
 const GOOD_COST: f32 = 1.1;
 
-/// From which expected time on, in usual times of an answer, others are asked as well: all that
-/// were asked are slowed down or have a queue.
+/// More upstreams are probed if the best expected time, in multiples of the usual response time, is
+/// at least this value: all probed upstreams are slowed down or have a queue.
 const POOR_COST: f32 = 1.9;
 
-/// What the upstreams said that were asked for one request.
+/// The load reports of the upstreams probed for one request.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalProbing {
-    /// Whether upstreams are asked at all.
+    /// Whether probing is enabled for the request's pool.
     is_on: bool,
-    /// What they said.
+    /// The load reports received, including recent ones of earlier probes.
     pub(super) readings: Vec<ProbeReading>,
-    /// How many were asked in vain.
+    /// The number of probes without an answer.
     unanswered: usize,
-    /// Whether they were, and nobody of the pool has answered of late.
-    is_mute: bool,
-    /// The links that they answered over.
+    /// Whether probes went unanswered and no upstream of the pool has answered recently.
+    is_pool_silent: bool,
+    /// The connections over which probes were answered.
     links: Vec<(UpstreamId, UpstreamLink<Unused>)>,
 }
 
 impl ArrivalProbing {
-    /// Asks a few upstreams of the kind's pool, and a few more if all of those are slow.
-    pub(super) async fn ask(
+    /// Probes a few upstreams of the kind's pool, and more if all of those are slow.
+    pub(super) async fn probe(
         context: &Arc<TrafficContext>,
         row: &KindPlan,
         ticket: &RequestTicket,
@@ -81,37 +84,39 @@
         probing.is_on = true;
         probing.readings = context.schedulers.fresh_readings(&row.pool, ticket);
         let mut asked = Vec::new();
-        for stage in 0..STAGES {
+        for round in 0..PROBE_ROUNDS {
             let best = context.schedulers.best_cost(&row.pool, &probing.readings);
-            let enough = if stage == 0 { GOOD_COST } else { POOR_COST };
-            if best.is_some_and(|cost| cost < enough) {
+            let good_enough = if round == 0 { GOOD_COST } else { POOR_COST };
+            if best.is_some_and(|cost| cost < good_enough) {
                 break;
             }
             let question = ProbeQuestion { asked: &asked, wanted, reach };
             let targets = context.schedulers.probe_targets(&row.pool, ticket, &question);
             asked.extend(targets.iter().map(|target| target.upstream.clone()));
-            probing.ask_all(context, row, &path, ticket, targets).await;
+            probing.probe_all(context, row, &path, ticket, targets).await;
         }
-        let may_leave = reach == ProbeReach::OwnZone && row.route.answers != AnswerSize::Large;
-        if may_leave && context.schedulers.is_risky(&row.pool, ticket, &probing.readings) {
+        let may_leave_zone = reach == ProbeReach::OwnZone && row.route.answers != AnswerSize::Large;
+        if may_leave_zone && context.schedulers.is_risky(&row.pool, ticket, &probing.readings) {
             let question = ProbeQuestion { asked: &asked, wanted, reach: ProbeReach::EveryZone };
             let targets = context.schedulers.probe_targets(&row.pool, ticket, &question);
-            probing.ask_all(context, row, &path, ticket, targets).await;
+            probing.probe_all(context, row, &path, ticket, targets).await;
         }
-        probing.is_mute = probing.unanswered > 0 && !context.schedulers.has_heard(&row.pool);
+        probing.is_pool_silent = probing.unanswered > 0 && !context.schedulers.has_heard(&row.pool);
         probing
     }
 
-    /// What to place by; none if nobody was to be asked, or the pool's upstreams do not answer.
+    /// Returns the readings to place the request by; `None` if probing is off or no upstream of the
+    /// pool answers.
     ///
-    /// Where others of the pool have answered within the last second, those that were asked now are
-    /// slow: placed by counts alone, requests went to just those and took a second.
-    pub(super) fn asked(&self) -> Option<&[ProbeReading]> {
-        let is_blind = !self.is_on || (self.readings.is_empty() && self.is_mute);
-        (!is_blind).then_some(&self.readings)
+    /// If other upstreams of the pool have answered within the last second, those probed now are
+    /// slow. Placed by counts alone, requests went to exactly those upstreams and took a second.
+    pub(super) fn placement_readings(&self) -> Option<&[ProbeReading]> {
+        let is_unprobed = !self.is_on || (self.readings.is_empty() && self.is_pool_silent);
+        (!is_unprobed).then_some(&self.readings)
     }
 
-    /// Gives the link over which the chosen upstream answered; the others go back.
+    /// Returns the connection over which the chosen upstream answered and returns the others to the
+    /// pool.
     pub(super) fn into_link(self, chosen: &UpstreamId) -> Option<UpstreamLink<Unused>> {
         let mut found = None;
         for (upstream, link) in self.links {
@@ -124,13 +129,13 @@
         found
     }
 
-    /// Gives all links back.
+    /// Returns all connections to the pool.
     pub(super) fn give_back(self) {
         self.links.into_iter().for_each(|(_, link)| link.give_back());
     }
 
-    /// Asks upstreams at the same time, and waits until one is good enough or all have answered.
-    async fn ask_all(
+    /// Probes upstreams concurrently and waits until one is good enough or all have answered.
+    async fn probe_all(
         &mut self,
         context: &Arc<TrafficContext>,
         row: &KindPlan,
@@ -141,20 +146,20 @@
         let mut silent: Vec<UpstreamId> =
             targets.iter().map(|target| target.upstream.clone()).collect();
         let now = context.clock.now();
-        let mut limit = now + PROBE_WAIT.min(ticket.deadline.since(now) / LEFT_PART);
-        let mut asking: FuturesUnordered<_> = targets
+        let mut limit = now + PROBE_WAIT.min(ticket.deadline.since(now) / DEADLINE_DIVISOR);
+        let mut pending: FuturesUnordered<_> = targets
             .into_iter()
             .map(|target| {
                 let (context, path) = (Arc::clone(context), path.clone());
                 async move {
-                    let end = now + PROBE_END;
-                    let asked = ask_one(&context, &path, &target, end);
-                    let answer = context.timer.limit(end, asked).await.flatten();
+                    let end = now + PROBE_TIMEOUT;
+                    let reply = probe_one(&context, &path, &target, end);
+                    let answer = context.timer.limit(end, reply).await.flatten();
                     (target.upstream, answer)
                 }
             })
             .collect();
-        while let Some(answer) = context.timer.limit(limit, asking.next()).await {
+        while let Some(answer) = context.timer.limit(limit, pending.next()).await {
             let Some((upstream, answer)) = answer else { break };
             let Some((report, link)) = answer else {
                 self.unanswered += 1;
@@ -167,22 +172,23 @@
             match context.schedulers.best_cost(&row.pool, &self.readings) {
                 Some(cost) if cost < GOOD_COST => break,
                 Some(cost) if cost < POOR_COST => {
-                    limit = limit.min(context.clock.now() + SETTLE_WAIT);
+                    limit = limit.min(context.clock.now() + EXTRA_WAIT);
                 }
                 _ => {}
             }
         }
-        // Who was not waited for because another has room may answer yet.
-        let was_waited_for = context.clock.now() >= now + PROBE_WAIT;
-        if was_waited_for || asking.is_empty() {
+        // An upstream may still answer if the wait ended early because another one has free
+        // capacity.
+        let has_waited_fully = context.clock.now() >= now + PROBE_WAIT;
+        if has_waited_fully || pending.is_empty() {
             context.schedulers.note_unanswered(&row.pool, &silent);
         }
-        if asking.is_empty() {
+        if pending.is_empty() {
             return;
         }
-        self.unanswered += asking.len();
+        self.unanswered += pending.len();
         tokio::spawn(async move {
-            while let Some((_, answer)) = asking.next().await {
+            while let Some((_, answer)) = pending.next().await {
                 if let Some((_, link)) = answer {
                     link.give_back();
                 }
@@ -191,8 +197,8 @@
     }
 }
 
-/// One question; none if it was not answered, or not by the upstream that is meant.
-async fn ask_one(
+/// Sends one probe. Returns `None` if there is no answer or another upstream answered.
+async fn probe_one(
     context: &TrafficContext,
     path: &Uri,
     target: &ProbeTarget,
@@ -208,15 +214,15 @@
     let (parts, link) = link.probe(probe_request(context, path, target)?).await?;
     let dialect = &context.dialect;
     if let Some(name) = &dialect.instance {
-        let is_meant = parts.headers.get(name).is_some_and(|id| id == target.upstream.as_str());
-        if !is_meant {
+        let is_expected = parts.headers.get(name).is_some_and(|id| id == target.upstream.as_str());
+        if !is_expected {
             return None;
         }
     }
     let mut report = parts.headers.get(&dialect.load).and_then(dialect.read_load)?;
     report.cold_left = dialect.cold_left(&parts.headers);
     if !parts.status.is_success() {
-        report.slowdown = Some(report.slowdown.unwrap_or(1.0) * UNWELL);
+        report.slowdown = Some(report.slowdown.unwrap_or(1.0) * UNHEALTHY_FACTOR);
     }
     Some((report, link))
 }
--- a/crates/pulleyd/src/request/call_terms.rs
+++ b/crates/pulleyd/src/request/call_terms.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for beyond its request: deadline, priority and attempt.
+//! What a caller requests in headers: deadline, priority and attempt number.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -12,34 +12,34 @@
 use super::protocol_headers::{ATTEMPT_HEADER, PRIORITY_HEADER};
 use super::request_headers::{read_millis, read_number};
 
-/// What reading a caller's terms gives.
+/// The result of reading a caller's terms.
 type Result<T> = std::result::Result<T, RefusalCause>;
 
-/// The callers whose attempt and priority headers are believed.
+/// The callers whose attempt and priority headers are trusted.
 ///
-/// Upstreams call other services through the system, up to 7 deep, and pass on what they got. An
-/// outside caller could otherwise put itself in front, so its own headers of this kind are dropped.
+/// Upstreams call other services through the system, up to 7 levels deep, and forward the headers
+/// they received. Without this list an outside caller could raise its own priority, so these
+/// headers of other callers are dropped.
 #[derive(Clone, Debug, Default)]
 pub struct TrustedCallers {
-    /// Their addresses.
+    /// The addresses of trusted callers.
     pub addresses: FastSet<IpAddr>,
 }
 
-/// The terms on which a request is carried.
+/// The terms under which a request is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallTerms {
-    /// When its answer is no longer of use.
+    /// When the response is no longer useful to the caller.
     pub(super) deadline: Moment,
-    /// How often another layer has tried it before.
+    /// The number of attempts that another layer has already made.
     pub(super) earlier_attempts: u8,
-    /// Its priority as passed on.
+    /// The priority passed on to the upstream.
     pub(super) priority: RequestPriority,
 }
 
 impl CallTerms {
-    /// Reads the terms and bounds them by the plan: a deadline can only become shorter and a
-    /// priority only lower than the kind's own, so that no caller helps itself to more than the
-    /// plan gives it.
+    /// Reads the terms and bounds them by the plan. A deadline can only become shorter and a
+    /// priority only lower than the kind's own, so that no caller gets more than the plan grants.
     pub(super) fn read(
         now: Moment,
         headers: &HeaderMap,
@@ -49,14 +49,15 @@
         let deadline = now + read_deadline(headers.get(&dialect.deadline), row.deadline)?;
         let mut terms = Self { deadline, earlier_attempts: 0, priority: row.priority };
         if is_trusted {
-            terms.earlier_attempts = trusted_number(headers.get(ATTEMPT_HEADER))?.unwrap_or(0);
-            let asked = trusted_number(headers.get(PRIORITY_HEADER))?;
-            terms.priority = row.priority.max(RequestPriority(asked.unwrap_or(0).min(9)));
+            terms.earlier_attempts =
+                read_optional_number(headers.get(ATTEMPT_HEADER))?.unwrap_or(0);
+            let requested = read_optional_number(headers.get(PRIORITY_HEADER))?;
+            terms.priority = row.priority.max(RequestPriority(requested.unwrap_or(0).min(9)));
         }
         Ok(terms)
     }
 
-    /// Writes the terms as they stand now for the upstream.
+    /// Writes the current terms into the upstream's request headers.
     pub(super) fn write(
         &self,
         now: Moment,
@@ -71,13 +72,13 @@
             return;
         }
         let attempt = self.earlier_attempts.saturating_add(attempt);
-        headers.insert(ATTEMPT_HEADER, small_number(attempt));
-        headers.insert(PRIORITY_HEADER, small_number(self.priority.0));
+        headers.insert(ATTEMPT_HEADER, number_value(attempt));
+        headers.insert(PRIORITY_HEADER, number_value(self.priority.0));
     }
 }
 
-/// A number as a header's value; those of one digit take no memory.
-fn small_number(number: u8) -> HeaderValue {
+/// Returns a number as a header value; one-digit numbers need no allocation.
+fn number_value(number: u8) -> HeaderValue {
     const DIGITS: [&str; 10] = ["0", "1", "2", "3", "4", "5", "6", "7", "8", "9"];
     match DIGITS.get(usize::from(number)) {
         Some(digit) => HeaderValue::from_static(digit),
@@ -87,14 +88,14 @@
 
 fn read_deadline(value: Option<&HeaderValue>, longest: Duration) -> Result<Duration> {
     let Some(value) = value else { return Ok(longest) };
-    let asked = read_millis(value).ok_or(RefusalCause::BadRequest)?;
-    if asked.is_zero() {
+    let requested = read_millis(value).ok_or(RefusalCause::BadRequest)?;
+    if requested.is_zero() {
         return Err(RefusalCause::DeadlineTooClose);
     }
-    Ok(asked.min(longest))
+    Ok(requested.min(longest))
 }
 
-fn trusted_number(value: Option<&HeaderValue>) -> Result<Option<u8>> {
+fn read_optional_number(value: Option<&HeaderValue>) -> Result<Option<u8>> {
     let Some(value) = value else { return Ok(None) };
     read_number(value).map(Some).ok_or(RefusalCause::BadRequest)
 }
--- a/crates/pulleyd/src/request/keyed_run.rs
+++ b/crates/pulleyd/src/request/keyed_run.rs
@@ -1,4 +1,4 @@
-//! Carries a non-idempotent request that has an idempotency key.
+//! Runs a non-idempotent request that has an idempotency key.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,37 +14,38 @@
 use super::ledger_claim::{ClaimRefusal, LedgerClaim};
 use super::protocol_headers::{CAUSE_HEADER, VERDICT_HEADER};
 use super::request_run::RequestRun;
-use super::traffic_counters::RequestSeat;
+use super::traffic_counters::RequestPermit;
 use super::{AnswerBody, BodyFault, SystemAnswer};
 use crate::process::{ClaimRequest, RecordedAnswer};
 
-/// What carrying gives, or the answer that ends the request.
+/// The response to the request, or the answer that ends it.
 type Result<T> = std::result::Result<T, SystemAnswer>;
 
-/// How soon a caller may ask with the same key what became of its request.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// `Retry-After` for a caller whose request has an unknown outcome; it resends the same key.
+const OUTCOME_UNKNOWN_RETRY: Duration = Duration::from_secs(1);
 
-/// The longest content type that is recorded, in bytes.
+/// The longest recorded content type, in bytes.
 const CONTENT_TYPE_LIMIT: usize = 256;
 
-/// Claims a request's key and carries the request to its end, also if its caller leaves.
+/// Claims a request's key and runs the request to completion, even if its caller leaves.
 ///
-/// A caller that gives up waiting sends the same key again. If its leaving cut the attempt off,
-/// nobody would ever know whether the refund was recorded; carried to the end, the resend gets the
-/// recorded outcome. Nor can a claim that is granted after its caller has left stay behind.
-pub(super) async fn carry_keyed(
+/// A caller that gives up waiting resends the same key. If its leaving cancelled the attempt,
+/// nobody would ever know whether the refund was recorded. Run to completion, the request has a
+/// recorded outcome for the resend. It also ensures that a claim granted after the caller has left
+/// is not leaked.
+pub(super) async fn run_keyed(
     run: RequestRun,
     request: ClaimRequest,
-    seat: RequestSeat,
+    permit: RequestPermit,
 ) -> Result<Response<AnswerBody>> {
-    let carried = tokio::spawn(complete(run, request, seat)).await;
-    carried.unwrap_or_else(|_| Err(outcome_unknown("task-failed")))
+    let finished = tokio::spawn(claim_and_run(run, request, permit)).await;
+    finished.unwrap_or_else(|_| Err(outcome_unknown("task-failed")))
 }
 
-/// What came of the same request before.
+/// Returns the recorded outcome of an earlier run of the same request.
 pub(super) fn recorded_response(answer: RecordedAnswer) -> Response<AnswerBody> {
     let cause = if answer.body.is_some() { "recorded" } else { "recorded-without-body" };
-    let mut response = Response::new(AnswerBody::whole(answer.body.unwrap_or_default()));
+    let mut response = Response::new(AnswerBody::from_bytes(answer.body.unwrap_or_default()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     let verdict = RequestVerdict::Ran.as_str();
@@ -57,10 +58,10 @@
     response
 }
 
-async fn complete(
+async fn claim_and_run(
     run: RequestRun,
     request: ClaimRequest,
-    seat: RequestSeat,
+    permit: RequestPermit,
 ) -> Result<Response<AnswerBody>> {
     let limit = run.context().limits.recorded_bytes;
     let claim = match LedgerClaim::take(run.context(), request).await {
@@ -69,28 +70,29 @@
         Err(ClaimRefusal::Answer(answer)) => return Err(answer),
     };
     let mut run = run.with_claim(claim);
-    // If it fails, the claim, dropped with the run, tells the ledger whether anything may have run.
+    // On failure, dropping the run drops the claim, which tells the ledger whether anything may
+    // have run.
     let response = run.run().await?;
     let claim = run.take_claim();
     let (parts, answer) = response.into_parts();
-    let mut body = AnswerBody::upstream(answer, seat);
-    let Ok(start) = AnswerStart::read(&mut body, limit).await else {
+    let mut body = AnswerBody::upstream(answer, permit);
+    let Ok(prefix) = AnswerPrefix::read(&mut body, limit).await else {
         return Err(outcome_unknown("answer-cut-short"));
     };
     if let Some(claim) = claim {
-        claim.record(start.recorded(&parts));
+        claim.record(prefix.recorded(&parts));
     }
-    body.unread(start.frames);
+    body.unread(prefix.frames);
     Ok(Response::from_parts(parts, body))
 }
 
-/// The beginning of an answer's body, or all of it.
-struct AnswerStart {
+/// The beginning of a response body, or all of it.
+struct AnswerPrefix {
     frames: VecDeque<Frame<Bytes>>,
-    is_whole: bool,
+    is_complete: bool,
 }
 
-impl AnswerStart {
+impl AnswerPrefix {
     async fn read(body: &mut AnswerBody, limit: usize) -> std::result::Result<Self, BodyFault> {
         let mut frames = VecDeque::new();
         let mut length = 0;
@@ -99,10 +101,10 @@
             length += frame.data_ref().map_or(0, Bytes::len);
             frames.push_back(frame);
             if length > limit {
-                return Ok(Self { frames, is_whole: false });
+                return Ok(Self { frames, is_complete: false });
             }
         }
-        Ok(Self { frames, is_whole: true })
+        Ok(Self { frames, is_complete: true })
     }
 
     fn recorded(&self, parts: &Parts) -> RecordedAnswer {
@@ -116,12 +118,12 @@
         RecordedAnswer {
             status: parts.status.as_u16(),
             content_type: content_type.map(str::to_owned),
-            body: self.is_whole.then(|| body.freeze()),
+            body: self.is_complete.then(|| body.freeze()),
         }
     }
 }
 
 fn outcome_unknown(cause: &'static str) -> SystemAnswer {
     let status = StatusCode::BAD_GATEWAY;
-    SystemAnswer::failed(status, RequestVerdict::MayHaveRun, cause, Some(ASK_AGAIN))
+    SystemAnswer::failed(status, RequestVerdict::MayHaveRun, cause, Some(OUTCOME_UNKNOWN_RETRY))
 }
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -1,4 +1,4 @@
-//! The service that takes callers' requests.
+//! The service that handles callers' requests.
 
 use std::convert::Infallible;
 use std::future::{Future, ready};
@@ -21,34 +21,35 @@
 use tower::Service;
 
 use super::call_terms::CallTerms;
-use super::keyed_run::carry_keyed;
+use super::keyed_run::run_keyed;
 use super::ledger_claim::{claim_request, read_key};
 use super::request_headers::{body_bytes, header_bytes, is_ambiguous, read_millis};
 use super::request_run::{PlannedKind, RequestRun};
-use super::traffic_counters::RequestSeat;
+use super::traffic_counters::RequestPermit;
 use super::{AnswerBody, BodySource, RequestFault, SystemAnswer, TrafficContext, TrafficCounters};
 use crate::process::{HostReadiness, RunningView};
 
-/// What a step of a request's way gives, or the answer that ends it.
+/// The result of a step in handling a request, or the answer that ends it.
 type Result<T> = std::result::Result<T, SystemAnswer>;
 
-/// A request being carried.
+/// The future of a request being handled.
 pub type ForwardFuture =
     Pin<Box<dyn Future<Output = std::result::Result<Response<AnswerBody>, Infallible>> + Send>>;
 
-/// How soon a caller may come back to a host that is full.
-const HOST_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of a host at its request limit.
+const HOST_FULL_RETRY: Duration = Duration::from_secs(1);
 
-/// How soon a caller may come back to a host that lacks the newest configuration: that is on its way,
+/// `Retry-After` of a host that lacks the newest configuration. The configuration is on its way,
 /// and a caller with a second left waits no longer than a third of it.
 const BEHIND_RETRY: Duration = Duration::from_millis(200);
 
-/// How often a request that waits for its host to get ready looks again.
-const START_LOOK: Duration = Duration::from_millis(10);
+/// The interval at which a request that waits for its host to become ready checks again.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The service that carries requests; one clone a caller's connection.
+/// The service that handles requests; each caller connection has its own clone.
 ///
-/// Each answer of its own carries `jacinthpulley-verdict`, and `Retry-After` where waiting helps.
+/// Every response that the system makes itself carries `jacinthpulley-verdict`, and `Retry-After`
+/// where waiting helps.
 ///
 /// ```ignore
 /// let forwarder = RequestForwarder::new(context).with_caller(peer.ip());
@@ -61,12 +62,12 @@
     arrival: FirstArrival,
 }
 
-/// Tells whether a connection has carried a request yet.
+/// Records whether a connection has received a request yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FirstArrival(Arc<AtomicBool>);
 
 impl FirstArrival {
-    /// Whether a request has come.
+    /// Whether a request has arrived.
     pub(crate) fn has_come(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -76,43 +77,43 @@
     }
 }
 
-/// A request that has been looked at and may be placed.
+/// A request that was checked and may be placed.
 struct AdmittedRequest {
     parts: Parts,
     body: Incoming,
     kind: PlannedKind,
     terms: CallTerms,
-    /// When it came; its deadline counts from then on.
+    /// When the request arrived; its deadline counts from then on.
     arrived: Moment,
 }
 
 impl RequestForwarder {
-    /// Makes a forwarder over what all requests share.
+    /// Creates a forwarder over the context that all requests share.
     #[must_use]
     pub fn new(context: Arc<TrafficContext>) -> Self {
         Self { context, caller: None, refuses_all: false, arrival: FirstArrival::default() }
     }
 
-    /// Says which caller's connection it serves.
+    /// Sets the caller whose connection it serves.
     #[must_use]
     pub const fn with_caller(mut self, caller: IpAddr) -> Self {
         self.caller = Some(caller);
         self
     }
 
-    /// Refuses each request as not run, because the process has no room for its connection.
+    /// Refuses every request as not run, because the process is at its connection limit.
     #[must_use]
     pub(crate) const fn refusing_all(mut self) -> Self {
         self.refuses_all = true;
         self
     }
 
-    /// Where to see whether the connection has carried a request yet.
+    /// Returns the flag that shows whether the connection has received a request yet.
     pub(crate) fn arrival(&self) -> FirstArrival {
         self.arrival.clone()
     }
 
-    /// Carries one request and answers it; at a host that has just started, once it is ready.
+    /// Forwards one request and answers it; on a host that has just started, once it is ready.
     pub fn forward(&self, request: Request<Incoming>) -> ForwardFuture {
         let arrived = self.context.clock.now();
         let Some(wait) = self.start_wait(&request) else {
@@ -120,62 +121,64 @@
         };
         let forwarder = self.clone();
         Box::pin(async move {
-            forwarder.wait_for_start(&request, wait).await;
+            forwarder.wait_until_ready(&request, wait).await;
             forwarder.forward_now(request, arrived).await
         })
     }
 
-    /// How long a request waits for this host to get ready; none if it is, or has had its time.
+    /// Returns how long a request waits for this host to become ready; `None` if the host can
+    /// decide or its start time has passed.
     fn start_wait(&self, request: &Request<Incoming>) -> Option<Duration> {
         let uptime = self.context.clock.now().since(Moment::ZERO);
         let dialect = &self.context.dialect;
         let left = request.headers().get(&dialect.deadline).and_then(read_millis);
-        start_wait(uptime, left).filter(|_| !self.refuses_all && !self.is_settled(request))
+        start_wait(uptime, left).filter(|_| !self.refuses_all && !self.can_decide(request))
     }
 
-    /// Waits until the request can be placed here, or its wait is over. It holds a seat meanwhile,
-    /// so that no more wait than the process may carry.
-    async fn wait_for_start(&self, request: &Request<Incoming>, wait: Duration) {
-        let Ok(seat) = self.enter() else { return };
+    /// Waits until the request can be placed here or its wait has ended. It holds a permit
+    /// meanwhile, so that waiting requests count against the limit of the process.
+    async fn wait_until_ready(&self, request: &Request<Incoming>, wait: Duration) {
+        let Ok(permit) = self.acquire_permit() else { return };
         let until = self.context.clock.now() + wait;
-        while self.context.clock.now() < until && !self.is_settled(request) {
-            let _ = self.context.timer.after(START_LOOK).await;
+        while self.context.clock.now() < until && !self.can_decide(request) {
+            let _ = self.context.timer.after(READY_POLL_INTERVAL).await;
         }
-        drop(seat);
+        drop(permit);
     }
 
     /// Whether this host knows the request's row and an upstream for it, or knows that it has none.
-    fn is_settled(&self, request: &Request<Incoming>) -> bool {
+    fn can_decide(&self, request: &Request<Incoming>) -> bool {
         if matches!(self.context.view.readiness(), HostReadiness::NotReady { .. }) {
             return false;
         }
         let view = self.context.view.load();
         let method = request.method().as_str();
-        let host = named_host(request.uri(), request.headers());
+        let host = requested_host(request.uri(), request.headers());
         let found = view.plan.find(host, method, request.uri().path(), rand::random());
         let Some((_, row)) = found else { return view.awaited.is_none() };
         let upstreams = view.upstreams.get(&row.pool);
         upstreams.is_some_and(|records| records.iter().any(|record| record.takes_work))
     }
 
-    /// Carries one request, which may have waited since it arrived, as the host stands now.
+    /// Forwards one request by the present state of the host; the request may have waited since it
+    /// arrived.
     ///
-    /// What can be refused is refused before there is a future to run.
+    /// Refusals that need no waiting are decided before a future is created.
     fn forward_now(&self, request: Request<Incoming>, arrived: Moment) -> ForwardFuture {
         let id = self.context.dialect.id_of(request.headers());
-        match self.take_up(request, arrived) {
+        match self.accept(request, arrived) {
             Ok(future) => future,
             Err(answer) => {
-                let held = self.context.clock.now().since(arrived);
-                let asked = RefusedRequest { id, held, ..RefusedRequest::default() };
-                Box::pin(ready(Ok(refuse(&self.context, &asked, answer, self.refuses_all))))
+                let elapsed = self.context.clock.now().since(arrived);
+                let refused = RefusedRequest { id, elapsed, ..RefusedRequest::default() };
+                Box::pin(ready(Ok(refuse(&self.context, &refused, answer, self.refuses_all))))
             }
         }
     }
 
-    fn take_up(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
+    fn accept(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
         self.arrival.note();
-        let seat = self.enter()?;
+        let permit = self.acquire_permit()?;
         let admitted = self.admit(request, arrived)?;
         let row = admitted.kind.row();
         let key = match read_key(&admitted.parts) {
@@ -186,34 +189,35 @@
         let Some(key) = key else {
             let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
             let body = BodySource::new(body, context.limits.replay_bytes);
-            let run = RequestRun::new(context, parts, body, kind, terms).begun_at(arrived);
+            let run = RequestRun::new(context, parts, body, kind, terms).arrived_at(arrived);
             let run = Box::new(run);
-            return Ok(Box::pin(carry_plain(run, seat)));
+            return Ok(Box::pin(forward_unkeyed(run, permit)));
         };
         Ok(Box::pin(async move {
             let kind = admitted.kind.clone();
             let id = context.dialect.id_of(&admitted.parts.headers);
-            let carried = carry_once(&context, admitted, seat, &key).await;
-            let asked = RefusedRequest { id, row: Some(kind.row()), ..RefusedRequest::default() };
-            Ok(carried.unwrap_or_else(|answer| refuse(&context, &asked, answer, false)))
+            let forwarded = forward_keyed(&context, admitted, permit, &key).await;
+            let refused = RefusedRequest { id, row: Some(kind.row()), ..RefusedRequest::default() };
+            Ok(forwarded.unwrap_or_else(|answer| refuse(&context, &refused, answer, false)))
         }))
     }
 
-    /// Refuses at once when the process is at its limit.
+    /// Refuses a request at once if the process is at its limit.
     ///
-    /// Load it is for: a burst beyond what memory holds. Taken on, each further request would slow
-    /// down all others until the process is killed with them; refused, its caller can go to
-    /// another host at once, as nothing has run.
-    fn enter(&self) -> Result<RequestSeat> {
+    /// The load is a burst beyond what memory can hold. The harm is that each further request would
+    /// slow down all others until the process is killed with them. The reason for the limit is that
+    /// a refused caller can go to another host at once, because nothing has run.
+    fn acquire_permit(&self) -> Result<RequestPermit> {
         let limit = if self.refuses_all { 0 } else { self.context.limits.requests };
-        let seat = self.context.counters.enter(limit);
-        seat.ok_or_else(|| SystemAnswer::refused(RefusalCause::HostFull, Some(HOST_RETRY)))
+        let permit = self.context.counters.acquire_permit(limit);
+        permit.ok_or_else(|| SystemAnswer::refused(RefusalCause::HostFull, Some(HOST_FULL_RETRY)))
     }
 
     fn check_readiness(&self) -> Result<()> {
         match self.context.view.readiness() {
-            // The platform's balancer sends calls until it has noticed that the host is leaving.
-            // They are served: refused, callers would see seconds of refusals at every restart.
+            // The platform's balancer sends requests until it has noticed that the host is shutting
+            // down. They are served; otherwise callers would see seconds of refusals at every
+            // restart.
             HostReadiness::Ready | HostReadiness::ShuttingDown => Ok(()),
             HostReadiness::NotReady { .. } => {
                 let uptime = self.context.clock.now().since(Moment::ZERO);
@@ -231,7 +235,7 @@
         if is_ambiguous(&parts) {
             return Err(SystemAnswer::refused(RefusalCause::BadRequest, None));
         }
-        let (host, path) = (named_host(&parts.uri, &parts.headers), parts.uri.path());
+        let (host, path) = (requested_host(&parts.uri, &parts.headers), parts.uri.path());
         let found = view.plan.find(host, parts.method.as_str(), path, rand::random());
         let Some((kind, row)) = found else {
             let denial = SystemAnswer::refused(RefusalCause::NoSuchKind, None);
@@ -246,7 +250,7 @@
     }
 }
 
-/// Refuses what is larger than this process or the configuration in force lets callers send.
+/// Refuses a request larger than this process or the configuration in force allows.
 fn check_size(parts: &Parts, host_header_bytes: u64, view: &RunningView) -> Result<()> {
     let too_large =
         |status, cause| SystemAnswer::failed(status, RequestVerdict::NotRun, cause, None);
@@ -267,12 +271,13 @@
     Ok(())
 }
 
-/// What a caller is told where the configuration in force denies its request.
+/// Returns the answer to a request that the configuration in force denies.
 ///
-/// Load it is for: a change reaches hundreds of hosts over seconds, and callers of what it adds come
-/// to all of them at once. Harm: denied for good, a caller never comes back, though the configuration
-/// accepted allows its request. Reason for the limit: only while a newer version is known to be on its
-/// way, so that what no version allows is soon denied.
+/// The load is a change that reaches hundreds of hosts over seconds, while callers of what it adds
+/// reach all of them at once. The harm is that a caller denied permanently never comes back,
+/// although the accepted configuration allows its request. The reason for the limit: callers are
+/// told to come back only while a newer version is known to be on its way, so that what no version
+/// allows is soon denied.
 fn deny_by_plan(view: &RunningView, denial: SystemAnswer) -> SystemAnswer {
     match view.awaited {
         Some(_) => SystemAnswer::refused(RefusalCause::ConfigurationBehind, Some(BEHIND_RETRY)),
@@ -280,40 +285,40 @@
     }
 }
 
-/// The host name that a request is for; empty if it names none.
-fn named_host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> &'a str {
+/// Returns the host name that a request is for; empty if it names none.
+fn requested_host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> &'a str {
     let authority = uri.authority().map(|authority| authority.as_str());
     let header = || headers.get(HOST).and_then(|value| value.to_str().ok());
     authority.or_else(header).unwrap_or_default()
 }
 
-async fn carry_plain(
+async fn forward_unkeyed(
     mut run: Box<RequestRun>,
-    seat: RequestSeat,
+    permit: RequestPermit,
 ) -> std::result::Result<Response<AnswerBody>, Infallible> {
     match run.run().await {
-        Ok(response) => Ok(response.map(|answer| AnswerBody::upstream(answer, seat))),
+        Ok(response) => Ok(response.map(|answer| AnswerBody::upstream(answer, permit))),
         Err(answer) => {
-            let asked = RefusedRequest {
+            let refused = RefusedRequest {
                 id: run.id().map(SmolStr::new),
                 row: Some(run.row()),
                 attempts: run.attempts(),
                 upstream: run.last_tried(),
-                held: run.held(),
+                elapsed: run.elapsed(),
             };
-            Ok(refuse(run.context(), &asked, answer, false))
+            Ok(refuse(run.context(), &refused, answer, false))
         }
     }
 }
 
-/// Carries a request with an idempotency key; its key is claimed before a byte leaves.
+/// Forwards a request with an idempotency key; the key is claimed before a byte is sent.
 ///
-/// The claim comes before the place in the queue: a resend of what ran gets its recorded
-/// outcome even while the pool is full, and no slot stands idle while a quorum syncs.
-async fn carry_once(
+/// The claim precedes the queue: a resend of a request that ran gets its recorded outcome even
+/// while the pool is full, and no slot stays idle while a quorum syncs.
+async fn forward_keyed(
     context: &Arc<TrafficContext>,
     admitted: AdmittedRequest,
-    seat: RequestSeat,
+    permit: RequestPermit,
     key: &str,
 ) -> Result<Response<AnswerBody>> {
     let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
@@ -321,36 +326,36 @@
     let gathered = context.timer.limit(terms.deadline, gathering).await;
     let (body, data) = match gathered {
         Some(Ok(gathered)) => gathered,
-        Some(Err(fault)) => return Err(ungathered(&fault)),
+        Some(Err(fault)) => return Err(gather_fault_answer(&fault)),
         None => return Err(SystemAnswer::refused(RefusalCause::DeadlineTooClose, None)),
     };
     let request = claim_request(kind.row(), key, &parts, &data);
-    let run = RequestRun::new(Arc::clone(context), parts, body, kind, terms).begun_at(arrived);
-    carry_keyed(run, request, seat).await
+    let run = RequestRun::new(Arc::clone(context), parts, body, kind, terms).arrived_at(arrived);
+    run_keyed(run, request, permit).await
 }
 
-/// What is known of a request that gets an answer of the system's own.
+/// What is known of a request that the system answers itself, for logs and metrics.
 #[derive(Debug, Default)]
 struct RefusedRequest<'a> {
-    /// The caller's name for it.
+    /// The caller's request id.
     id: Option<SmolStr>,
     row: Option<&'a KindPlan>,
     attempts: u8,
     /// The upstream tried last.
     upstream: Option<UpstreamId>,
-    /// How long it was held.
-    held: Duration,
+    /// How long the request was held.
+    elapsed: Duration,
 }
 
 fn refuse(
     context: &TrafficContext,
-    asked: &RefusedRequest<'_>,
+    refused: &RefusedRequest<'_>,
     answer: SystemAnswer,
-    is_last: bool,
+    closes_connection: bool,
 ) -> Response<AnswerBody> {
     let counters = &context.counters;
     if let Some(metrics) = &context.metrics {
-        metrics.record_refusal(asked.row, answer.cause, answer.verdict);
+        metrics.record_refusal(refused.row, answer.cause, answer.verdict);
     }
     match answer.verdict {
         RequestVerdict::NotRun => TrafficCounters::add(&counters.refused),
@@ -359,15 +364,15 @@
     }
     let view = context.view.load();
     let mut response = answer.into_response(&context.dialect);
-    info!(context.logger, "request-refused"; "id" => asked.id.as_deref(),
-        "kind" => asked.row.map(|row| row.kind.to_string()),
+    info!(context.logger, "request-refused"; "id" => refused.id.as_deref(),
+        "kind" => refused.row.map(|row| row.kind.to_string()),
         "status" => response.status().as_u16(), "cause" => answer.cause,
-        "verdict" => %answer.verdict, "attempts" => asked.attempts,
-        "upstream" => asked.upstream.as_ref().map(ToString::to_string),
-        "held_ms" => u64::try_from(asked.held.as_millis()).unwrap_or(u64::MAX),
+        "verdict" => %answer.verdict, "attempts" => refused.attempts,
+        "upstream" => refused.upstream.as_ref().map(ToString::to_string),
+        "held_ms" => u64::try_from(refused.elapsed.as_millis()).unwrap_or(u64::MAX),
         "config" => view.version.0, "awaited" => view.awaited.map(|version| version.0),
         "retry_after_ms" => answer.retry_after.map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)));
-    if is_last {
+    if closes_connection {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -387,7 +392,7 @@
     }
 }
 
-/// The same for the library's servers, which take the service by reference.
+/// The same service for the servers of `hyper`, which call it by reference.
 impl hyper::service::Service<Request<Incoming>> for RequestForwarder {
     type Response = Response<AnswerBody>;
     type Error = Infallible;
@@ -398,13 +403,13 @@
     }
 }
 
-fn ungathered(fault: &RequestFault) -> SystemAnswer {
+fn gather_fault_answer(fault: &RequestFault) -> SystemAnswer {
     match fault {
         RequestFault::TooLarge => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             SystemAnswer::failed(status, RequestVerdict::NotRun, "body-too-large", None)
         }
-        RequestFault::CallerBroke(_) | RequestFault::GivenUp => {
+        RequestFault::CallerAborted(_) | RequestFault::Superseded => {
             SystemAnswer::refused(RefusalCause::BadRequest, None)
         }
     }
