--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -1,4 +1,4 @@
-//! Takes this host's own questions, and brings their answers back to who asked.
+//! Handles the requests of this host's traffic side and operators, and returns their answers.
 
 use pulley_core::process::{Announcement, Incarnation, UpstreamStart};
 use pulley_core::version::{
@@ -12,10 +12,10 @@
 use super::control_core::ControlCore;
 use super::control_handle::{ControlFault, ControlRequest, Result};
 
-/// Confirmed departures that are remembered; a day has some thousands at the planned size.
+/// The most confirmed departures that are remembered. A day has a few thousand at the planned size.
 const DEPARTED_LIMIT: usize = 4_096;
 
-/// Who waits for the answer to a question.
+/// The receiver of the answer to a question that was put to the leader.
 #[derive(Debug)]
 pub(crate) enum AnswerSlot {
     Change(oneshot::Sender<ChangeAnswer>),
@@ -26,14 +26,15 @@
     Zones(oneshot::Sender<Result<EvacuatedZones>>),
     Claim(oneshot::Sender<ClaimAnswer>),
     Done(oneshot::Sender<Result<()>>),
-    /// An upstream's leaving, with the start that leaves.
+    /// The departure of an upstream, with the incarnation that leaves.
     Departure(UpstreamStart, oneshot::Sender<Result<()>>),
-    /// The control core itself; see [`ControlCore::note_applied`].
+    /// The control core itself. See [`ControlCore::note_applied`].
     Applied,
 }
 
 impl AnswerSlot {
-    /// Gives the answer in the form that was asked for; who no longer waits is passed over.
+    /// Converts the answer to the requested form and sends it. A receiver that no longer waits is
+    /// ignored.
     pub(crate) fn answer(self, answer: ReplicaAnswer) {
         match self {
             Self::Change(reply) => drop(reply.send(change_answer(answer))),
@@ -54,7 +55,7 @@
             ),
             Self::Zone(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Zone(answer) => Ok(answer),
-                // It may hold all the same.
+                // The order may be accepted nevertheless.
                 ReplicaAnswer::Unknown { .. } => Err(ControlFault::NoAnswer),
                 other => Err(fault_of(other)),
             })),
@@ -135,8 +136,8 @@
         let leaves = !announcement.phase.takes_work();
         let start = UpstreamStart { id, incarnation };
         if !leaves && self.has_left(&start) {
-            // It was under way for long. Taken in by a host that has restarted since and knows
-            // nothing of the start, it would bring work back to an upstream that is gone.
+            // The announcement was delayed. If a host that has restarted since, and does not know
+            // this incarnation, took it in, requests would go to an upstream that is gone.
             let _ = reply.send(Ok(()));
             return;
         }
@@ -147,11 +148,12 @@
         }
     }
 
-    /// Acknowledges that an upstream leaves only once a quorum has heard of it.
+    /// Acknowledges a departure only once a quorum knows of it.
     ///
-    /// An upstream stops soon after it is told that its leaving is known. A host that is cut off
-    /// from the others knows, but nobody else does: they would go on sending work to an upstream
-    /// that is gone. It gives no answer then, and the upstream tells another host.
+    /// An upstream stops soon after its departure is acknowledged. If a host that is cut off from
+    /// the others acknowledged it, no other host would know, and they would keep sending requests
+    /// to an upstream that is gone. Such a host gives no answer, and the upstream tries another
+    /// host.
     fn confirm_departure(
         &mut self,
         now: Moment,
@@ -165,15 +167,15 @@
             return;
         }
         let Some((start, record)) = self.registry.departure(id) else {
-            // A late message of an earlier start, or of one that has gone on since.
-            let _ = reply.send(Err(ControlFault::Refused(format!("{id} does not leave"))));
+            // A delayed message of an earlier incarnation, or of one that has resumed since.
+            let _ = reply.send(Err(ControlFault::Refused(format!("{id} is not leaving"))));
             return;
         };
         let question = ReplicaQuestion::Departure { start: start.clone(), record };
         self.ask(now, question, AnswerSlot::Departure(start, reply));
     }
 
-    /// Remembers confirmed departures, since upstreams go on announcing them until they stop.
+    /// Remembers a confirmed departure, because upstreams keep announcing it until they stop.
     pub(super) fn note_departed(&mut self, start: UpstreamStart) {
         if self.departed.len() >= DEPARTED_LIMIT {
             self.departed.clear();
@@ -221,14 +223,14 @@
                 let key = SmolStr::new(claim.key);
                 (ReplicaQuestion::Release { key, token }, AnswerSlot::Done(reply))
             }
-            // Answered without the leader, before this is called.
+            // `answer_request` handles the other requests without the leader.
             _ => return,
         };
         self.ask(now, question, slot);
     }
 
-    /// Puts a question to the leader; returns whether it is on its way. One that is not was answered
-    /// as refused.
+    /// Sends a question to the leader. Returns whether it was sent; if not, it was answered as
+    /// refused.
     pub(super) fn ask(&mut self, now: Moment, question: ReplicaQuestion, slot: AnswerSlot) -> bool {
         let Some((number, routed)) = self.router.ask(now, question) else {
             slot.answer(ReplicaAnswer::Refused(ReplicaRefusal::Busy));
--- a/crates/pulleyd/src/process/control_core.rs
+++ b/crates/pulleyd/src/process/control_core.rs
@@ -1,6 +1,6 @@
-//! The control thread's state machines side by side, free of sockets and clocks.
+//! Combines the control thread's state machines, without sockets and clocks.
 //!
-//! [`ControlCore`] takes what came in and what time it is, and returns what is to go out.
+//! [`ControlCore`] takes inputs and the current time, and returns the outputs to carry out.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,25 +26,25 @@
 use crate::connection::{DatagramCounts, FrameClass, LinkCounts};
 use crate::request::SchedulerSet;
 
-/// What the control thread is to carry out.
+/// An action for the control thread to carry out.
 #[derive(Debug)]
 pub(crate) enum ControlOutput {
-    /// Send over the link to a host.
+    /// Sends a frame over the link to a host.
     Link {
         to: HostId,
         class: FrameClass,
         body: Bytes,
     },
-    /// Send as a datagram.
+    /// Sends a datagram.
     Datagram {
         to: SocketAddr,
         class: FrameClass,
         body: Bytes,
     },
-    /// Hand to the storage thread.
+    /// Passes a batch to the storage thread.
     Persist(PersistBatch),
     ReadAudit(AuditRead),
-    /// Ask an upstream how loaded it is.
+    /// Probes an upstream for its load.
     Probe {
         pool: PoolName,
         zone: ZoneName,
@@ -53,19 +53,19 @@
     },
 }
 
-/// What the sockets have carried so far.
+/// The traffic of the peers' sockets since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TransportCounts {
     pub(crate) datagrams: DatagramCounts,
     pub(crate) links: LinkCounts,
 }
 
-/// What the core is made from.
+/// The parts from which the core is created.
 pub(crate) struct CoreParts {
     pub(crate) own: MemberRecord,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) replica: Option<ReplicaDriver>,
-    /// The upstreams that this host's disk holds.
+    /// The directory of upstreams from this host's disk.
     pub(crate) directory: Option<UpstreamDirectory>,
     pub(crate) founders: Vec<HostId>,
     pub(crate) view: ViewCell,
@@ -73,12 +73,12 @@
     pub(crate) share_counts: bool,
     pub(crate) upstream_lease: Duration,
     pub(crate) serves_on: bool,
-    /// What the host's link bears, in bytes a second, if that is known.
+    /// The bandwidth of the host's link in bytes per second, if known.
     pub(crate) link_rate: Option<f64>,
     pub(crate) seed: u64,
 }
 
-/// All control state of one host.
+/// The control state of one host.
 pub(crate) struct ControlCore {
     pub(super) members: MemberTable,
     pub(super) registry: UpstreamRegistry,
@@ -93,32 +93,32 @@
     pub(super) schedulers: Arc<SchedulerSet>,
     pub(super) shutting_down: bool,
     pub(super) transport: TransportCounts,
-    /// What the view was last built from, and when.
+    /// The inputs of the last published view, and when it was built.
     seen: Option<(ViewMarks, Moment)>,
-    /// When a new view is due that waits for more changes.
+    /// When to build a view that was deferred to collect more changes.
     view_due: Option<Moment>,
-    /// The plan in force as views show it.
+    /// The plan in force, as the published views hold it.
     pub(super) shown_plan: Arc<IndexedPlan>,
     pub(super) lease_round: Option<(u64, Moment)>,
     pub(super) next_lease_round: Moment,
     pub(super) next_lease_token: u64,
-    /// Whether this host led when it last looked.
+    /// Whether this host led the log at the last call of [`Self::renew_lease`].
     pub(super) led: bool,
-    /// Departures of upstreams that a quorum has confirmed.
+    /// The departures of upstreams that a quorum has confirmed.
     pub(super) departed: FastSet<UpstreamStart>,
-    /// The latest order for a zone that upstreams are shown by.
+    /// The revision of the evacuated zones that the registry was last given.
     zones_shown: LogIndex,
-    /// The live entries of each zone as views show them.
+    /// The live entries of each zone, as the published views hold them.
     pub(super) entries: Arc<EntryZones>,
     pub(super) recovery: UpstreamRecovery,
 }
 
-/// How long changes of hosts and upstreams may wait for others, so that one view takes in a burst:
-/// a zone that is lost, a release, all hosts back after a loss of power. A request may be placed by
-/// what was known so much earlier.
+/// The shortest interval between views that differ only in hosts and upstreams, so that one view
+/// covers a burst of changes: the loss of a zone, a release, or the return of all hosts after a
+/// loss of power. A request may be placed by a view that is stale by this much.
 const VIEW_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the last view was built from; a new one is built when any of it has moved.
+/// The inputs of a view. A new view is built when any of them changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ViewMarks {
     members: u64,
@@ -131,8 +131,9 @@
 }
 
 impl ViewMarks {
-    /// Whether all that differs is hosts, upstreams, or which newer version is awaited. That one is
-    /// awaited at all must show at once: callers are denied nothing for good from then on.
+    /// Whether a view with the inputs `other` may be deferred. This is so if only hosts, upstreams
+    /// or the number of the awaited version differ. That a version is awaited at all must be
+    /// published at once: from then on, callers get no refusal that is final.
     fn can_wait(&self, other: &Self) -> bool {
         let without = |marks: &Self| {
             let awaited = marks.awaited.map(|_| ConfigVersion::default());
@@ -183,7 +184,7 @@
     // ---------------------------------------------------------------------------------------------
     // Inputs
 
-    /// Does what is due.
+    /// Runs every part that is due, and returns the outputs.
     pub(crate) fn tick(&mut self, now: Moment) -> Vec<ControlOutput> {
         let gossip = self.members.tick(now);
         self.send_membership(gossip);
@@ -206,7 +207,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes a frame that came over a link.
+    /// Handles a frame received over a link.
     pub(crate) fn frame(
         &mut self,
         now: Moment,
@@ -226,14 +227,14 @@
                 let plans = self.follower.receive(now, from, &body);
                 self.send_plans(plans);
             }
-            // These come as datagrams only.
+            // These classes are sent as datagrams only.
             FrameClass::Membership | FrameClass::Counts | FrameClass::Upstreams => {}
         }
         self.refresh(now);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes a datagram.
+    /// Handles a received datagram.
     pub(crate) fn datagram_in(
         &mut self,
         now: Moment,
@@ -264,14 +265,14 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes what a storage thread has to say.
+    /// Handles the result of a storage thread.
     pub(crate) fn stored(&mut self, now: Moment, input: DriverInput) -> Vec<ControlOutput> {
         self.drive(now, input);
         self.refresh(now);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes the storage thread's word on a write.
+    /// Handles the outcome of a write.
     pub(crate) fn persisted(
         &mut self,
         now: Moment,
@@ -281,24 +282,24 @@
         self.stored(now, DriverInput::Persisted { ticket, ok })
     }
 
-    /// Takes a request of this host's own traffic side or operators.
+    /// Handles a request of this host's traffic side or of operators.
     pub(crate) fn request(&mut self, now: Moment, request: ControlRequest) -> Vec<ControlOutput> {
         self.answer_request(now, request);
         self.refresh(now);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Notes what the sockets have carried, for the status.
+    /// Records the traffic of the sockets, for the status.
     pub(crate) fn note_transport(&mut self, counts: TransportCounts) {
         self.transport = counts;
     }
 
-    /// Takes what became of a probe.
+    /// Handles the result of a probe.
     pub(crate) fn probed(&mut self, now: Moment, probe: &ProbeReport) {
         self.counts.probed(now, probe);
     }
 
-    /// When [`Self::tick`] is next of use.
+    /// Returns when [`Self::tick`] is next due.
     pub(crate) fn next_wakeup(&self) -> Moment {
         let mut next = self
             .members
@@ -318,7 +319,7 @@
         next
     }
 
-    /// Leaves the cluster's membership; called last.
+    /// Leaves the cluster's membership. No other method may be called afterwards.
     pub(crate) fn leave(&mut self, now: Moment) -> Vec<ControlOutput> {
         let farewells = self.members.leave(now);
         self.send_membership(farewells);
@@ -360,7 +361,7 @@
         }
     }
 
-    /// Builds a new view if anything it shows has changed.
+    /// Confirms the current view, and publishes a new one if any of its inputs has changed.
     fn refresh(&mut self, now: Moment) {
         let standing = self.follower.standing(now);
         self.apply_zones();
@@ -394,7 +395,7 @@
         self.publish(now, view);
     }
 
-    /// Shows upstreams by the latest orders for zones.
+    /// Applies the latest zone orders to the registry of upstreams.
     fn apply_zones(&mut self) {
         let evacuated = self.follower.evacuated();
         if evacuated.revision != self.zones_shown {
--- a/crates/pulleyd/src/process/control_counts.rs
+++ b/crates/pulleyd/src/process/control_counts.rs
@@ -1,4 +1,4 @@
-//! Carries counts between the schedulers of this host and the pools' coordinators.
+//! Exchanges load counts between the schedulers of this host and the pools' coordinators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use super::RunningView;
 use crate::request::SchedulerSet;
 
-/// The shortest sleep between two looks at the counts, so that a pool of many changes cannot make
-/// a busy loop of the control thread.
+/// The shortest interval between two ticks, so that a pool with many changes cannot keep the
+/// control thread in a busy loop.
 const COUNT_PACE: Duration = Duration::from_millis(2);
 
-/// Which pool's upstreams in which zone.
+/// The upstreams of one pool in one zone.
 type CountScope = (PoolName, ZoneName);
 
-/// What goes over the wire.
+/// A message between hosts.
 #[derive(Debug, Serialize, Deserialize)]
 enum CountFrame {
     Delta(CountDelta),
     Sum(CountSum),
 }
 
-/// What became of a probe that a coordinator asked for.
+/// The result of a probe that a coordinator requested.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeReport {
     /// The pool.
@@ -41,24 +41,25 @@
     pub(crate) outcome: ProbeOutcome,
 }
 
-/// What a look at the counts brought about.
+/// The messages and probes that a tick produces.
 #[derive(Debug, Default)]
 pub(crate) struct CarriedCounts {
     /// Encoded messages for other hosts.
     pub(crate) sends: Vec<(HostId, Bytes)>,
-    /// Probes that coordinators want made.
+    /// Probes that coordinators request.
     pub(crate) probes: Vec<(PoolName, ZoneName, CoordinatorOutput)>,
 }
 
-/// The coordinators that live on this host, and who coordinates the rest.
+/// The coordinators that run on this host, and the hosts that run the others.
 pub(crate) struct CountCarrier {
     host: HostId,
-    /// Whether counts go to and from other hosts; without them schedulers go by their own.
+    /// Whether counts are exchanged with other hosts. If not, schedulers use their own counts
+    /// alone.
     shares: bool,
     coordinators: FastMap<CountScope, PoolCoordinator>,
     assigned: FastMap<CountScope, HostId>,
     not_before: Moment,
-    /// Whether a sum waits to be passed on.
+    /// Whether a sum waits to be relayed to further hosts.
     passes_on: bool,
 }
 
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Whether counts go to and from other hosts.
+    /// Returns whether counts are exchanged with other hosts.
     pub(crate) const fn shares(&self) -> bool {
         self.shares
     }
 
-    /// Takes over a view and the live entries: who coordinates what may have moved.
+    /// Applies a view and the live entries, and reassigns the coordinators.
     pub(crate) fn apply_view(&mut self, now: Moment, view: &RunningView, live: &[HostId]) {
         if !self.shares {
             return;
@@ -99,7 +100,8 @@
             }
         }
         self.coordinators.retain(|scope, _| assigned.get(scope) == Some(&self.host));
-        // Every entry takes part in every pool's rounds, so the bound is split over all pools.
+        // Every entry takes part in every pool's rounds, so the byte limit is divided by the number
+        // of pools.
         let pools = u32::try_from(view.plan.pools().len()).unwrap_or(u32::MAX).max(1);
         let bytes = count_bytes(live.len());
         for coordinator in self.coordinators.values_mut() {
@@ -108,7 +110,7 @@
         self.assigned = assigned;
     }
 
-    /// Sends what changed and what is due.
+    /// Returns the messages and probes that are due.
     pub(crate) fn tick(&mut self, now: Moment, schedulers: &SchedulerSet) -> CarriedCounts {
         let mut carried = CarriedCounts::default();
         if now < self.not_before || !self.shares {
@@ -144,7 +146,7 @@
         carried
     }
 
-    /// Takes a count message of another host; what cannot be read is dropped.
+    /// Handles a count message of another host. A message that cannot be decoded is dropped.
     pub(crate) fn receive(
         &mut self,
         now: Moment,
@@ -160,7 +162,8 @@
             CountFrame::Delta(delta) => {
                 self.take_delta(now, from, &delta, schedulers);
             }
-            // A host may publish or pass on in its own name only; reports go back to that name.
+            // A host may publish or relay a sum only under its own name, because reports are sent
+            // back to that name.
             CountFrame::Sum(sum) if sum.sender == *from => {
                 schedulers.receive_sum(now, &sum);
                 self.passes_on |= !sum.route.is_empty();
@@ -169,7 +172,7 @@
         }
     }
 
-    /// A delta is for the pool's coordinator, if it is here, or for this host's own report.
+    /// Passes a delta to the pool's coordinators on this host, and to this host's own report.
     fn take_delta(
         &mut self,
         now: Moment,
@@ -185,7 +188,8 @@
         schedulers.receive_report(from, delta);
     }
 
-    /// Hands a probe's outcome to the coordinator that asked for it, if it still is one.
+    /// Passes a probe's outcome to the coordinator that requested it, if it still runs on this
+    /// host.
     pub(crate) fn probed(&mut self, now: Moment, probe: &ProbeReport) {
         let scope = (probe.pool.clone(), probe.zone.clone());
         if let Some(coordinator) = self.coordinators.get_mut(&scope) {
@@ -203,7 +207,7 @@
         own.into_iter().chain(deltas).chain(passes_on).min().map(|due| due.max(self.not_before))
     }
 
-    /// The pools and zones that this host coordinates.
+    /// Returns the pools and zones that this host coordinates.
     pub(crate) fn scopes(&self) -> Vec<String> {
         let mut scopes: Vec<String> =
             self.coordinators.keys().map(|(pool, zone)| format!("{pool}/{zone}")).collect();
@@ -247,11 +251,11 @@
     }
 }
 
-/// Bytes a second that counts may cost a host.
+/// Returns the bytes per second that counts may cost a host.
 ///
-/// Gossip takes more of a host's bytes the more hosts there are (docs/CAPACITY.md). Counts that did
-/// not make room for it would take a large installation over its bound; with fewer bytes rounds are
-/// rarer, and entries compare fewer upstreams on older counts.
+/// The cost of gossip per host grows with the number of hosts (docs/CAPACITY.md). If counts did not
+/// leave room for it, a large installation would exceed its traffic limit. With fewer bytes, rounds
+/// are less frequent, and entries compare fewer upstreams by older counts.
 fn count_bytes(hosts: usize) -> u32 {
     const BYTES_A_HOST: u32 = 28;
     const LEAST: u32 = 3_000;
--- a/crates/pulleyd/src/process/control_replica.rs
+++ b/crates/pulleyd/src/process/control_replica.rs
@@ -1,5 +1,5 @@
-//! The control thread's part with the replicated log: the replica of this host, if it has one, and
-//! the questions that go to whichever replica leads.
+//! Connects the control thread to the replicated log: drives this host's replica, if it has one,
+//! and routes questions to the replica that leads.
 
 use std::time::Duration;
 
@@ -13,11 +13,12 @@
 use super::control_core::{ControlCore, ControlOutput};
 use crate::connection::FrameClass;
 
-/// How often a leader confirms with a quorum that it still leads, and renews the configuration
-/// lease: several times within the shortest lease, so that two lost rounds do no harm.
+/// The interval at which a leader confirms its leadership with a quorum and renews the
+/// configuration lease. The shortest lease covers several intervals, so that two lost rounds do no
+/// harm.
 const LEASE_ROUND: Duration = Duration::from_millis(500);
 
-/// Tokens from here on are the core's own questions; below are the router's numbers.
+/// The first token of the core's own questions. Lower tokens are the router's question numbers.
 pub(super) const LEASE_TOKENS: u64 = 1 << 63;
 
 impl ControlCore {
@@ -84,7 +85,8 @@
 
     fn ask_local(&mut self, now: Moment, number: QuestionNumber, question: ReplicaQuestion) {
         if let ReplicaQuestion::Departure { record, .. } = &question {
-            // Whoever is asked tells every host, so that the news does not hang on one host's life.
+            // Every host that is asked announces the departure to all hosts, so that its spread
+            // does not depend on one host staying alive.
             self.registry.take_departure(now, record);
         }
         if self.replica.is_some() {
@@ -96,10 +98,12 @@
         self.route(now, routed);
     }
 
-    /// A leader proves by a quorum read that it leads, and that its version is the latest; the
-    /// lease counts from when the read began, since nothing later is proved by it.
+    /// Starts a round that renews the configuration lease, if this host leads and a round is due.
+    ///
+    /// A quorum read proves that this host leads and that its version is the latest. The lease
+    /// starts when the read began, because the read proves nothing about later times.
     pub(super) fn renew_lease(&mut self, now: Moment) {
-        // A new leader's first lease is what every host waits for after a restart of all.
+        // After a restart of all hosts, every host waits for the first lease of the new leader.
         let leads = self.replica.as_ref().is_some_and(|replica| replica.node().is_leader());
         let led = std::mem::replace(&mut self.led, leads);
         let has_won = leads && !led;
@@ -134,8 +138,8 @@
         self.follower.lead(term, set, began);
     }
 
-    /// Tells the follower what this host's log holds past what is committed: hosts without a
-    /// lease must know of it, because it may or may not have been accepted.
+    /// Reports this host's uncommitted log entries to the follower. Hosts without a lease must know
+    /// of them, because they may or may not have been accepted.
     fn report_log(&mut self) {
         let Some(replica) = &self.replica else { return };
         let (last_version, last_order) = last_entries(replica);
@@ -151,8 +155,7 @@
     }
 }
 
-/// The latest version that any entry of this log could make, and the latest order for a zone that
-/// could hold, committed or not.
+/// Returns the latest version and the latest zone order in this log, committed or not.
 fn last_entries(replica: &ReplicaDriver) -> (ConfigVersion, LogIndex) {
     let (node, machines) = (replica.node(), replica.machines());
     let mut version = machines.configuration.version();
--- a/crates/pulleyd/src/process/control_status.rs
+++ b/crates/pulleyd/src/process/control_status.rs
@@ -1,4 +1,4 @@
-//! What a host says of itself: its view for the traffic side, its status for operators.
+//! Builds the host's view for the traffic side and its status for operators.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::{HostReadiness, RunningView};
 
 impl ControlCore {
-    /// The view that holds now.
+    /// Returns the current view.
     pub(super) fn build_view(&mut self, now: Moment, standing: PlanStanding) -> RunningView {
         let live = self.members.live_entries();
         RunningView {
@@ -26,8 +26,8 @@
         }
     }
 
-    /// The sheet in force; the same one until another is, so that who follows views sees whether
-    /// it has changed.
+    /// Returns the plan in force. It is the same `Arc` until another plan is in force, so that
+    /// readers of views detect a change by its pointer.
     fn plan_in_force(&mut self) -> Arc<IndexedPlan> {
         let Some(plan) = self.follower.in_force() else { return Arc::default() };
         if !Arc::ptr_eq(self.shown_plan.shared(), plan) {
@@ -51,7 +51,8 @@
         HostReadiness::NotReady { why: SmolStr::new_static(why) }
     }
 
-    /// How old shared counts are in each pool, in milliseconds; null where this host has none.
+    /// Returns the age of the shared counts of each pool in milliseconds, or null where this host
+    /// has none.
     fn count_ages(&self, now: Moment) -> Value {
         let ages = self.schedulers.count_ages(now);
         let ages = ages.into_iter().map(|(pool, age)| {
@@ -61,8 +62,8 @@
         Value::Object(ages.collect())
     }
 
-    /// What control has cost in messages since the process began; bytes without the headers of IP,
-    /// UDP and TCP, but with what links add to their frames.
+    /// Returns the counts of control messages since the process started. Bytes exclude the headers
+    /// of IP, UDP and TCP, but include the overhead that links add to their frames.
     fn transport_status(&self) -> Value {
         let TransportCounts { datagrams, links } = self.transport;
         json!({
@@ -79,7 +80,7 @@
         })
     }
 
-    /// The host's status, as the operators' listener shows it.
+    /// Returns the host's status, as the operators' API shows it.
     pub(super) fn status(&self, now: Moment) -> Value {
         let standing = self.follower.standing(now);
         let hosts: Vec<Value> = self
@@ -119,7 +120,7 @@
     }
 }
 
-/// How the host stands towards the configuration, for operators; the version stands beside it.
+/// Returns the text of a standing for operators. The status shows the version separately.
 const fn standing_word(standing: PlanStanding) -> &'static str {
     match standing {
         PlanStanding::Starting => "starting",
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -1,4 +1,4 @@
-//! The one thread that holds control state, and what it needs of sockets and timers.
+//! The control thread, which owns the control state of the host with its sockets, disk and timers.
 
 use std::collections::VecDeque;
 use std::io;
@@ -32,29 +32,28 @@
 use crate::request::SchedulerSet;
 use crate::version::StorageFault;
 
-/// Messages that may wait for the control thread, of each sort. Datagrams past it are dropped
-/// and replaced by later ones; links are held back.
+/// The most messages of each kind that may wait for the control thread. Further datagrams are
+/// dropped and replaced by later ones. Links are held back.
 const QUEUE_DEPTH: usize = 4_096;
 
 /// The longest sleep of the control thread.
 const LONGEST_SLEEP: Duration = Duration::from_millis(250);
 
-/// The pause between two lines on the members: where hundreds of hosts start together, each hears
-/// of them one by one.
+/// The shortest interval between two log lines on the members. When hundreds of hosts start
+/// together, each host learns of them one by one.
 const MEMBERS_PAUSE: Duration = Duration::from_millis(500);
 /// Bytes in a kilobit.
 const BYTES_PER_KBIT: f64 = 125.0;
-/// The shortest pause between two log lines on what spreading configurations costs.
+/// The shortest interval between two log lines on the cost of spreading configurations.
 const SPREAD_PAUSE: Duration = Duration::from_secs(1);
 
-/// How often the secret file is looked at for changed keys.
+/// The interval at which the secret file is checked for changed keys.
 const KEY_CHECK: Duration = Duration::from_secs(2);
 
-/// How long after a full disk was noticed it is tried again.
+/// The delay before a full disk is tried again.
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// Events handled between two looks at what is due, so that a flood of messages cannot hold up
-/// heartbeats.
+/// The most events handled between two ticks, so that a flood of messages cannot delay heartbeats.
 const EVENT_BURST: usize = 64;
 
 /// Why the control thread could not start.
@@ -68,38 +67,38 @@
     Storage(#[from] StorageFault),
 }
 
-/// What starting the control thread returns.
+/// Result of starting the control thread.
 pub type StartResult<T> = Result<T, ControlStartFault>;
 
-/// What the control thread is started with.
+/// The parts with which the control thread is started.
 #[derive(Debug)]
 pub struct ControlParts {
     /// The daemon's settings.
     pub settings: DaemonSettings,
-    /// Where callers reach this host, once bound.
+    /// The bound address for callers.
     pub caller_address: SocketAddr,
-    /// Where operators reach this host, once bound.
+    /// The bound address for operators.
     pub operator_address: SocketAddr,
-    /// The installation's keys.
+    /// The keys of the installation.
     pub key_ring: KeyRing,
-    /// Where it publishes its view.
+    /// The cell in which the control thread publishes its view.
     pub view: ViewCell,
-    /// The schedulers whose counts it carries.
+    /// The schedulers whose counts it exchanges with other hosts.
     pub schedulers: Arc<SchedulerSet>,
-    /// Requests of the traffic side and the operators.
+    /// The requests of the traffic side and the operators.
     pub requests: mpsc::Receiver<ControlRequest>,
-    /// Asks an upstream how loaded it is; runs on the traffic threads.
+    /// Probes upstreams for their load, on the traffic threads.
     pub prober: UpstreamProber,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: ProcessClock,
-    /// Where events go.
+    /// The event log.
     pub logger: Logger,
 }
 
 /// The running control thread.
 #[derive(Debug)]
 pub struct ControlThread {
-    /// Where other hosts reach this one.
+    /// The address at which other hosts reach this one.
     pub peer_address: SocketAddr,
     stop: watch::Sender<bool>,
     thread: JoinHandle<()>,
@@ -109,7 +108,7 @@
     /// Opens the data folder and the peers' sockets, then runs until [`Self::stop`].
     ///
     /// # Errors
-    /// Whatever kept it from starting; nothing runs then.
+    /// Returns the fault that prevented the start. Nothing runs then.
     pub fn start(parts: ControlParts) -> StartResult<Self> {
         let (stop, stopped) = watch::channel(false);
         let (started, start) = std::sync::mpsc::sync_channel(1);
@@ -140,29 +139,30 @@
     datagrams: PeerDatagrams,
     opening: ReplicaOpening,
     disk: Option<ReplicaDisk>,
-    /// When to open the data folder again whose disk was full.
+    /// When to open the data folder again after its disk was full.
     reopen_at: Option<Moment>,
     clock: ProcessClock,
     logger: Logger,
     key_ring: KeyRing,
     prober: UpstreamProber,
     probed: mpsc::Sender<ProbeReport>,
-    /// Up to which change of the members addresses are known.
+    /// The change count of the members up to which the links know their addresses.
     known_mark: u64,
-    /// Up to which change of the members the log tells of them, and when it next may.
+    /// The change count of the members at the last log line on them, and when the next line is
+    /// allowed.
     told_mark: u64,
     next_telling: Moment,
     spread_told: SpreadCounts,
     next_spread_telling: Moment,
     believed: Option<ReplicaBelief>,
-    /// How this host stood towards the configuration when that was last logged.
+    /// The standing of the configuration that was last logged.
     standing: Option<PlanStanding>,
-    /// The latest order for a zone that was logged.
+    /// The revision of the evacuated zones that was last logged.
     zones_told: LogIndex,
     next_key_check: Moment,
 }
 
-/// What a replica believes of its cluster; a change of it is logged.
+/// The state of the cluster as this replica knows it. A change of it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReplicaBelief {
     role: &'static str,
@@ -305,7 +305,8 @@
     }
 }
 
-/// Takes the next output off if it is a datagram to the same host, as one datagram carries both.
+/// Removes and returns the next output if it is a datagram to the same host. One datagram then
+/// carries both.
 fn take_same(
     outputs: &mut VecDeque<ControlOutput>,
     host: SocketAddr,
@@ -318,7 +319,7 @@
 }
 
 impl ControlLoop {
-    /// Handles what has come in, up to a burst.
+    /// Waits for an event, then handles it and those already queued, up to [`EVENT_BURST`] in all.
     async fn next_event(&mut self, inbox: &mut ControlInbox) {
         let first = wait_event(inbox).await;
         self.handle(first);
@@ -407,7 +408,7 @@
         self.core.persisted(self.clock.now(), ticket, false)
     }
 
-    /// Keeps addresses and keys up to date.
+    /// Updates addresses and keys, logs changes of state, and writes the directory of upstreams.
     fn look_after(&mut self) {
         let mark = self.core.members.changes();
         if mark != self.known_mark {
@@ -433,7 +434,7 @@
         }
     }
 
-    /// Writes down the upstreams, if they have changed and the disk is done with the last ones.
+    /// Writes the directory of upstreams, if they have changed and the previous write has ended.
     fn write_directory(&mut self, now: Moment) {
         let Some(disk) = self.disk.as_ref().filter(|disk| !disk.directory.is_busy()) else {
             return;
@@ -445,9 +446,10 @@
 
     /// Opens the data folder again after its disk was full.
     ///
-    /// A replica whose write failed falls silent for good. A disk that is full refuses writes and
-    /// loses none: once it has room, what the folder holds is what the replica had acknowledged, as
-    /// after a restart. Left silent, one full disk after the other would take the majority away.
+    /// A replica whose write failed stays silent until it is opened again. A full disk refuses
+    /// writes but loses none: once it has room, the folder holds what the replica had acknowledged,
+    /// as after a restart. If such replicas stayed silent, one full disk after the other would cost
+    /// the cluster its majority.
     fn reopen_full_disk(&mut self, inbox: &mut ControlInbox) {
         let now = self.clock.now();
         if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_full) {
@@ -457,14 +459,15 @@
         if self.reopen_at.is_none_or(|at| now < at) {
             return;
         }
-        // The thread that writes has to end before another may open the folder.
+        // The storage thread has to end before another one may open the folder.
         self.disk = None;
         match self.opening.open(now) {
             Ok(Some(open)) => {
                 info!(self.logger, "disk-reopened");
                 self.core.replica = Some(open.driver);
                 self.disk = Some(open.disk);
-                // Tickets begin anew: no word on an earlier write may be taken for one on these.
+                // Tickets are numbered from the start again. The old channel is dropped, so that
+                // the result of an earlier write is not taken for that of a new one.
                 inbox.stored = open.stored;
                 self.reopen_at = None;
             }
@@ -476,7 +479,7 @@
         }
     }
 
-    /// Logs how many hosts are alive, once that has changed.
+    /// Logs the number of live hosts if the members have changed.
     fn report_members(&mut self, mark: u64) {
         let now = self.clock.now();
         if mark == self.told_mark || now < self.next_telling {
@@ -487,7 +490,8 @@
         info!(self.logger, "membership"; "live" => self.core.members.live().count());
     }
 
-    /// Logs what is in force, who leads and who votes, once that has changed.
+    /// Logs the configuration in force, the evacuated zones, the leader and the members of the log
+    /// if they have changed.
     fn report_belief(&mut self) {
         let standing = self.core.follower.standing(self.clock.now());
         if self.standing != Some(standing) {
@@ -524,7 +528,7 @@
             "failure" => status.failure.as_ref().map(ToString::to_string));
     }
 
-    /// Logs what spreading configurations costs, while it does.
+    /// Logs the cost of spreading configurations if it has grown.
     fn report_spread(&mut self) {
         let now = self.clock.now();
         let counts = self.core.follower.spread_counts();
@@ -593,7 +597,7 @@
     inbox.probes.try_recv().ok().map(ControlEvent::Probed)
 }
 
-/// Tells the control thread to hand over what it leads, and waits until it has.
+/// Tells the control thread to hand over its leadership, and waits for its answer.
 pub(super) async fn hand_over(handle: &super::ControlHandle) {
     let _ = handle.ask(|reply: oneshot::Sender<()>| ControlRequest::ShutDown(reply)).await;
 }
--- a/crates/pulleyd/src/process/replica_opening.rs
+++ b/crates/pulleyd/src/process/replica_opening.rs
@@ -1,4 +1,4 @@
-//! Opens the data folder of a replica, and the threads that write to it and read from it.
+//! Opens the data folder of a replica and starts the threads that write to it and read from it.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
     SystemFolder,
 };
 
-/// What opening gives.
+/// Result of opening a data folder.
 type Result<T> = std::result::Result<T, StorageFault>;
 
 /// The threads that write to a data folder and read from it.
@@ -30,7 +30,7 @@
 }
 
 impl ReplicaDisk {
-    /// Whether a write was refused because the disk is full.
+    /// Returns whether a write failed because the disk is full.
     pub(super) fn is_full(&self) -> bool {
         self.full.load(Ordering::Acquire)
     }
@@ -40,13 +40,13 @@
 pub(super) struct OpenReplica {
     pub(super) driver: ReplicaDriver,
     pub(super) disk: ReplicaDisk,
-    /// The upstreams that were known when the folder was last in use.
+    /// The directory of upstreams as last written to the folder.
     pub(super) directory: Option<UpstreamDirectory>,
-    /// What the threads have to say.
+    /// The results that the threads report.
     pub(super) stored: mpsc::UnboundedReceiver<DriverInput>,
 }
 
-/// Opens the data folder of a replica, as often as need be.
+/// Opens the data folder of a replica, at the start and again after its disk was full.
 pub(super) struct ReplicaOpening {
     settings: DaemonSettings,
     clock: ProcessClock,
@@ -58,7 +58,7 @@
         Self { settings: settings.clone(), clock, logger }
     }
 
-    /// Opens the data folder and reads what it holds; none if this host holds no replica.
+    /// Opens the data folder and recovers its state. Returns `None` if this host is no replica.
     pub(super) fn open(&self, now: Moment) -> Result<Option<OpenReplica>> {
         let Some(folder) = &self.settings.data_folder else { return Ok(None) };
         let identity = self.identity();
@@ -85,7 +85,8 @@
         Ok(Some(OpenReplica { driver, disk, directory, stored }))
     }
 
-    /// Opens the directory of upstreams, which the replica can do without.
+    /// Opens the directory of upstreams. The replica works without it, so faults in it are only
+    /// logged.
     fn open_directory(
         &self,
         folder: &Path,
@@ -104,7 +105,8 @@
         Ok((writer, reading.newest))
     }
 
-    /// A host that is no founder, or whose disk was lost, is given its member id by the leader.
+    /// Returns the identity that the settings give this host. A host that is no founder, or whose
+    /// disk was lost, gets its member id from the leader.
     fn identity(&self) -> ReplicaIdentity {
         let host = self.settings.host_id.clone();
         let founder = self.settings.replicas.iter().find(|founder| founder.host == host);
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -1,5 +1,5 @@
-//! How upstreams outlive a restart of all hosts: written down by replicas, recalled, and told to
-//! entries.
+//! Keeps upstreams known across a restart of all hosts. Replicas write them to disk, read them back
+//! after a restart, and send them to entries.
 
 use std::time::Duration;
 
@@ -12,36 +12,37 @@
 use super::control_answer::AnswerSlot;
 use super::control_core::ControlCore;
 
-/// The pause between two directories. A replica then spends one sync a second on them at most, and
-/// what upstreams a loss of power makes it forget have announced themselves within the last second.
+/// The interval between two writes of the directory. It limits the cost to one sync per second. The
+/// upstreams that a loss of power makes the replica forget have announced themselves within the
+/// last second.
 const DIRECTORY_PAUSE: Duration = Duration::from_secs(1);
 
-/// For how long after its start a replica may recall what its disk holds: several elections. After
-/// that the upstreams have announced themselves, and what lives is told by others.
+/// How long after its start a replica may recall the directory of its disk. It covers several
+/// elections. Later, the live upstreams have announced themselves, and other hosts pass them on.
 const RECALL_SPAN: Duration = Duration::from_secs(10);
 
-/// What became of the upstreams on a replica's disk.
+/// The outcome of recalling the upstreams on a replica's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecallOutcome {
-    /// So many of so many are offered to callers until they announce themselves.
+    /// `taken` of the `written` upstreams are used until they announce themselves.
     Recalled { taken: usize, written: usize },
-    /// More upstreams have left since than are remembered.
+    /// The directory is too old: the departures since it was written are no longer all remembered.
     TooOld,
-    /// No leader was found in time.
+    /// No leader confirmed the departures in time.
     TooLate,
 }
 
-/// What a replica does so that upstreams outlive a restart of all hosts.
+/// A replica's state for keeping upstreams known across a restart of all hosts.
 #[derive(Debug, Default)]
 pub(super) struct UpstreamRecovery {
-    /// What its disk holds, until it may be told from what has left since.
+    /// The directory on the disk, until it is known which of its upstreams have left since.
     directory: Option<UpstreamDirectory>,
     proof: RecallProof,
-    /// What became of it, until that is logged.
+    /// The outcome of the recall, until it is logged.
     outcome: Option<RecallOutcome>,
-    /// Starts of entries that were told of the upstreams.
+    /// Entries that were sent the upstreams, each with its incarnation.
     introduced: FastSet<(HostId, MemberIncarnation)>,
-    /// What the last directory was made from, and when it was.
+    /// The registry's change count at the last write of the directory, and the time of that write.
     written: Option<(u64, Moment)>,
 }
 
@@ -52,17 +53,17 @@
 }
 
 impl ControlCore {
-    /// Whether the leaving of an upstream's start is in this host's log.
+    /// Returns whether this host's log holds the departure of an upstream's incarnation.
     pub(super) fn has_left(&self, start: &UpstreamStart) -> bool {
         let replica = self.replica.as_ref();
         replica.is_some_and(|replica| replica.machines().departures.has_left(start))
     }
 
-    /// Takes in the upstreams that the disk holds, once all departures are known that were
-    /// acknowledged before this host started.
+    /// Adds the upstreams on the disk to the registry, once this host knows all departures that
+    /// were acknowledged before it started.
     ///
-    /// Which those are only a leader can tell that a quorum confirms: this replica may have been
-    /// cut off when an upstream left, and its log may end before that.
+    /// Only a leader confirmed by a quorum knows them all. This replica may have been cut off when
+    /// an upstream left, and its log may end before that departure.
     pub(super) fn recall_upstreams(&mut self, now: Moment) {
         let Some(replica) = self.replica.as_ref().filter(|_| self.recovery.directory.is_some())
         else {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes the leader's word on what is applied.
+    /// Handles the leader's answer about the last applied index.
     pub(super) fn note_applied(&mut self, now: Moment, answer: &ReplicaAnswer) {
         let applied = match answer {
             ReplicaAnswer::Applied(index) => Some(index.0),
@@ -109,12 +110,12 @@
         }
     }
 
-    /// What became of the upstreams on the disk, once.
+    /// Returns the outcome of the recall, once.
     pub(crate) fn take_recall(&mut self) -> Option<RecallOutcome> {
         self.recovery.outcome.take()
     }
 
-    /// Tells entries of the own zone that have just started of the upstreams.
+    /// Sends the upstreams to entries of this zone that have just started.
     pub(super) fn introduce_entries(&mut self, now: Moment) {
         if self.replica.is_none() {
             return;
@@ -135,7 +136,8 @@
         self.recovery.introduced = entries.into_iter().map(|(start, _)| start).collect();
     }
 
-    /// The upstreams to write down, if they have changed since that was last done.
+    /// Returns the directory to write, if the upstreams have changed since the last write and the
+    /// interval has passed.
     pub(crate) fn directory_due(&mut self, now: Moment) -> Option<UpstreamDirectory> {
         if now.since(Moment::ZERO) > RECALL_SPAN && self.recovery.directory.take().is_some() {
             self.recovery.outcome = Some(RecallOutcome::TooLate);
