--- a/crates/pulleyd/src/process/announce_api.rs
+++ b/crates/pulleyd/src/process/announce_api.rs
@@ -1,4 +1,4 @@
-//! The listener for upstreams' announcements and the platform's health checks.
+//! The HTTP API for the announcements of upstreams and the platform's health checks.
 
 use std::time::Duration;
 
@@ -15,17 +15,18 @@
 use super::api_server::{ApiLimits, with_bounded_bodies};
 use super::{ControlHandle, ControlRequest, HostReadiness, ViewCell};
 
-/// Time the control thread has to take an announcement in; its sender tries again within the
+/// Timeout for the control thread to handle an announcement. The sender tries again within the
 /// lease, through another host.
 const ANNOUNCE_TIME: Duration = Duration::from_secs(1);
 
-/// Most slots an upstream may announce; an absurd number would draw all of its pool's work.
+/// The most slots that an upstream may announce. An absurd number would attract all of its pool's
+/// requests.
 const SLOTS_LIMIT: u32 = 4_096;
 
-/// Most connections an upstream may announce.
+/// The most connections that an upstream may announce.
 const CONNECTIONS_LIMIT: u32 = 100_000;
 
-/// Takes announcements and answers health checks.
+/// The HTTP API for announcements and health checks.
 #[derive(Clone, Debug)]
 pub struct AnnounceApi {
     control: ControlHandle,
@@ -33,16 +34,17 @@
 }
 
 impl AnnounceApi {
-    /// Limits of its listener: each entry may hear from every upstream, a few bytes at a time.
+    /// The limits of its listener. Every upstream may announce itself to each entry, in a few bytes
+    /// at a time.
     pub const LIMITS: ApiLimits = ApiLimits { connections: 2_048, body_bytes: 4 << 10 };
 
-    /// Makes the API over the control thread's handle and the current view.
+    /// Creates the API from the control thread's handle and the current view.
     #[must_use]
     pub fn new(control: ControlHandle, view: ViewCell) -> Self {
         Self { control, view }
     }
 
-    /// The routes.
+    /// Returns the routes.
     pub fn router(self) -> Router {
         let router = Router::new()
             .route("/v1/announce", post(announce))
@@ -54,7 +56,7 @@
 
 async fn announce(State(api): State<AnnounceApi>, body: Bytes) -> Result<Response> {
     let announcement: Announcement = serde_json::from_slice(&body)
-        .map_err(|error| ApiFault::bad_request(format!("no announcement: {error}")))?;
+        .map_err(|error| ApiFault::bad_request(format!("not a valid announcement: {error}")))?;
     check(&announcement)?;
     let question = api.control.ask(|reply| ControlRequest::Announce(announcement, reply));
     let answer = tokio::time::timeout(ANNOUNCE_TIME, question).await;
@@ -62,20 +64,24 @@
     Ok(Json(json!({ "known": true })).into_response())
 }
 
-/// Refuses what no upstream can mean, so that one broken upstream cannot draw a pool's work to
-/// an address that does not answer.
+/// Refuses implausible announcements, so that one broken upstream cannot attract a pool's requests
+/// to an address that does not answer.
 fn check(announcement: &Announcement) -> Result<()> {
     let address = announcement.address;
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
-        return Err(ApiFault::bad_request(format!("address {address} cannot be connected to")));
+        return Err(ApiFault::bad_request(format!(
+            "no connection to address {address} is possible"
+        )));
     }
     let slots = announcement.slots.0;
     if !(1..=SLOTS_LIMIT).contains(&slots) {
-        return Err(ApiFault::bad_request(format!("slots {slots}: from 1 to {SLOTS_LIMIT}")));
+        return Err(ApiFault::bad_request(format!(
+            "slots {slots} must be from 1 to {SLOTS_LIMIT}"
+        )));
     }
     let connections = announcement.connections;
     if !(1..=CONNECTIONS_LIMIT).contains(&connections) {
-        let message = format!("connections {connections}: from 1 to {CONNECTIONS_LIMIT}");
+        let message = format!("connections {connections} must be from 1 to {CONNECTIONS_LIMIT}");
         return Err(ApiFault::bad_request(message));
     }
     Ok(())
--- a/crates/pulleyd/src/process/api_fault.rs
+++ b/crates/pulleyd/src/process/api_fault.rs
@@ -1,4 +1,4 @@
-//! How the operators' and upstreams' listeners say that something was not done.
+//! Error answers of the APIs for operators and upstreams.
 
 use axum::Json;
 use axum::http::{HeaderValue, StatusCode, header};
@@ -7,13 +7,13 @@
 
 use super::ControlFault;
 
-/// What handlers of the listeners return.
+/// Result of the listeners' handlers.
 pub(super) type Result<T> = std::result::Result<T, ApiFault>;
 
-/// Seconds after which a host that is busy or without quorum may be asked again.
+/// Seconds until a host that is busy or without quorum may be asked again.
 const RETRY_AFTER_S: &str = "1";
 
-/// An answer other than success: a status, a code for programs and a text for people.
+/// An error answer: an HTTP status, a code for programs and a message for people.
 #[derive(Debug)]
 pub(super) struct ApiFault {
     status: StatusCode,
@@ -30,7 +30,8 @@
         Self::new(StatusCode::BAD_REQUEST, "bad-request", message)
     }
 
-    /// Nobody knows whether it was done: the control thread has not answered in time.
+    /// Creates the fault for a control thread that did not answer in time. Whether the request was
+    /// carried out is unknown.
     pub(super) fn no_answer() -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, "unknown", ControlFault::NoAnswer.to_string())
     }
--- a/crates/pulleyd/src/process/api_server.rs
+++ b/crates/pulleyd/src/process/api_server.rs
@@ -1,4 +1,4 @@
-//! Serves the operators' and upstreams' listeners within limits.
+//! An HTTP server with limits, for the listeners of operators and upstreams.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -21,32 +21,33 @@
 
 use super::api_fault::{ApiFault, Result};
 
-/// Time a client has to send its headers; a client that dribbles them would hold a connection
-/// for ever.
+/// Timeout for a client's headers. A client that sends them very slowly would otherwise hold a
+/// connection forever.
 const HEADER_TIME: Duration = Duration::from_secs(5);
 
-/// Time a client has to send its body, besides what a body of the announced length takes.
+/// Timeout for a client's body, in addition to the transfer time of the announced length over the
+/// slowest link.
 const BODY_TIME: Duration = Duration::from_secs(5);
 
-/// The slowest that a client's link is taken to be, in bytes a second.
+/// The slowest link of a client that is allowed for, in bytes per second.
 const SLOWEST_LINK: usize = 128 << 10;
 
-/// Largest header block, in bytes.
+/// The largest header block, in bytes.
 const HEADER_BYTES: u32 = 16 << 10;
 
-/// Time that open connections have to end once the server stops.
+/// Timeout for open connections to end once the server stops.
 const STOP_TIME: Duration = Duration::from_secs(2);
 
-/// Pause after a failed accept; the process is then out of file descriptors, and trying again at
-/// once would only take a core as well.
+/// Backoff after a failed accept. The process is then out of file descriptors, and an immediate
+/// retry would only occupy a core as well.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How many connections a listener holds and how large its bodies are.
+/// The limits of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ApiLimits {
-    /// Most connections at once; further ones wait in the system's accept queue.
+    /// The most concurrent connections. Further ones wait in the operating system's accept queue.
     pub connections: usize,
-    /// Largest body, in bytes.
+    /// The largest body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -60,14 +61,15 @@
 }
 
 impl ApiServer {
-    /// Makes a server; it accepts once it runs.
+    /// Creates a server. It accepts connections once [`Self::run`] is called.
     #[must_use]
     pub fn new(listener: TcpListener, router: Router, limits: ApiLimits, logger: Logger) -> Self {
         let noting = middleware::from_fn_with_state(logger.clone(), note_refused_body);
         Self { listener, router: router.layer(noting), limits, logger }
     }
 
-    /// Accepts and serves until `stop` is done, then lets open requests end for two seconds.
+    /// Accepts and serves connections until `stop` completes, then gives open requests two seconds
+    /// to finish.
     pub async fn run(self, stop: impl Future<Output = ()>) {
         let connections = GracefulShutdown::new();
         let permits = Arc::new(Semaphore::new(self.limits.connections));
@@ -123,7 +125,8 @@
     }
 }
 
-/// Logs that a request was refused for its body: it got no further, and its handler logs nothing.
+/// Logs a request that was refused for its body. It never reaches its handler, so the handler
+/// cannot log it.
 async fn note_refused_body(State(logger): State<Logger>, request: Request, next: Next) -> Response {
     let (path, announced) = (request.uri().path().to_owned(), request.body().size_hint().exact());
     let response = next.run(request).await;
@@ -134,9 +137,9 @@
     response
 }
 
-/// Reads each body whole before the handler sees it, within a size and a time.
+/// Reads each body completely before the handler runs, within limits of size and time.
 pub(super) fn with_bounded_bodies(router: Router, body_bytes: usize) -> Router {
-    // Handlers' readers of bodies have a lower limit of their own.
+    // The body extractors of axum have a lower limit of their own, which is turned off here.
     let router = router.layer(DefaultBodyLimit::disable());
     router.layer(middleware::from_fn_with_state(body_bytes, bound_body))
 }
--- a/crates/pulleyd/src/process/bootstrap_replica.rs
+++ b/crates/pulleyd/src/process/bootstrap_replica.rs
@@ -1,4 +1,4 @@
-//! The first members of the replicated log, as the settings name them.
+//! The founding members of the replicated log, as the settings name them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,12 +6,12 @@
 use pulley_core::HostId;
 use pulley_core::process::MemberId;
 
-/// One of the first members of the replicated log.
+/// A founding member of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootstrapReplica {
-    /// The host it runs on.
+    /// The host of the replica.
     pub host: HostId,
-    /// Its number in the log.
+    /// The member id of the replica.
     pub member: MemberId,
 }
 
--- a/crates/pulleyd/src/process/control_api.rs
+++ b/crates/pulleyd/src/process/control_api.rs
@@ -1,4 +1,4 @@
-//! What listeners of any protocol ask of the control thread.
+//! The control thread's API for listeners of any protocol.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     ControlFault, ControlHandle, ControlRequest, HostReadiness, ProcessClock, Result, ViewCell,
 };
 
-/// Time the control thread has for an answer: whoever asks gives up after a second and asks
-/// another host, and should learn before that that this one does not know.
+/// Timeout for an answer of the control thread. Requesters give up after 1 s and ask another host.
+/// They should hear before then that this host has no answer.
 const ANSWER_TIME: Duration = Duration::from_millis(900);
 
-/// What listeners of any protocol ask of the control thread.
+/// The control thread's API for listeners of any protocol.
 #[derive(Clone, Debug)]
 pub struct ControlApi {
     control: ControlHandle,
@@ -25,30 +25,32 @@
 }
 
 impl ControlApi {
-    /// Makes the API over the control thread's handle and the current view.
+    /// Creates the API from the control thread's handle and the current view.
     #[must_use]
     pub fn new(control: ControlHandle, view: ViewCell) -> Self {
         Self { control, view }
     }
 
-    /// Whether this host takes callers' requests and wants more of them.
+    /// Returns whether this host accepts callers' requests and is not shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.view.readiness() == HostReadiness::Ready
     }
 
-    /// Takes in an upstream's announcement; one that leaves is answered once a quorum knows.
+    /// Passes on an upstream's announcement. If the upstream is leaving, the answer comes once a
+    /// quorum knows of it.
     ///
     /// # Errors
-    /// `Refused` if the announcement cannot hold; any other fault means that it may not be known.
+    /// Returns `Refused` if the announcement contradicts what is known. After any other fault, it
+    /// may not be known to this host.
     pub async fn announce(&self, announcement: Announcement) -> Result<()> {
         within(self.control.ask(|reply| ControlRequest::Announce(announcement, reply))).await?
     }
 
-    /// Takes in that an upstream has left; answered once a quorum knows.
+    /// Records that an upstream has left. The answer comes once a quorum knows of it.
     ///
     /// # Errors
-    /// As for [`Self::announce`].
+    /// Returns the same faults as [`Self::announce`].
     pub async fn announce_gone(
         &self,
         id: UpstreamId,
@@ -57,17 +59,18 @@
         within(self.control.ask(|reply| ControlRequest::Gone(id, incarnation, reply))).await?
     }
 
-    /// Puts a configuration in force; `Unknown` means that it may be sent again.
+    /// Puts a configuration in force. After the answer `Unknown` it may be sent again.
     pub async fn apply(&self, change: ChangeRequest) -> ChangeAnswer {
         let change = Box::new(change);
         let asked = within(self.control.ask(|reply| ControlRequest::Apply(change, reply))).await;
         asked.unwrap_or_else(|fault| ChangeAnswer::Unknown { why: SmolStr::new(fault.to_string()) })
     }
 
-    /// Empties a zone or takes it back.
+    /// Evacuates a zone or puts it back in use.
     ///
     /// # Errors
-    /// Whatever kept a quorum from deciding it in time; the order may hold all the same.
+    /// Returns the fault that kept a quorum from deciding in time. The order may be accepted
+    /// nevertheless.
     pub async fn order_zone(
         &self,
         change_id: ChangeId,
@@ -85,10 +88,10 @@
         within(self.control.ask(|reply| ControlRequest::OrderZone(order, reply))).await?
     }
 
-    /// The sheet that a quorum confirms to be current.
+    /// Returns the sheet that a quorum confirms to be current.
     ///
     /// # Errors
-    /// Whatever kept a quorum from confirming it.
+    /// Returns the fault that kept a quorum from confirming it.
     pub async fn current_plan(&self) -> Result<SheetView> {
         within(self.control.ask(ControlRequest::CurrentPlan)).await?
     }
--- a/crates/pulleyd/src/process/control_handle.rs
+++ b/crates/pulleyd/src/process/control_handle.rs
@@ -1,4 +1,4 @@
-//! How the traffic side and the operators' listener speak to the control thread.
+//! Requests to the control thread, from the traffic side and the listeners' APIs.
 
 use std::net::SocketAddr;
 
@@ -11,94 +11,95 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-/// What the control thread's callers get back.
+/// Result of a request to the control thread.
 pub type Result<T> = std::result::Result<T, ControlFault>;
 
 /// Why the control thread gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ControlFault {
-    /// Its queue is full; nothing was done.
+    /// Its queue is full. Nothing was done.
     #[error("the control thread is busy; nothing was done")]
     Busy,
-    /// It has ended, or dropped the question; what was done is unknown.
+    /// It has ended or dropped the request. Whether anything was done is unknown.
     #[error("the control thread gave no answer")]
     NoAnswer,
-    /// No quorum can be reached; nothing was done.
+    /// No quorum can be reached. Nothing was done.
     #[error("no quorum: {0}")]
     NoQuorum(String),
-    /// The request was looked at and refused; nothing was done.
+    /// The request was refused. Nothing was done.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Asks to be the one who runs a non-idempotent request.
+/// A claim to run a non-idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The caller's `Idempotency-Key`, scoped by service and kind.
     pub key: String,
-    /// Digest of method, path and body.
+    /// A digest of method, path and body.
     pub digest: [u8; 32],
 }
 
-/// A question to the control thread, with where its answer goes.
+/// A request to the control thread, with the channel for its answer.
 #[derive(Debug)]
 pub enum ControlRequest {
     /// An upstream's announcement.
     Announce(Announcement, oneshot::Sender<Result<()>>),
-    /// An upstream says that it has left; the start that left, if it tells.
+    /// An upstream has left. Holds the incarnation that left, if the upstream names it.
     Gone(pulley_core::UpstreamId, Option<Incarnation>, oneshot::Sender<Result<()>>),
-    /// Other addresses of hosts to ask first.
+    /// Adds addresses of other hosts to the seeds.
     Seeds(Vec<SocketAddr>),
-    /// An upstream said in a reply that it drains.
+    /// An upstream said in an answer that it drains.
     ObservedDrain(pulley_core::UpstreamId),
-    /// An operator's change.
+    /// An operator's change of the configuration.
     Apply(Box<ChangeRequest>, oneshot::Sender<ChangeAnswer>),
-    /// The sheet that a quorum confirms to be current.
+    /// Asks for the sheet that a quorum confirms to be current.
     CurrentPlan(oneshot::Sender<Result<SheetView>>),
-    /// The audit trail.
+    /// Asks for records of the audit trail.
     Audit(AuditFilter, oneshot::Sender<Result<Vec<AuditRecord>>>),
-    /// The host's status as JSON.
+    /// Asks for the host's status as JSON.
     Status(oneshot::Sender<Result<serde_json::Value>>),
     /// Adds or removes a replica.
     Replica(ReplicaChange, oneshot::Sender<Result<serde_json::Value>>),
     /// An operator drains an upstream.
     Drain(pulley_core::UpstreamId, oneshot::Sender<Result<()>>),
-    /// An operator's order for a zone; the control thread fills in what it is based on.
+    /// An operator's order for a zone. The control thread sets its `based_on`.
     OrderZone(Box<ZoneOrder>, oneshot::Sender<Result<ZoneAnswer>>),
-    /// The zones that a quorum confirms to be evacuated.
+    /// Asks for the zones that a quorum confirms to be evacuated.
     EvacuatedZones(oneshot::Sender<Result<EvacuatedZones>>),
     /// A claim on an idempotency key.
     Claim(ClaimRequest, oneshot::Sender<ClaimAnswer>),
-    /// The outcome of a claimed request; no answer means that it may have run.
+    /// The outcome of a claimed request. Without an answer, the request may have run.
     Record(ClaimRequest, FencingToken, Option<RecordedAnswer>, oneshot::Sender<Result<()>>),
-    /// Gives a claim back, because not a byte was sent.
+    /// Releases a claim, because no byte of the request was sent.
     Release(ClaimRequest, FencingToken, oneshot::Sender<Result<()>>),
-    /// The host is to leave: hand over leadership, give back shares.
+    /// The host shuts down: it hands over leadership and returns its shares.
     ShutDown(oneshot::Sender<()>),
 }
 
-/// The way to the control thread; its queue is bounded.
+/// Sends requests to the control thread through a bounded queue.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     requests: mpsc::Sender<ControlRequest>,
 }
 
 impl ControlHandle {
-    /// Makes a handle and the receiver that the control thread reads.
+    /// Creates a handle and the receiver from which the control thread reads.
     #[must_use]
     pub fn channel(depth: usize) -> (Self, mpsc::Receiver<ControlRequest>) {
         let (requests, receiver) = mpsc::channel(depth);
         (Self { requests }, receiver)
     }
 
-    /// Asks a question and waits for its answer.
+    /// Sends a request and waits for its answer.
     ///
     /// ```ignore
     /// let sheet = handle.ask(ControlRequest::CurrentPlan).await??;
     /// ```
     ///
     /// # Errors
-    /// `Busy` if the queue is full (nothing was done), `NoAnswer` if the control thread is gone.
+    /// Returns `Busy` if the queue is full (nothing was done), and `NoAnswer` if the control thread
+    /// has ended or dropped the request.
     pub async fn ask<T>(
         &self,
         question: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
@@ -108,7 +109,7 @@
         answer.await.map_err(|_| ControlFault::NoAnswer)
     }
 
-    /// Tells the control thread something that needs no answer; dropped if it is busy.
+    /// Sends a request that needs no answer. It is dropped if the queue is full.
     pub fn tell(&self, request: ControlRequest) {
         let _ = self.requests.try_send(request);
     }
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of one daemon together and takes them apart again.
+//! Starts the parts of one daemon and shuts them down.
 
 use std::future::Future;
 use std::io;
@@ -28,13 +28,13 @@
 };
 use crate::request::{HeaderDialect, SchedulerSet, TrafficContext, TrafficLimits, TrustedCallers};
 
-/// Questions that may wait for the control thread.
+/// The most requests that may wait for the control thread.
 const CONTROL_DEPTH: usize = 8_192;
 
-/// How often the metrics take over the view.
+/// The interval at which the metrics of the view are updated.
 const METRICS_PACE: Duration = Duration::from_secs(1);
 
-/// Limits of the metrics' listener: a few collectors, whose requests have no body.
+/// Limits of the metrics' listener. It serves a few collectors, whose requests have no body.
 const METRICS_LIMITS: ApiLimits = ApiLimits { connections: 16, body_bytes: 1 << 10 };
 
 /// Why a daemon could not start.
@@ -43,20 +43,20 @@
     /// A listener could not be bound.
     #[error("the {which} listener at {address}: {fault}")]
     Listen {
-        /// Which.
+        /// Which listener it is.
         which: &'static str,
-        /// Where it was to listen.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// The operating system's word.
+        /// The error of the operating system.
         fault: io::Error,
     },
-    /// The secret file is of no use.
+    /// The secret file is unreadable or holds no valid keys.
     #[error("the secret file: {0}")]
     Keys(#[from] KeyFault),
     /// The control thread did not start.
     #[error(transparent)]
     Control(#[from] ControlStartFault),
-    /// A thread or timer could not be had.
+    /// The operating system refused a thread, a timer or a socket address.
     #[error("the operating system: {0}")]
     System(#[from] io::Error),
     /// The metrics could not be registered.
@@ -64,10 +64,10 @@
     Metrics(#[from] prometheus::Error),
 }
 
-/// What starting a daemon returns.
+/// Result of starting a daemon.
 pub type DaemonResult<T> = Result<T, DaemonFault>;
 
-/// Where a running daemon listens.
+/// The addresses on which a running daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DaemonAddresses {
     /// For callers.
@@ -95,20 +95,21 @@
 }
 
 impl Daemon {
-    /// Binds every listener, starts the threads and begins to serve as soon as the configuration
-    /// in force is known.
+    /// Binds every listener and starts the threads. The daemon serves requests once the
+    /// configuration in force is known.
     ///
     /// # Errors
-    /// Whatever kept it from starting; nothing runs then.
+    /// Returns the fault that prevented the start. Nothing runs then.
     pub fn start(settings: DaemonSettings, logger: Logger) -> DaemonResult<Self> {
         let key_ring = KeyRing::load(&settings.secret_file)?;
         Self::start_with(settings, DaemonProtocol::default(), key_ring, logger)
     }
 
-    /// The same, speaking another protocol than its own with callers, upstreams and operators.
+    /// Starts a daemon like [`Self::start`], with another protocol than its own towards callers,
+    /// upstreams and operators.
     ///
     /// # Errors
-    /// Whatever kept it from starting; nothing runs then.
+    /// Returns the fault that prevented the start. Nothing runs then.
     pub fn start_with(
         settings: DaemonSettings,
         protocol: DaemonProtocol,
@@ -144,28 +145,28 @@
         Ok(Self { addresses, parts, control, servers })
     }
 
-    /// Where it listens.
+    /// Returns the addresses on which the daemon listens.
     #[must_use]
     pub fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
 
-    /// Where to spawn tasks that live as long as the daemon.
+    /// Returns the runtime for tasks that live as long as the daemon.
     #[must_use]
     pub fn runtime(&self) -> &tokio::runtime::Handle {
         self.parts.threads.handle()
     }
 
-    /// Asks these addresses of other hosts from now on, too.
+    /// Adds addresses of other hosts to the seeds.
     pub fn add_seeds(&self, seeds: Vec<SocketAddr>) {
         self.parts.handle.tell(ControlRequest::Seeds(seeds));
     }
 
-    /// Shuts down in the order in which nothing is lost: turns health to not ready, waits for the
-    /// platform's balancer to notice, stops accepting, lets requests in flight end, hands over
-    /// leadership, leaves the membership.
+    /// Shuts down in an order that loses no requests: the health check turns to not ready and
+    /// leadership is handed over, the platform's balancer gets time to notice, the listener stops
+    /// accepting, requests in flight finish, and the host leaves the membership.
     ///
-    /// `hurry` ends the wait early. Returns how many connections were cut off.
+    /// `hurry` ends the wait early. Returns the number of connections that were cut off.
     pub fn shut_down(self, hurry: impl Future<Output = ()> + Send + 'static) -> usize {
         let Self { parts, control, servers, .. } = self;
         let runtime = parts.threads.handle().clone();
@@ -177,8 +178,8 @@
                 () = tokio::time::sleep(ready_grace(&parts.settings)) => false,
                 () = &mut hurry => true,
             };
-            // A future that has completed may not be polled again: a second signal in the grace
-            // made the process panic, and cut off everything without a word.
+            // A future that has completed must not be polled again. Doing so made the process panic
+            // on a second signal during the grace, which cut off all requests without a log line.
             if is_hurried {
                 servers.stop(&parts.schedulers, std::future::ready(())).await
             } else {
@@ -195,7 +196,7 @@
     }
 }
 
-/// What several parts of the daemon share.
+/// The state that several parts of the daemon share.
 #[derive(Debug)]
 struct SharedParts {
     settings: DaemonSettings,
@@ -245,7 +246,7 @@
         Ok((parts, requests))
     }
 
-    /// The routers of the listeners: the given ones, or those of the daemon's own protocol.
+    /// Returns the routers of the listeners: the given ones, or those of the daemon's own protocol.
     fn routers(
         &self,
         upstreams: Option<ProtocolRouter>,
@@ -298,7 +299,7 @@
     }
 }
 
-/// The listeners while they serve.
+/// The running servers of the listeners, with the channels that stop them.
 #[derive(Debug)]
 struct DaemonServers {
     stop_callers: watch::Sender<bool>,
@@ -333,8 +334,9 @@
         Self { stop_callers, stop_apis, callers, apis }
     }
 
-    /// Lets callers' requests end, then stops the other listeners: health and announcements are
-    /// still wanted while requests run. Returns how many connections were cut off.
+    /// Waits for callers' requests to finish, then stops the other listeners. Health checks and
+    /// announcements are still needed while requests run. Returns the number of connections that
+    /// were cut off.
     async fn stop(self, schedulers: &SchedulerSet, hurry: impl Future<Output = ()>) -> usize {
         let _ = self.stop_callers.send(true);
         let cut = tokio::select! {
@@ -351,7 +353,7 @@
     }
 }
 
-/// What the listeners answer.
+/// The routers of the listeners, with their limits.
 struct DaemonRouters {
     upstreams: (Router, ApiLimits),
     operators: (Router, ApiLimits),
@@ -391,8 +393,9 @@
     }
 }
 
-/// How long the platform's balancer has to notice that the host is not ready, before callers'
-/// connections are closed: as set, else a fifth of the grace, at most its usual three checks a second apart.
+/// Returns how long the platform's balancer has to notice that the host is not ready before
+/// callers' connections are closed. The default is a fifth of the drain grace, but at most 3 s: a
+/// balancer usually needs three checks, one second apart.
 fn ready_grace(settings: &DaemonSettings) -> Duration {
     let usual = (settings.drain_grace / 5).min(Duration::from_secs(3));
     settings.ready_grace.unwrap_or(usual)
@@ -408,7 +411,8 @@
     setting as f32
 }
 
-/// The metrics' listener has no key: it says nothing of callers, and operators' tools collect it.
+/// Returns the router of the metrics' listener. It needs no key, because the metrics hold no data
+/// of callers and are collected by operators' tools.
 fn metrics_router(metrics: ProcessMetrics) -> Router {
     let render = move || async move {
         ([(CONTENT_TYPE, ProcessMetrics::CONTENT_TYPE)], metrics.render()).into_response()
--- a/crates/pulleyd/src/process/daemon_protocol.rs
+++ b/crates/pulleyd/src/process/daemon_protocol.rs
@@ -1,4 +1,4 @@
-//! What a daemon speaks with callers, upstreams and operators, where it is not its own protocol.
+//! Replaces the daemon's own protocol towards callers, upstreams and operators by another one.
 
 use std::fmt;
 
@@ -8,40 +8,41 @@
 use super::{ApiLimits, ControlApi};
 use crate::request::HeaderDialect;
 
-/// Builds the router of a listener over what the control thread offers.
+/// Builds the router of a listener from the control thread's API.
 pub type RouterBuilder = Box<dyn FnOnce(ControlApi) -> Router + Send>;
 
-/// A listener's router and its limits.
+/// The router of a listener, and the listener's limits.
 pub struct ProtocolRouter {
     builder: RouterBuilder,
     limits: ApiLimits,
 }
 
 impl ProtocolRouter {
-    /// Makes a router that is built once the control thread can be asked.
+    /// Creates a router whose `builder` runs once the control thread's API is available.
     #[must_use]
     pub fn new(limits: ApiLimits, builder: RouterBuilder) -> Self {
         Self { builder, limits }
     }
 
-    /// Builds the router for a listener, with the listener's limits.
+    /// Builds the router and returns it with the listener's limits.
     pub fn build(self, control: ControlApi) -> (Router, ApiLimits) {
         let Self { builder, limits } = self;
         (with_bounded_bodies(builder(control), limits.body_bytes), limits)
     }
 }
 
-/// What a daemon speaks with callers, upstreams and operators; the default is its own protocol.
+/// The protocol of a daemon towards callers, upstreams and operators. The default is its own
+/// protocol.
 ///
-/// An installation whose platform speaks another one hands in what translates: headers of requests,
-/// and routers for the upstreams' and operators' listeners.
+/// An installation whose platform uses another protocol supplies the translation: the headers of
+/// requests, and routers for the listeners of upstreams and operators.
 #[derive(Default)]
 pub struct DaemonProtocol {
-    /// Which headers are spoken with callers and upstreams.
+    /// The headers exchanged with callers and upstreams.
     pub dialect: HeaderDialect,
-    /// The upstreams' and the balancer's listener.
+    /// The router for upstreams and for the health checks of the platform's balancer.
     pub upstreams: Option<ProtocolRouter>,
-    /// The operators' listener.
+    /// The router for operators.
     pub operators: Option<ProtocolRouter>,
 }
 
--- a/crates/pulleyd/src/process/daemon_settings.rs
+++ b/crates/pulleyd/src/process/daemon_settings.rs
@@ -1,4 +1,5 @@
-//! Reads the daemon's settings from flags and environment variables and checks them all at once.
+//! Parses and checks the daemon's settings from flags and environment variables, and reports every
+//! fault at once.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -14,107 +15,111 @@
 use super::setting_list::{SETTINGS, VARIABLE_PREFIX};
 use super::{BootstrapReplica, HostRoles, ReplicationSettings, TrafficSettings};
 
-/// What reading settings gives.
+/// Result of parsing settings.
 type Result<T> = std::result::Result<T, SettingsFaults>;
 
-/// Longest time accepted in a setting: a day.
+/// The longest duration that a setting may have: a day.
 const TIME_LIMIT: Duration = Duration::from_secs(86_400);
 
-/// Most keys a ledger may hold: at 138 bytes each they take 69 MB of a node's 128.
+/// The most keys that a ledger may hold. At 138 bytes each they take 69 MB of a node's 128 MB.
 const LEDGER_CAPACITY_LIMIT: usize = 500_000;
 
-/// Shortest retention; a caller's resend after a lost answer comes well within it.
+/// The shortest ledger retention. A caller resends a request after a lost answer well within it.
 const SHORTEST_RETENTION: Duration = Duration::from_secs(10);
 
-/// Shortest lease of an upstream; three announcements a second apart, and half a second more.
+/// The shortest lease of an upstream: three announcements, one second apart, and half a second
+/// more.
 const SHORTEST_LEASE: Duration = Duration::from_secs(3);
 
-/// Most upstreams that one request may ask; beyond a few, asking costs more than it gains.
+/// The most upstreams that may be probed for one request. Probing more than a few costs more than
+/// it gains.
 const ARRIVAL_PROBES_LIMIT: usize = 8;
 
-/// Most copies that an acknowledgement may wait for; a cluster has nine members at most.
+/// The most copies that an acknowledgement may wait for. A cluster has at most nine members.
 const COPIES_LIMIT: usize = 9;
 
 /// The checked settings of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonSettings {
-    /// Name of this host.
+    /// The name of this host.
     pub host_id: HostId,
-    /// Its availability zone.
+    /// The availability zone of this host.
     pub zone: ZoneName,
-    /// Name of the installation.
+    /// The name of the installation.
     pub cluster: ClusterId,
-    /// File with the keys for operators and peers.
+    /// The file with the keys of operators and peers.
     pub secret_file: PathBuf,
-    /// Where callers connect.
+    /// The address to which callers connect.
     pub callers_listen: SocketAddr,
-    /// Where upstreams announce themselves and the platform asks for health.
+    /// The address for the announcements of upstreams and the platform's health checks.
     pub upstreams_listen: SocketAddr,
-    /// Where operators connect.
+    /// The address to which operators connect.
     pub operators_listen: SocketAddr,
-    /// Where other hosts connect.
+    /// The address to which other hosts connect.
     pub peers_listen: SocketAddr,
-    /// Peer addresses to ask first.
+    /// The peer addresses that this host contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// What this host does.
+    /// The roles of this host.
     pub roles: HostRoles,
-    /// The first members of the log.
+    /// The founding members of the replicated log.
     pub replicas: Vec<BootstrapReplica>,
-    /// Where a replica keeps its state; present if and only if the host is a replica.
+    /// The folder of a replica's state. Present if and only if the host is a replica.
     pub data_folder: Option<PathBuf>,
-    /// Longest wait for requests in flight at shutdown.
+    /// The longest wait for requests in flight at shutdown.
     pub drain_grace: Duration,
-    /// Least important level that is logged.
+    /// The least severe level that is logged.
     pub log_level: slog::Level,
-    /// Threads that carry requests.
+    /// The number of threads that serve requests.
     pub traffic_threads: usize,
-    /// Callers whose attempt and priority headers are believed.
+    /// The callers whose attempt and priority headers are trusted.
     pub trusted_callers: Vec<IpAddr>,
-    /// Most connections of callers.
+    /// The most connections that callers may hold.
     pub callers_limit: usize,
-    /// Most idempotency keys that the ledger holds while this host leads the log.
+    /// The most idempotency keys that the ledger holds while this host leads the log.
     pub ledger_capacity: usize,
-    /// How long the ledger remembers a key at least.
+    /// The shortest time for which the ledger remembers a key.
     pub ledger_retention: Duration,
-    /// Whether this host shares counts with others or places by its own alone.
+    /// Whether this host shares load counts with other hosts. If not, it places requests by its own
+    /// counts alone.
     pub share_counts: bool,
-    /// What entries and upstreams go by.
+    /// Settings for entries and upstreams.
     pub traffic: TrafficSettings,
-    /// Who holds the log, and on how many disks.
+    /// Settings for the replication of the log.
     pub replication: ReplicationSettings,
-    /// How long the platform's balancer has to notice that this host leaves.
+    /// The time that the platform's balancer gets to notice that this host shuts down.
     pub ready_grace: Option<Duration>,
-    /// Where metrics are served to whoever asks.
+    /// The address at which metrics are served without a key.
     pub metrics_listen: Option<SocketAddr>,
 }
 
-/// What the command line asks for.
+/// What the command line requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsRequest {
-    /// To run with these settings.
+    /// Run with these settings.
     Run(Box<DaemonSettings>),
-    /// To print this help text and end.
+    /// Print this help text and exit.
     Help(String),
-    /// To print this version and end.
+    /// Print this version and exit.
     Version(String),
-    /// To print what would run, and end.
+    /// Print these settings and exit.
     Check(Box<DaemonSettings>),
 }
 
-/// Every fault of the settings, a line each.
+/// Every fault of the settings, one per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error)]
 #[error("{}", .faults.join("\n"))]
 pub struct SettingsFaults {
-    /// The faults: which setting, its value, what is allowed.
+    /// The faults. Each names the setting, its value and what is allowed.
     pub faults: Vec<String>,
 }
 
 impl DaemonSettings {
-    /// Reads flags (without the program's name) and environment variables; a flag wins.
+    /// Parses flags (without the program's name) and environment variables. A flag overrides its
+    /// variable.
     ///
     /// # Errors
-    /// Every fault at once: unknown flags and `PULLEYD_` variables, missing and bad values,
-    /// values that do not fit together.
+    /// Returns every fault at once: unknown flags and `PULLEYD_` variables, missing and invalid
+    /// values, and settings that contradict each other.
     pub fn parse(
         args: impl IntoIterator<Item = String>,
         env: impl IntoIterator<Item = (String, String)>,
@@ -138,7 +143,7 @@
         }
     }
 
-    /// The address from which connections to other hosts and to upstreams leave.
+    /// Returns the local address of connections to other hosts and to upstreams.
     #[must_use]
     pub fn own_address(&self) -> IpAddr {
         self.peers_listen.ip()
@@ -146,7 +151,7 @@
 }
 
 impl fmt::Display for DaemonSettings {
-    /// Prints a setting a line, as `--check` shows them; holds nothing secret.
+    /// Prints one setting per line, as `--check` shows them. The output holds no secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "host-id={}", self.host_id)?;
         writeln!(f, "zone={}", self.zone)?;
@@ -178,9 +183,9 @@
 }
 
 // -----------------------------------------------------------------------------------------
-// Reading
+// Parsing
 
-/// Collects values and faults while the settings are read.
+/// Collects values and faults while the settings are parsed.
 struct SettingsReader {
     values: FastMap<&'static str, String>,
     faults: Vec<String>,
@@ -218,8 +223,8 @@
         }
     }
 
-    /// `getopts` stops at its first fault; the faulty argument is taken out and the rest read
-    /// again, so that an operator sees all faults in one go.
+    /// Parses the flags. `getopts` stops at its first fault, so the faulty argument is removed and
+    /// the rest is parsed again. An operator thus sees all faults at once.
     fn take_flags(&mut self, mut args: Vec<String>) {
         let options = options();
         let matches = loop {
@@ -343,7 +348,7 @@
         Some(ReplicationSettings { growth: growth?, copies: copies? })
     }
 
-    /// Checks what no single setting shows.
+    /// Checks that the settings are consistent with each other. Returns whether they are.
     fn fits_together(&mut self, settings: &DaemonSettings) -> bool {
         let before = self.faults.len();
         if settings.roles.replica != settings.data_folder.is_some() {
@@ -361,12 +366,12 @@
         for (place, (flag, address)) in listeners.iter().enumerate() {
             let taken = listeners[..place].iter().find(|(_, other)| other == address);
             if let Some((other, _)) = taken.filter(|_| address.port() != 0) {
-                self.faults.push(format!("{flag}: {address} is also that of {other}"));
+                self.faults.push(format!("{flag}: {address} is also used by {other}"));
             }
         }
         if settings.peers_listen.ip().is_unspecified() {
             self.faults.push(format!(
-                "--peers-listen: {} is no address that other hosts can connect to",
+                "--peers-listen: {} is not an address that other hosts can connect to",
                 settings.peers_listen
             ));
         }
@@ -394,17 +399,18 @@
         let given = self.values.get(flag).map(String::as_str).or(entry.default);
         let Some(text) = given else {
             let variable = entry.variable();
-            self.faults.push(format!("--{flag}: missing, as is {variable}; wanted: {wanted}"));
+            self.faults
+                .push(format!("--{flag}: missing, and so is {variable}; expected: {wanted}"));
             return None;
         };
         let value = parse(text.trim());
         if value.is_none() {
-            self.faults.push(format!("--{flag}: {text:?} is not allowed; wanted: {wanted}"));
+            self.faults.push(format!("--{flag}: {text:?} is not allowed; expected: {wanted}"));
         }
         value
     }
 
-    /// A value that may be left empty.
+    /// Parses a value that may be empty.
     fn optional<T>(
         &mut self,
         flag: &'static str,
--- a/crates/pulleyd/src/process/event_log.rs
+++ b/crates/pulleyd/src/process/event_log.rs
@@ -9,18 +9,19 @@
 use slog::{Drain, KV, Key, Level, Logger, OwnedKVList, Record, Serializer, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 
-/// Lines that wait for the writer; past that they are dropped and counted, so that a blocked
-/// terminal or pipe never stops a request.
+/// The most lines that wait for the writer. Further lines are dropped and counted, so that a
+/// blocked terminal or pipe never blocks a request.
 const QUEUE_DEPTH: usize = 4_096;
 
-/// Lines that one place in the code may write in one window; a failing upstream would otherwise
-/// fill the disk with one repeated line and hide the others.
+/// The most lines that one log statement may write in one window. Otherwise a failing upstream
+/// would fill the disk with one repeated line and hide the others.
 const LINES_PER_WINDOW: u32 = 20;
 
-/// How long a window lasts.
+/// The length of a rate limit window.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The drain that prints events as `key=value` lines.
+/// A drain that writes each event as one line of `key=value` pairs, with a rate limit per log
+/// statement.
 #[derive(Debug)]
 pub struct EventLog<W> {
     state: Mutex<LogState<W>>,
@@ -41,7 +42,7 @@
 }
 
 impl EventLog<io::Stdout> {
-    /// Starts the process's log on standard output; dropping the guard writes what still waits.
+    /// Starts the process's log on standard output. Dropping the guard flushes the queued lines.
     pub fn start(level: Level) -> (Logger, AsyncGuard) {
         let (drain, guard) = Async::new(EventLog::new(io::stdout(), level).fuse())
             .chan_size(QUEUE_DEPTH)
@@ -52,7 +53,7 @@
 }
 
 impl<W: Write> EventLog<W> {
-    /// Makes a drain that writes events of `level` and above.
+    /// Creates a drain that writes events of `level` and above.
     #[must_use]
     pub fn new(writer: W, level: Level) -> Self {
         Self { state: Mutex::new(LogState { writer, windows: FastMap::default() }), level }
@@ -67,7 +68,8 @@
         if !record.level().is_at_least(self.level) {
             return Ok(());
         }
-        // A poisoned lock means that a value's own Display panicked; the log goes on without it.
+        // The lock is poisoned if the `Display` of a value panicked. Logging goes on without that
+        // event.
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let place = (record.file(), record.line());
         let Some(suppressed) = state.admit(place, Instant::now()) else { return Ok(()) };
@@ -83,7 +85,8 @@
 }
 
 impl<W> LogState<W> {
-    /// Whether a line may be written, and how many before it were not.
+    /// Applies the rate limit to one line. Returns the number of lines suppressed before it, or
+    /// `None` if this line is suppressed too.
     fn admit(&mut self, place: (&'static str, u32), now: Instant) -> Option<u64> {
         let fresh = RepeatWindow { since: now, lines: 0, suppressed: 0 };
         let window = self.windows.entry(place).or_insert(fresh);
@@ -101,7 +104,7 @@
     }
 }
 
-/// One line in the making.
+/// A line under construction.
 struct EventLine(String);
 
 impl EventLine {
@@ -118,8 +121,8 @@
         self.0.push(' ');
         self.0.push_str(key);
         self.0.push('=');
-        // An unquoted space or line break in a value, a caller's path for one, would read as a
-        // further pair or a forged event.
+        // An unquoted space or line break in a value, such as the path of a request, would look
+        // like another pair or a forged event.
         let plain = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\');
         if !value.is_empty() && value.chars().all(plain) {
             self.0.push_str(value);
--- a/crates/pulleyd/src/process/host_roles.rs
+++ b/crates/pulleyd/src/process/host_roles.rs
@@ -1,14 +1,14 @@
-//! Which parts of the system a host plays.
+//! The roles of a host.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Which parts of the system a host plays.
+/// The roles of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostRoles {
-    /// It serves callers.
+    /// The host serves callers.
     pub entry: bool,
-    /// It holds the replicated log.
+    /// The host holds the replicated log.
     pub replica: bool,
 }
 
--- a/crates/pulleyd/src/process/mod.rs
+++ b/crates/pulleyd/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! State that lives as long as the process.
+//! The daemon's process: settings, event log, metrics, listeners' APIs, timers and the control
+//! thread.
 
 mod announce_api;
 mod api_fault;
--- a/crates/pulleyd/src/process/operator_api.rs
+++ b/crates/pulleyd/src/process/operator_api.rs
@@ -1,4 +1,5 @@
-//! The operators' listener: sheets, audit trail, status, drains, replicas and metrics, by key.
+//! The HTTP API for operators: sheets, audit trail, status, zones, drains, replicas and metrics.
+//! Every request needs a key.
 
 use std::fmt;
 use std::future::Future;
@@ -30,18 +31,18 @@
 use super::{ControlHandle, ControlRequest, ProcessClock, ProcessMetrics, ReplicaChange, ViewCell};
 use crate::connection::KeyRing;
 
-/// Time the control thread has for an answer; a quorum that takes longer is a failed one.
+/// Timeout for an answer of the control thread. A quorum that takes longer counts as failed.
 const ANSWER_TIME: Duration = Duration::from_secs(5);
 
-/// Audit records given when the operator names no limit.
+/// The number of audit records returned if the operator gives no limit.
 const AUDIT_DEFAULT: u32 = 100;
 
-/// Most audit records given at once.
+/// The most audit records returned at once.
 const AUDIT_LIMIT: u32 = 1_000;
 
-/// Says whether a presented key is one of the operators' keys, in constant time.
+/// Checks in constant time whether a presented key is one of the operators' keys.
 pub trait OperatorKeys: Send + Sync + 'static {
-    /// Whether the key is accepted.
+    /// Returns whether the key is accepted.
     fn accepts(&self, presented: &[u8]) -> bool;
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// What operators may ask of a host.
+/// The HTTP API for operators.
 #[derive(Clone)]
 pub struct OperatorApi {
     control: ControlHandle,
@@ -68,10 +69,10 @@
 }
 
 impl OperatorApi {
-    /// Limits of its listener: a sheet has at most 400 KiB, which JSON may double.
+    /// The limits of its listener. A sheet has at most 400 KiB, and JSON escapes may double that.
     pub const LIMITS: ApiLimits = ApiLimits { connections: 64, body_bytes: 1 << 20 };
 
-    /// Makes the API; whoever holds one of `keys` may ask everything.
+    /// Creates the API. Each of `keys` gives access to all of it.
     #[must_use]
     pub fn new(
         control: ControlHandle,
@@ -83,7 +84,7 @@
         Self { control, view, metrics, keys, logger }
     }
 
-    /// The routes; each asks for the key before it reads a body.
+    /// Returns the routes. Each checks the key before it reads a body.
     pub fn router(self) -> Router {
         let router = Router::new()
             .route("/v1/sheet", get(show_sheet).post(apply_sheet))
@@ -112,7 +113,7 @@
 }
 
 impl fmt::Debug for OperatorApi {
-    /// Leaves the keys out.
+    /// Omits the keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("OperatorApi").field("control", &self.control).finish_non_exhaustive()
     }
@@ -125,7 +126,7 @@
         return next.run(request).await;
     }
     warn!(api.logger, "operator-refused"; "path" => %request.uri().path());
-    let message = "an Authorization header with Bearer and one of the keys is needed";
+    let message = "an Authorization header with Bearer and a valid key is required";
     let mut response =
         ApiFault::new(StatusCode::UNAUTHORIZED, "unauthorized", message).into_response();
     let challenge = header::HeaderValue::from_static("Bearer");
@@ -167,7 +168,7 @@
     Ok((status_of(&answer), Json(answer)).into_response())
 }
 
-/// Once the change is with the control thread, silence means that nobody knows: answering
+/// Passes a change to the control thread. If no answer comes, the outcome is unknown: answering
 /// "refused" could hide an accepted change from the operator.
 async fn decide(api: &OperatorApi, change: ChangeRequest) -> Result<ChangeAnswer> {
     let question = api.control.ask(|reply| ControlRequest::Apply(Box::new(change), reply));
@@ -207,7 +208,7 @@
 // -----------------------------------------------------------------------------------------
 // Audit trail, status, upstreams and metrics
 
-/// The filters of the audit trail as they stand in the query.
+/// The audit trail's filters, as the query string gives them.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AuditQuery {
@@ -298,7 +299,7 @@
 // -----------------------------------------------------------------------------------------
 // Drains and replicas
 
-/// Names the upstream to drain.
+/// The body of a request to drain an upstream.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DrainOrder {
@@ -314,7 +315,7 @@
     Ok(Json(answer))
 }
 
-/// Names the host that joins.
+/// The body of a request to add a replica.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ReplicaOrder {
@@ -324,9 +325,9 @@
 async fn list_replicas(State(api): State<OperatorApi>) -> Result<Json<Value>> {
     let status = api.status().await?;
     let replicas = status.get("replicas").filter(|replicas| replicas.is_array());
-    // Status 503 sends the operators' client on to the next host.
+    // On status 503 the operators' client tries the next host.
     let replicas = replicas.ok_or_else(|| {
-        let message = "this host holds no log; ask a replica";
+        let message = "this host is not a replica; ask one";
         ApiFault::new(StatusCode::SERVICE_UNAVAILABLE, "no-replica", message)
     })?;
     Ok(Json(json!({ "replicas": replicas })))
--- a/crates/pulleyd/src/process/process_clock.rs
+++ b/crates/pulleyd/src/process/process_clock.rs
@@ -4,7 +4,7 @@
 
 use pulley_core::Moment;
 
-/// Turns the operating system's monotonic clock into moments since the process began.
+/// Converts the operating system's monotonic clock to moments since the process started.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     origin: Instant,
@@ -17,20 +17,20 @@
         Self { origin: Instant::now() }
     }
 
-    /// The time since the clock was started.
+    /// Returns the time since the clock was started.
     #[must_use]
     pub fn now(&self) -> Moment {
         let micros = self.origin.elapsed().as_micros();
         Moment::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// The operating system's `Instant` at a moment, for timers.
+    /// Converts a moment to the operating system's `Instant`, for timers.
     #[must_use]
     pub fn instant_at(&self, moment: Moment) -> Instant {
         self.origin + moment.since(Moment::ZERO)
     }
 
-    /// Milliseconds of Unix time; for people to read, never to decide by.
+    /// Returns Unix time in milliseconds. It is for display only; no decision may depend on it.
     #[must_use]
     pub fn unix_ms() -> u64 {
         let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/pulleyd/src/process/process_metrics.rs
+++ b/crates/pulleyd/src/process/process_metrics.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, by the conventions of prometheus.
+//! The metrics of the process, by the conventions of Prometheus.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -14,19 +14,20 @@
 
 use crate::request::TrafficCounters;
 
-/// Why metrics could not be made: a name is taken or malformed.
+/// Result of creating metrics. Fails if a name is taken or malformed.
 pub(super) type Result<T> = std::result::Result<T, prometheus::Error>;
 
-/// Bounds of the latency that the system adds, in seconds; the goal is 1 ms for 99 in 100.
+/// Bucket bounds of the latency that the system adds, in seconds. The goal is 1 ms for 99 in 100
+/// requests.
 const ADDED_BOUNDS: [f64; 10] = [0.0001, 0.0002, 0.0005, 0.001, 0.002, 0.005, 0.02, 0.1, 0.5, 2.0];
 
-/// Bounds of the upstreams' own latency, in seconds.
+/// Bucket bounds of the upstreams' own latency, in seconds.
 const UPSTREAM_BOUNDS: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 1.0, 5.0, 30.0];
 
-/// Metrics of one process; clones share their values.
+/// The metrics of one process. Clones share their values.
 ///
-/// Label values come from the sheet in force or from fixed lists, never from callers, so that no
-/// caller can make the number of series grow.
+/// Label values come from the sheet in force or from fixed lists, never from callers. Otherwise a
+/// caller could make the number of series grow without bound.
 #[derive(Clone, Debug)]
 pub struct ProcessMetrics {
     registry: Registry,
@@ -47,13 +48,13 @@
 }
 
 impl ProcessMetrics {
-    /// Content type of [`Self::render`].
+    /// The content type of [`Self::render`]'s output.
     pub const CONTENT_TYPE: &'static str = "text/plain; version=0.0.4";
 
-    /// Makes the metrics in a registry of their own.
+    /// Creates the metrics in a registry of their own.
     ///
     /// # Errors
-    /// If two metrics have one name; the names are fixed, so a test would show it.
+    /// Fails if two metrics have the same name. The names are fixed, so a test would detect it.
     pub fn new() -> Result<Self> {
         let answered = IntCounterVec::new(
             Opts::new("pulley_answers_total", "Answers of upstreams passed on."),
@@ -127,7 +128,7 @@
         self.registry.register(Box::new(self.ready.clone()))
     }
 
-    /// The traffic side's counts, which the metrics take over when they are read.
+    /// Returns the counters of the traffic side. [`Self::render`] copies them into the metrics.
     #[must_use]
     pub fn traffic(&self) -> Arc<TrafficCounters> {
         Arc::clone(&self.counters)
@@ -136,8 +137,8 @@
     // -------------------------------------------------------------------------------------
     // Recording
 
-    /// Records an upstream's answer: its HTTP status, how long the request was in this host, and
-    /// how long the upstream took besides.
+    /// Records an upstream's answer: its HTTP status, the time that the request spent in this host,
+    /// and the time that the upstream itself took.
     pub fn record_answer(&self, row: &KindPlan, status: u16, added: Duration, upstream: Duration) {
         let class = match status / 100 {
             1 => "1xx",
@@ -153,8 +154,8 @@
         pool.observe(upstream.as_secs_f64());
     }
 
-    /// Counts an answer of the system's own; without a row the request matched none or was refused
-    /// before that was looked at.
+    /// Counts an answer that this host made itself. `row` is `None` if the request matched no row
+    /// or was refused before the rows were searched.
     pub fn record_refusal(
         &self,
         row: Option<&KindPlan>,
@@ -166,19 +167,20 @@
         self.refused.with_label_values(&labels).inc();
     }
 
-    /// Notes the configuration in force and whether this host takes work.
+    /// Records the version in force and whether this host accepts requests.
     pub fn record_view(&self, version: u64, ready: bool) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
         self.ready.set(i64::from(ready));
     }
 
-    /// Notes which newer version this host has heard of and lacks, if there is one.
+    /// Records the newer version that this host knows of but has not put in force, if there is one.
     pub fn record_awaited(&self, awaited: Option<ConfigVersion>) {
         let awaited = awaited.unwrap_or_default().0;
         self.config_version_awaited.set(i64::try_from(awaited).unwrap_or(i64::MAX));
     }
 
-    /// Notes how many zones are evacuated, and how many upstreams get no work for it.
+    /// Records the number of evacuated zones, and the number of upstreams that get no requests for
+    /// that reason.
     pub fn record_zones(&self, zones: usize, upstreams: usize) {
         self.zones_evacuated.set(i64::try_from(zones).unwrap_or(i64::MAX));
         self.upstreams_evacuated.set(i64::try_from(upstreams).unwrap_or(i64::MAX));
@@ -187,7 +189,7 @@
     // -------------------------------------------------------------------------------------
     // Reading
 
-    /// All metrics in prometheus' text format.
+    /// Returns all metrics in the text format of Prometheus.
     #[must_use]
     pub fn render(&self) -> Vec<u8> {
         let _reading = self.reading.lock();
@@ -195,13 +197,13 @@
         self.in_progress.set(gauge(&self.counters.in_progress));
         self.callers_connections.set(gauge(&self.counters.caller_connections));
         let mut text = Vec::new();
-        // Encoding to memory fails only on a malformed family, which registering has ruled out.
+        // Encoding to memory fails only on a malformed metric family, which registration rejects.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
 }
 
-/// The counts that the traffic side keeps in plain atomics, as series.
+/// The series of the counts that the traffic side keeps in plain atomics.
 #[derive(Clone, Debug)]
 struct TrafficSeries {
     requests: IntCounter,
@@ -278,8 +280,8 @@
     }
 }
 
-/// Raises a series to a count. [`ProcessMetrics::render`] holds a lock meanwhile: two readers at
-/// once would both add the same step.
+/// Raises a series to a count. [`ProcessMetrics::render`] holds a lock meanwhile, because two
+/// concurrent calls would both add the same difference.
 fn raise(series: &IntCounter, count: &AtomicU64) {
     let missing = count.load(Ordering::Relaxed).saturating_sub(series.get());
     series.inc_by(missing);
--- a/crates/pulleyd/src/process/running_view.rs
+++ b/crates/pulleyd/src/process/running_view.rs
@@ -1,4 +1,4 @@
-//! What the traffic side may know of control state: one immutable snapshot at a time.
+//! The immutable snapshot of control state that the traffic threads read.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,38 +12,40 @@
 
 use super::ProcessClock;
 
-/// Whether this host may take work.
+/// Whether this host accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostReadiness {
-    /// It serves.
+    /// The host serves requests.
     Ready,
-    /// It refuses new work as not run, and tells the platform's balancer so.
+    /// The host refuses new requests with the verdict not-run, and its health check fails, so that
+    /// the platform's balancer sends no more.
     NotReady {
-        /// Why, for `/healthz` and logs.
+        /// The reason, for `/healthz` and logs.
         why: SmolStr,
     },
-    /// It serves what still comes, but the platform's balancer is told to send no more.
+    /// The host still serves the requests that arrive, but its health check fails, so that the
+    /// platform's balancer sends no more.
     ShuttingDown,
 }
 
-/// A snapshot of control state; a newer one replaces it as a whole.
+/// A snapshot of control state. A newer snapshot replaces it as a whole.
 #[derive(Clone, Debug)]
 pub struct RunningView {
     /// The configuration in force.
     pub version: ConfigVersion,
-    /// The newest accepted version heard of, while it isn't in force here.
+    /// The newest accepted version known of that is not yet in force on this host.
     pub awaited: Option<ConfigVersion>,
-    /// Its checked sheet.
+    /// The checked sheet of the configuration in force.
     pub plan: Arc<IndexedPlan>,
     /// The upstreams of each pool.
     pub upstreams: FastMap<PoolName, UpstreamList>,
-    /// Whether this host serves.
+    /// Whether this host accepts requests.
     pub readiness: HostReadiness,
-    /// The zones that operators have emptied; their upstreams take no work.
+    /// The zones that operators have evacuated. Their upstreams get no requests.
     pub evacuated: Arc<EvacuatedZones>,
     /// The live entries of each zone.
     pub entries: Arc<EntryZones>,
-    /// How many entries are alive, this one included; connection limits are shared by it.
+    /// The number of live entries, this one included. Connection limits are divided by it.
     pub live_entries: u32,
 }
 
@@ -63,7 +65,7 @@
 }
 
 impl RunningView {
-    /// How many upstreams get no work because their zone is evacuated.
+    /// Returns how many upstreams get no requests because their zone is evacuated.
     #[must_use]
     pub fn evacuated_upstreams(&self) -> usize {
         if self.evacuated.zones.is_empty() {
@@ -74,15 +76,16 @@
     }
 }
 
-/// How long a view may be used without the control thread's word that it still holds.
+/// How long a view stays valid after the control thread last confirmed it.
 ///
-/// A process frozen by its neighbours wakes up with the view it had, while a newer configuration
-/// may be in force elsewhere; traffic threads would serve by it until the control thread runs
-/// again. With the lease's 3 s this stays under the 4 s in which a configuration is in force
-/// everywhere; the control thread speaks at least every 250 ms.
+/// A process that was starved of CPU by other processes wakes up with its old view, while a newer
+/// configuration may be in force elsewhere. Traffic threads would use the stale view until the
+/// control thread runs again. Together with the lease of 3 s this stays below the 4 s within which
+/// a configuration is in force everywhere. The control thread confirms the view at least every
+/// 250 ms.
 const VIEW_TERM: Duration = Duration::from_millis(900);
 
-/// The cell that holds the current view; cheap to read from every traffic thread.
+/// Holds the current view. Reading it is cheap from every traffic thread.
 #[derive(Clone, Debug, Default)]
 pub struct ViewCell(Arc<ViewState>);
 
@@ -90,7 +93,8 @@
 struct ViewState {
     clock: ProcessClock,
     view: ArcSwap<RunningView>,
-    /// In microseconds; without end where nobody confirms views, as in tests of the traffic side.
+    /// In microseconds. `u64::MAX` until the first confirmation, as in tests of the traffic side,
+    /// where nobody confirms views.
     holds_until: AtomicU64,
 }
 
@@ -107,23 +111,26 @@
 }
 
 impl ViewCell {
-    /// Makes a cell that goes by the process's clock.
+    /// Creates a cell that checks the age of its view by the process's clock.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self(Arc::new(ViewState::new(clock)))
     }
 
-    /// The current view.
+    /// Returns the current view.
     #[must_use]
     pub fn load(&self) -> Arc<RunningView> {
         self.0.view.load_full()
     }
 
-    /// Whether the host serves now; a view that nobody has confirmed lately does not count.
+    /// Returns whether the host accepts requests now. It does not if the view was not confirmed
+    /// recently.
     #[must_use]
     pub fn readiness(&self) -> HostReadiness {
         if self.0.clock.now().micros() > self.0.holds_until.load(Ordering::Acquire) {
-            return HostReadiness::NotReady { why: SmolStr::new_static("control has paused") };
+            return HostReadiness::NotReady {
+                why: SmolStr::new_static("the control thread has paused"),
+            };
         }
         self.0.view.load().readiness.clone()
     }
@@ -133,7 +140,7 @@
         self.0.view.store(Arc::new(view));
     }
 
-    /// Says that the view holds now; it then does for a moment.
+    /// Confirms that the view is current, which keeps it valid for 900 ms.
     pub fn confirm(&self, now: Moment) {
         self.0.holds_until.store((now + VIEW_TERM).micros(), Ordering::Release);
     }
--- a/crates/pulleyd/src/process/setting_groups.rs
+++ b/crates/pulleyd/src/process/setting_groups.rs
@@ -1,34 +1,36 @@
-//! Settings that belong together.
+//! Groups of related settings.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What entries and upstreams go by.
+/// Settings for entries and upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficSettings {
-    /// How long an upstream takes work after its last announcement, at most.
+    /// The longest time for which an upstream gets requests after its last announcement.
     pub upstream_lease: Duration,
-    /// Whether an entry serves on by the last configuration it knew when it reaches no quorum.
+    /// Whether an entry that reaches no quorum keeps serving by the last configuration it knows.
     pub serves_on: bool,
-    /// Retries of one pool's requests in a short while that all entries together may make beside
-    /// their part of the requests.
+    /// Retries for one pool that all entries together may make in a short time, in addition to
+    /// [`Self::retry_percent`] of the requests.
     pub retry_allowance: Option<u32>,
-    /// Retries for each hundred requests of a pool, where an allowance is set.
+    /// Retries per hundred requests of a pool. Used only if an allowance is set.
     pub retry_percent: u32,
-    /// Upstreams that are asked how loaded they are when a request arrives; 0: none.
+    /// The number of upstreams probed for their load when a request arrives; 0 for none.
     pub arrival_probes: usize,
-    /// Probes of one upstream a second for arriving requests, over all entries.
+    /// Probes per second of one upstream for arriving requests, summed over all entries.
     pub arrival_probe_rate: usize,
-    /// Kilobits a second that the host's link carries; none: not known, and nothing is paced.
+    /// The bandwidth of the host's link in kilobits per second. If `None`, it is unknown and
+    /// answers are not paced.
     pub link_kbps: Option<u32>,
 }
 
-/// Who holds the log, and on how many disks.
+/// Settings for the replication of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationSettings {
-    /// Whether hosts that ask become replicas, in place of ones that have fallen silent.
+    /// Whether hosts that ask become replicas, and replace replicas that have fallen silent.
     pub growth: bool,
-    /// How many disks a change must be on before it is acknowledged, besides a majority's.
+    /// The number of disks that must hold a change before it is acknowledged, in addition to the
+    /// majority that every change needs.
     pub copies: usize,
 }
 
--- a/crates/pulleyd/src/process/setting_list.rs
+++ b/crates/pulleyd/src/process/setting_list.rs
@@ -1,14 +1,15 @@
-//! The list of settings: flag, environment variable, default and help.
+//! The list of settings with their flags, environment variables, defaults and help texts.
 
 /// One setting of the daemon.
 pub(super) struct SettingEntry {
-    /// The flag without its dashes; the variable is `PULLEYD_` and the flag in capitals.
+    /// The flag without its dashes. The variable is `PULLEYD_` followed by the flag in capitals,
+    /// with `_` for `-`.
     pub(super) flag: &'static str,
-    /// What a value looks like.
+    /// The form of a value, for the help text.
     pub(super) hint: &'static str,
-    /// The value when neither flag nor variable is given; `None` if there is none.
+    /// The value when neither flag nor variable is given. `None` if the setting is required.
     pub(super) default: Option<&'static str>,
-    /// What it is for.
+    /// The help text.
     pub(super) help: &'static str,
 }
 
@@ -18,7 +19,7 @@
     }
 }
 
-/// What every environment variable of the daemon starts with.
+/// The prefix of every environment variable of the daemon.
 pub(super) const VARIABLE_PREFIX: &str = "PULLEYD_";
 
 const fn required(flag: &'static str, hint: &'static str, help: &'static str) -> SettingEntry {
--- a/crates/pulleyd/src/process/timer_service.rs
+++ b/crates/pulleyd/src/process/timer_service.rs
@@ -1,4 +1,4 @@
-//! One timer service that all parts subscribe to.
+//! The timer service that all parts of the process share.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -15,13 +15,13 @@
 
 use super::ProcessClock;
 
-/// What starting the service returns.
+/// Result of starting the service.
 type Result<T> = std::result::Result<T, io::Error>;
 
-/// The process's timer service: one thread that wakes subscribers when their moment has come.
+/// The timer service of the process: one thread that wakes subscribers when they are due.
 ///
-/// Handles are cheap to clone and work from any thread and any runtime. The thread ends once the
-/// last handle and the last subscription are gone.
+/// Handles are cheap to clone and work on any thread and any runtime. The thread ends once the last
+/// handle and the last subscription are dropped.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -49,7 +49,7 @@
     changed: Condvar,
 }
 
-/// Subscriptions ordered by due time; the number keeps equal moments apart.
+/// Subscriptions ordered by due time. The number distinguishes subscriptions for the same moment.
 #[derive(Debug, Default)]
 struct TimerQueue {
     due: BTreeMap<(Moment, u64), Waker>,
@@ -62,7 +62,7 @@
     /// Starts the service's thread.
     ///
     /// # Errors
-    /// The operating system's, if it gives no thread.
+    /// Returns the operating system's error if no thread can be started.
     pub fn start(clock: ProcessClock) -> Result<Self> {
         let shared =
             Arc::new(TimerShared { clock, queue: Mutex::default(), changed: Condvar::new() });
@@ -71,23 +71,24 @@
         Ok(Self { handle: Arc::new(TimerHandle { shared }) })
     }
 
-    /// The time now, by the service's clock.
+    /// Returns the current time of the service's clock.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.handle.shared.clock.now()
     }
 
-    /// Subscribes to one moment.
+    /// Returns a subscription to the moment `due`.
     pub fn at(&self, due: Moment) -> TimerSubscription {
         TimerSubscription { timer: self.clone(), due, number: None }
     }
 
-    /// Subscribes to the moment that is `delay` from now.
+    /// Returns a subscription to the moment that is `delay` from now.
     pub fn after(&self, delay: Duration) -> TimerSubscription {
         self.at(self.now() + delay)
     }
 
-    /// Runs a future until it is done or its deadline has come; `None` if the deadline came.
+    /// Runs a future until it completes or the deadline passes. Returns `None` if the deadline
+    /// passes first, which drops the future.
     pub async fn limit<T>(&self, deadline: Moment, work: impl Future<Output = T>) -> Option<T> {
         match select(pin!(work), self.at(deadline)).await {
             Either::Left((done, _)) => Some(done),
@@ -111,7 +112,8 @@
             let rest = queue.due.split_off(&(Moment::from_micros(now.micros() + 1), 0));
             let ripe = std::mem::replace(&mut queue.due, rest);
             if !ripe.is_empty() {
-                // Wakers run foreign code; called under the lock they could come back for it.
+                // A waker runs code of other modules. Under the lock it would deadlock if it called
+                // this service.
                 parking_lot::MutexGuard::unlocked(&mut queue, || {
                     ripe.into_values().for_each(Waker::wake);
                 });
@@ -142,7 +144,7 @@
     }
 }
 
-/// A future that is ready once its moment has come; dropping it ends the subscription.
+/// A future that completes once its moment has come. Dropping it ends the subscription.
 #[derive(Debug)]
 #[must_use = "a subscription does nothing unless it is awaited"]
 pub struct TimerSubscription {
@@ -172,7 +174,7 @@
             return Poll::Pending;
         }
         drop(queue);
-        // The thread took the entry but the clock read above came first: the moment is here.
+        // The timer thread removed the subscription after the clock was read above, so it is due.
         Poll::Ready(due)
     }
 }
