--- a/crates/pulleyd/src/lib.rs
+++ b/crates/pulleyd/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon of jacinthpulley, as a library that its binary, tests and benches share.
+//! The daemon of jacinthpulley, as a library for its binary, tests and benches.
 //!
-//! Traffic threads carry requests; one control thread holds the replicated log, membership,
-//! upstream leases and the links to other hosts. The two sides share immutable snapshots
-//! ([`process::RunningView`]) and bounded channels ([`process::ControlHandle`]) only.
+//! Traffic threads serve requests. One control thread runs the replicated log, membership, upstream
+//! leases and the links to other hosts. The two sides communicate only through immutable snapshots
+//! ([`process::RunningView`]) and bounded channels ([`process::ControlHandle`]).
 
 pub mod connection;
 pub mod process;
--- a/crates/pulleyd/src/main.rs
+++ b/crates/pulleyd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's program: reads settings, runs until told to stop.
+//! The daemon's binary: parses the settings and runs until a signal stops it.
 
 use std::process::ExitCode;
 
@@ -6,9 +6,9 @@
 use slog::{Logger, error, info};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Bad settings; nothing was started or written.
+/// Exit code for invalid settings. Nothing was started or written.
 const EXIT_USAGE: u8 = 2;
-/// The daemon could not start, or cut connections off when it stopped.
+/// Exit code if the daemon could not start, or cut connections off when it stopped.
 const EXIT_FAILED: u8 = 1;
 
 fn main() -> ExitCode {
@@ -31,12 +31,14 @@
     run(settings, &logger)
 }
 
-/// The arguments; what is no UTF-8 cannot be a setting and is named as a fault like any other.
+/// Returns the arguments. Bytes that are not UTF-8 are replaced: such an argument cannot be a
+/// setting and is reported as a fault like any other.
 fn arguments() -> impl Iterator<Item = String> {
     std::env::args_os().skip(1).map(|argument| argument.to_string_lossy().into_owned())
 }
 
-/// The environment; another program's variable may be no UTF-8 and must not keep us from starting.
+/// Returns the environment variables. Bytes that are not UTF-8 are replaced, because another
+/// program's variable must not prevent the start.
 fn variables() -> impl Iterator<Item = (String, String)> {
     let text = |word: std::ffi::OsString| word.to_string_lossy().into_owned();
     std::env::vars_os().map(move |(name, value)| (text(name), text(value)))
@@ -75,8 +77,9 @@
     signal(SignalKind::hangup())
 }
 
-/// Notes requests to reload. The secret file, the only one that may change while the daemon runs, is
-/// looked at every few seconds anyway; without a handler the signal would end the process.
+/// Logs reload signals. They need no other action, because the secret file, the only file that may
+/// change while the daemon runs, is checked every few seconds. Without a handler the signal would
+/// end the process.
 async fn note_reloads(mut hang_up: Signal, logger: Logger) {
     while hang_up.recv().await.is_some() {
         info!(logger, "reload-requested");
