--- a/crates/pulleyd/tests/control_apis.rs
+++ b/crates/pulleyd/tests/control_apis.rs
@@ -1,6 +1,6 @@
-//! The operators' and upstreams' listeners, over real sockets, with a stand-in control thread.
+//! The operators' and upstreams' APIs over real sockets, with a fake control thread.
 
-#![allow(clippy::unwrap_used, clippy::panic, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a panic fails the test")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const ANNOUNCEMENT: &str = r#"{"id":"u1","address":"127.0.0.1:9","zone":"z","pool":"cover",
 "slots":2,"connections":500,"incarnation":1,"sequence":1,"phase":"ready"}"#;
 
-/// Longest wait for an answer; only a hang ends there.
+/// The longest wait for an answer. Only a hang exceeds it.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 struct TestHost {
@@ -32,7 +32,7 @@
     view: ViewCell,
 }
 
-/// Answers as a control thread would, and drops questions about version 99.
+/// Answers requests as a control thread would, but drops changes that expect version 99.
 async fn answer_questions(mut questions: mpsc::Receiver<ControlRequest>) {
     while let Some(question) = questions.recv().await {
         match question {
@@ -96,8 +96,8 @@
     }
 }
 
-/// Sends raw bytes, keeps the sending side open, and reads until the server closes or the whole
-/// answer is there.
+/// Sends raw bytes, keeps the sending side open, and reads the answer until the server closes the
+/// connection.
 async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -148,7 +148,9 @@
     }
 }
 
-/// During a rotation the file holds the old and the new key, and operators send either.
+/// During a key rotation the file holds the old and the new key, and operators may send either. A
+/// ring that accepts only one of them would lock operators out, and a loose comparison would let
+/// others in.
 #[test]
 fn each_key_of_the_ring_is_accepted_and_no_other() {
     let (old, new) = ("o".repeat(32), "n".repeat(40));
@@ -173,7 +175,7 @@
     assert_eq!(status, 422);
     assert!(body.contains("column service"), "{body}");
 
-    // The control thread drops this question, as it would when it ends in the middle.
+    // The fake control thread drops this request, as a control thread that ends meanwhile would.
     let (status, body) = call(host.operators, "POST", "/v1/sheet", &upload(99, good)).await;
     assert_eq!(status, 504);
     assert!(body.contains("unknown"), "{body}");
@@ -183,8 +185,9 @@
     assert!(body.contains("no-quorum"), "{body}");
 }
 
-// An operator's order for a zone is answered as done, refused or unknown, and one that names no
-// zone is refused as unreadable: an operator who takes it for done sends machines away at work.
+// An order for a zone is answered as accepted, refused or unknown, and one without a valid zone is
+// refused as a bad request. An operator who takes a failed order for done would shut down machines
+// that still serve requests.
 #[tokio::test]
 async fn an_order_for_a_zone_is_accepted_refused_or_unknown() {
     let host = test_host().await;
@@ -234,8 +237,9 @@
     assert_eq!((status, body.contains("lease over")), (503, true));
 }
 
-/// A broken or hostile upstream announces nonsense. Taken in, an upstream with a million slots or
-/// with an address nobody can connect to would draw its pool's work.
+/// A broken or hostile upstream sends an invalid announcement. If it were accepted, an upstream
+/// with a million slots, or with an address that nobody can connect to, would attract its pool's
+/// requests.
 #[tokio::test]
 async fn announcements_are_checked() {
     let host = test_host().await;
@@ -260,8 +264,8 @@
     }
 }
 
-/// Clients that send too much, without end, or too slowly would each hold memory or a connection
-/// of the one process that also carries requests.
+/// Clients that send too much, endlessly or too slowly would each hold memory or a connection of
+/// the process that also serves requests.
 #[tokio::test]
 async fn each_abuse_of_a_listener_meets_a_limit_with_a_status() {
     let host = test_host().await;
@@ -287,13 +291,13 @@
     assert_eq!(status_of(endless), 413);
     assert_eq!(status_of(slow_body), 408);
     assert_eq!(status_of(large_header), 431);
-    // With headers incomplete there is no request to answer: the connection is closed.
+    // With incomplete headers there is no request to answer, so the connection is closed.
     assert_eq!(slow_header, "");
     assert_eq!(status_of(two_framings), 400);
     assert_eq!(status_of(two_lengths), 400);
 }
 
-/// Sends bytes to a router without a socket and gives the status.
+/// Passes a request to a router without a socket, and returns the status.
 async fn status_without_socket(
     router: &axum::Router,
     request: http::Request<axum::body::Body>,
@@ -318,8 +322,8 @@
     request.body(body.into()).unwrap()
 }
 
-/// Whatever a client sends, a listener answers, and never with a fault of its own: 500 would mean
-/// that bytes from outside reached code that does not expect them.
+/// A listener answers damaged requests, and never with status 500. That would mean that unchecked
+/// bytes from outside reached code that does not expect them.
 #[tokio::test]
 async fn damaged_requests_are_answered_and_never_as_a_fault_of_the_host() {
     let (control, questions) = ControlHandle::channel(16);
@@ -342,14 +346,14 @@
         let changed = status_without_socket(&operators, request).await;
         assert!([200, 400, 409].contains(&announced), "{announced}");
         assert!([200, 400, 422].contains(&applied), "{applied}");
-        // The stand-in control thread answers no question about replicas.
+        // The fake control thread does not answer requests about replicas.
         assert!([400, 504].contains(&changed), "{changed}");
         accepted += u32::from(announced == 200) + u32::from(applied == 200);
     }
-    assert!((100..2_900).contains(&accepted), "both outcomes are tried: {accepted}");
+    assert!((100..2_900).contains(&accepted), "both outcomes must occur: {accepted}");
 }
 
-/// A large sheet came over a slow link, and was cut off after the time that a small one has.
+/// A large sheet over a slow link was cut off, because its body had the timeout of a small one.
 #[tokio::test]
 async fn a_large_body_has_longer_to_arrive() {
     let host = test_host().await;
@@ -363,11 +367,12 @@
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
     tokio::time::timeout(PATIENCE, reading).await.unwrap().unwrap();
-    // Read to its end, it is found to be no sheet.
+    // The body is read to its end, and then refused because it is not a valid sheet.
     assert_eq!(status_of(&String::from_utf8_lossy(&answer)), 422);
 }
 
-/// An operator's client that is broken or hostile meets the same limits, once it has the key.
+/// A broken or hostile client of operators that has the key must meet the same limits. Otherwise it
+/// would hold memory or a connection of the process that also serves requests.
 #[tokio::test]
 async fn the_operators_listener_has_limits_too() {
     let host = test_host().await;
@@ -379,6 +384,6 @@
     let answers = [&endless, &slow, without_key].map(|text| raw(host.operators, text.as_bytes()));
     let answers = futures::future::join_all(answers).await;
     let statuses: Vec<u16> = answers.iter().map(|answer| status_of(answer)).collect();
-    // Without the key, the answer comes before the body does.
+    // Without the key, the answer comes before the body is read.
     assert_eq!(statuses, [413, 408, 401]);
 }
--- a/crates/pulleyd/tests/daemon_settings.rs
+++ b/crates/pulleyd/tests/daemon_settings.rs
@@ -1,6 +1,6 @@
-//! Settings: flag over variable, every fault at once, nothing secret printed.
+//! Parsing of settings: a flag overrides its variable, and every fault is reported at once.
 
-#![allow(clippy::unwrap_used, clippy::panic, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a panic fails the test")]
 
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
     assert_eq!(read.own_address().to_string(), "10.0.0.9");
 }
 
-/// Somebody writes a service file by hand and mistypes several settings. Told of one fault a
-/// start, the host would be out of service for as many restarts.
+/// A service file written by hand has several mistyped settings. If each start reported only one
+/// fault, the host would be out of service for as many restarts as there are faults.
 #[test]
 fn every_fault_is_named_at_once() {
     let args = [
--- a/crates/pulleyd/tests/event_log.rs
+++ b/crates/pulleyd/tests/event_log.rs
@@ -1,6 +1,7 @@
-//! The log: one line an event, values that cannot forge one, repeats limited.
+//! The event log: one line per event, values that cannot forge an event, and a rate limit on
+//! repeated lines.
 
-#![allow(clippy::unwrap_used, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -30,7 +31,7 @@
     text.lines().map(|line| line.split_once(' ').unwrap().1.to_owned()).collect()
 }
 
-/// A caller sends a path with line breaks and equals signs. Written as it came, it would stand
+/// A caller sends a path with line breaks and equals signs. Written without quotes, it would appear
 /// in the log as an event that never happened.
 #[test]
 fn a_value_cannot_forge_an_event() {
@@ -43,8 +44,8 @@
     assert_eq!(lines, [expected]);
 }
 
-/// An upstream fails every call, thousands a second. Unlimited, its one line would fill the disk
-/// and hide every other event.
+/// An upstream fails every request, thousands per second. Without a rate limit, the repeated line
+/// would fill the disk and hide all other events.
 #[test]
 fn repeats_of_one_place_are_limited_and_others_are_not() {
     let lines = logged(|logger| {
@@ -54,7 +55,7 @@
         info!(logger, "config-in-force"; "version" => 3);
     });
     let repeats = lines.iter().filter(|line| line.contains("upstream-failed")).count();
-    // A second window begins if the loop takes longer than one on a busy machine.
+    // On a busy machine the loop may take longer than one window, so a second window may begin.
     assert!((20..1_000).contains(&repeats), "{repeats}");
     assert!(lines.last().unwrap().contains("config-in-force version=3"), "{lines:?}");
 }
--- a/crates/pulleyd/tests/timer_service.rs
+++ b/crates/pulleyd/tests/timer_service.rs
@@ -1,4 +1,4 @@
-//! The timer service under many subscribers.
+//! The timer service with many concurrent subscribers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,8 +11,9 @@
     TimerService::start(ProcessClock::start()).expect("a thread can be started")
 }
 
-// Thousands of requests subscribe their deadlines in any order from several threads. Each is woken,
-// and none before its moment: a deadline that comes early fails a request that was in time.
+// Thousands of requests subscribe to their deadlines in any order from several threads. Each must
+// be woken, and none before its deadline. An early deadline would fail a request that is still in
+// time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn wakes_everybody_and_nobody_early() {
     let timer = start();
@@ -29,7 +30,7 @@
     }
 }
 
-// A later subscription is due first. It must not wait for the earlier one's far moment.
+// The later of two subscriptions is due first. It must not wait until the earlier one is due.
 #[tokio::test]
 async fn a_nearer_moment_goes_before_a_farther_one() {
     let timer = start();
@@ -39,8 +40,8 @@
     assert!(matches!(winner, futures::future::Either::Right(_)));
 }
 
-// Most deadlines are dropped unused, as the answer came in time. Work that ends in time keeps its
-// result, and work that does not is dropped at its deadline.
+// Most deadlines are dropped unused, because the answer comes in time. Work that completes in time
+// must keep its result, and other work must be dropped at its deadline.
 #[tokio::test]
 async fn limits_work_and_drops_it_at_the_deadline() {
     struct Held(Arc<AtomicUsize>);
