--- a/crates/pulleyd/src/main.rs
+++ b/crates/pulleyd/src/main.rs
@@ -40,8 +40,8 @@
 /// Returns the environment variables. Bytes that are not UTF-8 are replaced, because another
 /// program's variable must not prevent the start.
 fn variables() -> impl Iterator<Item = (String, String)> {
-    let text = |word: std::ffi::OsString| word.to_string_lossy().into_owned();
-    std::env::vars_os().map(move |(name, value)| (text(name), text(value)))
+    let lossy = |text: std::ffi::OsString| text.to_string_lossy().into_owned();
+    std::env::vars_os().map(move |(name, value)| (lossy(name), lossy(value)))
 }
 
 fn run(settings: DaemonSettings, logger: &Logger) -> ExitCode {
@@ -57,10 +57,10 @@
         error!(logger, "start-failed"; "error" => "signals cannot be received");
         return ExitCode::from(EXIT_FAILED);
     };
-    let reloads = daemon.runtime().spawn(note_reloads(hang_up, logger.clone()));
-    daemon.runtime().block_on(async { either(&mut terminate, &mut interrupt).await });
+    let reloads = daemon.runtime().spawn(log_reload_requests(hang_up, logger.clone()));
+    daemon.runtime().block_on(async { first_signal(&mut terminate, &mut interrupt).await });
     info!(logger, "signal-received");
-    let cut = daemon.shut_down(async move { either(&mut terminate, &mut interrupt).await });
+    let cut = daemon.shut_down(async move { first_signal(&mut terminate, &mut interrupt).await });
     reloads.abort();
     if cut > 0 { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS }
 }
@@ -80,13 +80,13 @@
 /// Logs reload signals. They need no other action, because the secret file, the only file that may
 /// change while the daemon runs, is checked every few seconds. Without a handler the signal would
 /// end the process.
-async fn note_reloads(mut hang_up: Signal, logger: Logger) {
+async fn log_reload_requests(mut hang_up: Signal, logger: Logger) {
     while hang_up.recv().await.is_some() {
         info!(logger, "reload-requested");
     }
 }
 
-async fn either(one: &mut Signal, other: &mut Signal) {
+async fn first_signal(one: &mut Signal, other: &mut Signal) {
     tokio::select! {
         _ = one.recv() => {}
         _ = other.recv() => {}
--- a/crates/pulleyd/src/process/announce_api.rs
+++ b/crates/pulleyd/src/process/announce_api.rs
@@ -12,12 +12,12 @@
 use serde_json::json;
 
 use super::api_fault::{ApiFault, Result};
-use super::api_server::{ApiLimits, with_bounded_bodies};
+use super::api_server::{ApiLimits, with_body_limits};
 use super::{ControlHandle, ControlRequest, HostReadiness, ViewCell};
 
 /// Timeout for the control thread to handle an announcement. The sender tries again within the
 /// lease, through another host.
-const ANNOUNCE_TIME: Duration = Duration::from_secs(1);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The most slots that an upstream may announce. An absurd number would attract all of its pool's
 /// requests.
@@ -50,7 +50,7 @@
             .route("/v1/announce", post(announce))
             .route("/healthz", get(health))
             .with_state(self);
-        with_bounded_bodies(router, Self::LIMITS.body_bytes)
+        with_body_limits(router, Self::LIMITS.body_bytes)
     }
 }
 
@@ -59,7 +59,7 @@
         .map_err(|error| ApiFault::bad_request(format!("not a valid announcement: {error}")))?;
     check(&announcement)?;
     let question = api.control.ask(|reply| ControlRequest::Announce(announcement, reply));
-    let answer = tokio::time::timeout(ANNOUNCE_TIME, question).await;
+    let answer = tokio::time::timeout(ANNOUNCE_TIMEOUT, question).await;
     answer.map_err(|_| ApiFault::no_answer())???;
     Ok(Json(json!({ "known": true })).into_response())
 }
--- a/crates/pulleyd/src/process/api_server.rs
+++ b/crates/pulleyd/src/process/api_server.rs
@@ -23,24 +23,24 @@
 
 /// Timeout for a client's headers. A client that sends them very slowly would otherwise hold a
 /// connection forever.
-const HEADER_TIME: Duration = Duration::from_secs(5);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout for a client's body, in addition to the transfer time of the announced length over the
 /// slowest link.
-const BODY_TIME: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The slowest link of a client that is allowed for, in bytes per second.
-const SLOWEST_LINK: usize = 128 << 10;
+const SLOWEST_LINK_RATE: usize = 128 << 10;
 
 /// The largest header block, in bytes.
 const HEADER_BYTES: u32 = 16 << 10;
 
 /// Timeout for open connections to end once the server stops.
-const STOP_TIME: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Backoff after a failed accept. The process is then out of file descriptors, and an immediate
 /// retry would only occupy a core as well.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The limits of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,8 +64,8 @@
     /// Creates a server. It accepts connections once [`Self::run`] is called.
     #[must_use]
     pub fn new(listener: TcpListener, router: Router, limits: ApiLimits, logger: Logger) -> Self {
-        let noting = middleware::from_fn_with_state(logger.clone(), note_refused_body);
-        Self { listener, router: router.layer(noting), limits, logger }
+        let logging = middleware::from_fn_with_state(logger.clone(), log_refused_body);
+        Self { listener, router: router.layer(logging), limits, logger }
     }
 
     /// Accepts and serves connections until `stop` completes, then gives open requests two seconds
@@ -84,7 +84,7 @@
             }
         }
         drop(self.listener);
-        let _ = tokio::time::timeout(STOP_TIME, connections.shutdown()).await;
+        let _ = tokio::time::timeout(STOP_TIMEOUT, connections.shutdown()).await;
     }
 
     async fn accept(&self, permits: &Arc<Semaphore>) -> Option<(TcpStream, OwnedSemaphorePermit)> {
@@ -93,7 +93,7 @@
             Ok((stream, _)) => Some((stream, permit)),
             Err(error) => {
                 warn!(self.logger, "accept-failed"; "error" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
                 None
             }
         }
@@ -109,7 +109,7 @@
         builder
             .http1()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEADER_TIME)
+            .header_read_timeout(HEADER_TIMEOUT)
             .max_buf_size(HEADER_BYTES as usize);
         builder.http2().timer(TokioTimer::new()).max_header_list_size(HEADER_BYTES);
         let service = TowerToHyperService::new(self.router.clone());
@@ -127,7 +127,7 @@
 
 /// Logs a request that was refused for its body. It never reaches its handler, so the handler
 /// cannot log it.
-async fn note_refused_body(State(logger): State<Logger>, request: Request, next: Next) -> Response {
+async fn log_refused_body(State(logger): State<Logger>, request: Request, next: Next) -> Response {
     let (path, announced) = (request.uri().path().to_owned(), request.body().size_hint().exact());
     let response = next.run(request).await;
     if matches!(response.status(), StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT) {
@@ -138,13 +138,13 @@
 }
 
 /// Reads each body completely before the handler runs, within limits of size and time.
-pub(super) fn with_bounded_bodies(router: Router, body_bytes: usize) -> Router {
+pub(super) fn with_body_limits(router: Router, body_bytes: usize) -> Router {
     // The body extractors of axum have a lower limit of their own, which is turned off here.
     let router = router.layer(DefaultBodyLimit::disable());
-    router.layer(middleware::from_fn_with_state(body_bytes, bound_body))
+    router.layer(middleware::from_fn_with_state(body_bytes, limit_body))
 }
 
-async fn bound_body(State(body_bytes): State<usize>, request: Request, next: Next) -> Response {
+async fn limit_body(State(body_bytes): State<usize>, request: Request, next: Next) -> Response {
     match read_body(request, body_bytes).await {
         Ok(request) => next.run(request).await,
         Err(fault) => fault.into_response(),
@@ -154,7 +154,7 @@
 async fn read_body(request: Request, body_bytes: usize) -> Result<Request> {
     let (parts, body) = request.into_parts();
     let announced = body.size_hint().lower().min(body_bytes as u64);
-    let time = BODY_TIME + Duration::from_millis(announced * 1_000 / SLOWEST_LINK as u64);
+    let time = BODY_TIMEOUT + Duration::from_millis(announced * 1_000 / SLOWEST_LINK_RATE as u64);
     let body = Limited::new(body, body_bytes).collect();
     let Ok(collected) = tokio::time::timeout(time, body).await else {
         let message = format!("the body did not arrive within {}s", time.as_secs());
--- a/crates/pulleyd/src/process/bootstrap_replica.rs
+++ b/crates/pulleyd/src/process/bootstrap_replica.rs
@@ -25,10 +25,10 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const WANTED: &str = "a list such as host-a=m1,host-b=m2";
-        let (host, member) = text.split_once('=').ok_or(WANTED)?;
-        let host = host.trim().parse().map_err(|_| WANTED)?;
-        let member = member.trim().parse().map_err(|_| WANTED)?;
+        const EXPECTED: &str = "a list such as host-a=m1,host-b=m2";
+        let (host, member) = text.split_once('=').ok_or(EXPECTED)?;
+        let host = host.trim().parse().map_err(|_| EXPECTED)?;
+        let member = member.trim().parse().map_err(|_| EXPECTED)?;
         Ok(Self { host, member })
     }
 }
--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -13,11 +13,11 @@
 use super::control_handle::{ControlFault, ControlRequest, Result};
 
 /// The most confirmed departures that are remembered. A day has a few thousand at the planned size.
-const DEPARTED_LIMIT: usize = 4_096;
+const MAX_CONFIRMED_DEPARTURES: usize = 4_096;
 
 /// The receiver of the answer to a question that was put to the leader.
 #[derive(Debug)]
-pub(crate) enum AnswerSlot {
+pub(crate) enum PendingAnswer {
     Change(oneshot::Sender<ChangeAnswer>),
     Sheet(oneshot::Sender<Result<SheetView>>),
     Audit(oneshot::Sender<Result<Vec<AuditRecord>>>),
@@ -28,11 +28,11 @@
     Done(oneshot::Sender<Result<()>>),
     /// The departure of an upstream, with the incarnation that leaves.
     Departure(UpstreamStart, oneshot::Sender<Result<()>>),
-    /// The control core itself. See [`ControlCore::note_applied`].
+    /// The control core itself. See [`ControlCore::handle_applied_answer`].
     Applied,
 }
 
-impl AnswerSlot {
+impl PendingAnswer {
     /// Converts the answer to the requested form and sends it. A receiver that no longer waits is
     /// ignored.
     pub(crate) fn answer(self, answer: ReplicaAnswer) {
@@ -40,28 +40,28 @@
             Self::Change(reply) => drop(reply.send(change_answer(answer))),
             Self::Sheet(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Sheet(sheet) => Ok(sheet),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Audit(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Audit(records) => Ok(records),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Replica(reply) => drop(
                 reply.send(match answer {
                     ReplicaAnswer::Members(members) => serde_json::to_value(members)
                         .map_err(|fault| ControlFault::Refused(fault.to_string())),
-                    other => Err(fault_of(other)),
+                    other => Err(fault_from_answer(other)),
                 }),
             ),
             Self::Zone(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Zone(answer) => Ok(answer),
                 // The order may be accepted nevertheless.
                 ReplicaAnswer::Unknown { .. } => Err(ControlFault::NoAnswer),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Zones(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Zones(zones) => Ok(zones),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Claim(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Claim(claim) => claim,
@@ -70,7 +70,7 @@
             Self::Applied => {}
             Self::Done(reply) | Self::Departure(_, reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Done => Ok(()),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
         }
     }
@@ -80,11 +80,11 @@
     match answer {
         ReplicaAnswer::Change(answer) => answer,
         ReplicaAnswer::Unknown { why } => ChangeAnswer::Unknown { why },
-        other => ChangeAnswer::Unknown { why: SmolStr::new(fault_of(other).to_string()) },
+        other => ChangeAnswer::Unknown { why: SmolStr::new(fault_from_answer(other).to_string()) },
     }
 }
 
-fn fault_of(answer: ReplicaAnswer) -> ControlFault {
+fn fault_from_answer(answer: ReplicaAnswer) -> ControlFault {
     match answer {
         ReplicaAnswer::Refused(refusal) => ControlFault::Refused(refusal.to_string()),
         ReplicaAnswer::NotLeader { .. } => ControlFault::NoQuorum("no leader is known".to_owned()),
@@ -97,7 +97,7 @@
     pub(super) fn answer_request(&mut self, now: Moment, request: ControlRequest) {
         match request {
             ControlRequest::Announce(announcement, reply) => {
-                self.announced(now, announcement, reply);
+                self.handle_announcement(now, announcement, reply);
             }
             ControlRequest::Gone(id, incarnation, reply) => {
                 if self.registry.announce_gone(now, &id, incarnation) {
@@ -119,23 +119,23 @@
             ControlRequest::Status(reply) => drop(reply.send(Ok(self.status(now)))),
             ControlRequest::ShutDown(reply) => {
                 self.shutting_down = true;
-                self.drive(now, DriverInput::TransferLeadership);
+                self.drive_replica(now, DriverInput::TransferLeadership);
                 let _ = reply.send(());
             }
             replicated => self.ask_leader(now, replicated),
         }
     }
 
-    fn announced(
+    fn handle_announcement(
         &mut self,
         now: Moment,
         announcement: Announcement,
         reply: oneshot::Sender<Result<()>>,
     ) {
         let (id, incarnation) = (announcement.id.clone(), announcement.incarnation);
-        let leaves = !announcement.phase.takes_work();
+        let is_leaving = !announcement.phase.takes_work();
         let start = UpstreamStart { id, incarnation };
-        if !leaves && self.has_left(&start) {
+        if !is_leaving && self.has_left(&start) {
             // The announcement was delayed. If a host that has restarted since, and does not know
             // this incarnation, took it in, requests would go to an upstream that is gone.
             let _ = reply.send(Ok(()));
@@ -143,7 +143,7 @@
         }
         match self.registry.announce(now, announcement) {
             Err(fault) => drop(reply.send(Err(ControlFault::Refused(fault.to_string())))),
-            Ok(_) if leaves => self.confirm_departure(now, &start.id, Some(incarnation), reply),
+            Ok(_) if is_leaving => self.confirm_departure(now, &start.id, Some(incarnation), reply),
             Ok(_) => drop(reply.send(Ok(()))),
         }
     }
@@ -161,8 +161,9 @@
         incarnation: Option<Incarnation>,
         reply: oneshot::Sender<Result<()>>,
     ) {
-        let told = incarnation.map(|incarnation| UpstreamStart { id: id.clone(), incarnation });
-        if told.as_ref().is_some_and(|start| self.departed.contains(start)) {
+        let leaving_start =
+            incarnation.map(|incarnation| UpstreamStart { id: id.clone(), incarnation });
+        if leaving_start.as_ref().is_some_and(|start| self.confirmed_departures.contains(start)) {
             let _ = reply.send(Ok(()));
             return;
         }
@@ -172,71 +173,76 @@
             return;
         };
         let question = ReplicaQuestion::Departure { start: start.clone(), record };
-        self.ask(now, question, AnswerSlot::Departure(start, reply));
+        self.ask(now, question, PendingAnswer::Departure(start, reply));
     }
 
     /// Remembers a confirmed departure, because upstreams keep announcing it until they stop.
-    pub(super) fn note_departed(&mut self, start: UpstreamStart) {
-        if self.departed.len() >= DEPARTED_LIMIT {
-            self.departed.clear();
+    pub(super) fn record_departure(&mut self, start: UpstreamStart) {
+        if self.confirmed_departures.len() >= MAX_CONFIRMED_DEPARTURES {
+            self.confirmed_departures.clear();
         }
-        self.departed.insert(start);
+        self.confirmed_departures.insert(start);
     }
 
     fn ask_leader(&mut self, now: Moment, request: ControlRequest) {
-        let (question, slot) = match request {
+        let (question, pending) = match request {
             ControlRequest::Apply(change, reply) => {
                 if let Err(fault) = SizeFault::check(&change) {
                     let refusal = ChangeRefusal::TooLarge { fault: fault.to_string() };
                     let _ = reply.send(ChangeAnswer::Refused(refusal));
                     return;
                 }
-                (ReplicaQuestion::Apply(*change), AnswerSlot::Change(reply))
+                (ReplicaQuestion::Apply(*change), PendingAnswer::Change(reply))
             }
             ControlRequest::CurrentPlan(reply) => {
-                (ReplicaQuestion::CurrentPlan, AnswerSlot::Sheet(reply))
+                (ReplicaQuestion::CurrentPlan, PendingAnswer::Sheet(reply))
             }
             ControlRequest::Audit(filter, reply) => {
-                (ReplicaQuestion::Audit(filter), AnswerSlot::Audit(reply))
+                (ReplicaQuestion::Audit(filter), PendingAnswer::Audit(reply))
             }
             ControlRequest::Replica(change, reply) => {
-                (ReplicaQuestion::Change(change), AnswerSlot::Replica(reply))
+                (ReplicaQuestion::Change(change), PendingAnswer::Replica(reply))
             }
             ControlRequest::OrderZone(mut order, reply) => {
                 order.based_on = self.follower.evacuated().revision;
-                (ReplicaQuestion::OrderZone(*order), AnswerSlot::Zone(reply))
+                (ReplicaQuestion::OrderZone(*order), PendingAnswer::Zone(reply))
             }
             ControlRequest::EvacuatedZones(reply) => {
-                (ReplicaQuestion::EvacuatedZones, AnswerSlot::Zones(reply))
+                (ReplicaQuestion::EvacuatedZones, PendingAnswer::Zones(reply))
             }
             ControlRequest::Claim(claim, reply) => {
                 let key = SmolStr::new(claim.key);
                 let claimant = ClaimantId(rand::random());
                 let question = ReplicaQuestion::Claim { key, digest: claim.digest, claimant };
-                (question, AnswerSlot::Claim(reply))
+                (question, PendingAnswer::Claim(reply))
             }
             ControlRequest::Record(claim, token, answer, reply) => {
                 let key = SmolStr::new(claim.key);
-                (ReplicaQuestion::Record { key, token, answer }, AnswerSlot::Done(reply))
+                (ReplicaQuestion::Record { key, token, answer }, PendingAnswer::Done(reply))
             }
             ControlRequest::Release(claim, token, reply) => {
                 let key = SmolStr::new(claim.key);
-                (ReplicaQuestion::Release { key, token }, AnswerSlot::Done(reply))
+                (ReplicaQuestion::Release { key, token }, PendingAnswer::Done(reply))
             }
             // `answer_request` handles the other requests without the leader.
             _ => return,
         };
-        self.ask(now, question, slot);
+        self.ask(now, question, pending);
     }
 
     /// Sends a question to the leader. Returns whether it was sent; if not, it was answered as
     /// refused.
-    pub(super) fn ask(&mut self, now: Moment, question: ReplicaQuestion, slot: AnswerSlot) -> bool {
+    pub(super) fn ask(
+        &mut self,
+        now: Moment,
+        question: ReplicaQuestion,
+        pending: PendingAnswer,
+    ) -> bool {
         let Some((number, routed)) = self.router.ask(now, question) else {
-            slot.answer(ReplicaAnswer::Refused(ReplicaRefusal::Busy));
+            pending.answer(ReplicaAnswer::Refused(ReplicaRefusal::Busy));
             return false;
         };
-        self.answers.insert(number, slot);
+        self.pending_answers.insert(number, pending);
         self.route(now, routed);
         true
     }
--- a/crates/pulleyd/src/process/control_api.rs
+++ b/crates/pulleyd/src/process/control_api.rs
@@ -15,7 +15,7 @@
 
 /// Timeout for an answer of the control thread. Requesters give up after 1 s and ask another host.
 /// They should hear before then that this host has no answer.
-const ANSWER_TIME: Duration = Duration::from_millis(900);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The control thread's API for listeners of any protocol.
 #[derive(Clone, Debug)]
@@ -44,7 +44,8 @@
     /// Returns `Refused` if the announcement contradicts what is known. After any other fault, it
     /// may not be known to this host.
     pub async fn announce(&self, announcement: Announcement) -> Result<()> {
-        within(self.control.ask(|reply| ControlRequest::Announce(announcement, reply))).await?
+        with_timeout(self.control.ask(|reply| ControlRequest::Announce(announcement, reply)))
+            .await?
     }
 
     /// Records that an upstream has left. The answer comes once a quorum knows of it.
@@ -56,13 +57,14 @@
         id: UpstreamId,
         incarnation: Option<Incarnation>,
     ) -> Result<()> {
-        within(self.control.ask(|reply| ControlRequest::Gone(id, incarnation, reply))).await?
+        with_timeout(self.control.ask(|reply| ControlRequest::Gone(id, incarnation, reply))).await?
     }
 
     /// Puts a configuration in force. After the answer `Unknown` it may be sent again.
     pub async fn apply(&self, change: ChangeRequest) -> ChangeAnswer {
         let change = Box::new(change);
-        let asked = within(self.control.ask(|reply| ControlRequest::Apply(change, reply))).await;
+        let asked =
+            with_timeout(self.control.ask(|reply| ControlRequest::Apply(change, reply))).await;
         asked.unwrap_or_else(|fault| ChangeAnswer::Unknown { why: SmolStr::new(fault.to_string()) })
     }
 
@@ -85,7 +87,7 @@
             zone_use,
             based_on: LogIndex::default(),
         });
-        within(self.control.ask(|reply| ControlRequest::OrderZone(order, reply))).await?
+        with_timeout(self.control.ask(|reply| ControlRequest::OrderZone(order, reply))).await?
     }
 
     /// Returns the sheet that a quorum confirms to be current.
@@ -93,11 +95,11 @@
     /// # Errors
     /// Returns the fault that kept a quorum from confirming it.
     pub async fn current_plan(&self) -> Result<SheetView> {
-        within(self.control.ask(ControlRequest::CurrentPlan)).await?
+        with_timeout(self.control.ask(ControlRequest::CurrentPlan)).await?
     }
 }
 
-async fn within<T>(question: impl Future<Output = Result<T>>) -> Result<T> {
-    let answer = tokio::time::timeout(ANSWER_TIME, question).await;
+async fn with_timeout<T>(question: impl Future<Output = Result<T>>) -> Result<T> {
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, question).await;
     answer.unwrap_or(Err(ControlFault::NoAnswer))
 }
--- a/crates/pulleyd/src/process/control_core.rs
+++ b/crates/pulleyd/src/process/control_core.rs
@@ -17,10 +17,10 @@
 };
 use pulley_core::{ConfigVersion, HostId, IndexedPlan, Moment, PoolName, UpstreamId, ZoneName};
 
-use super::control_answer::AnswerSlot;
-use super::control_counts::{CountCarrier, ProbeReport};
+use super::control_answer::PendingAnswer;
+use super::control_counts::{CountExchange, ProbeReport};
 use super::control_handle::ControlRequest;
-use super::control_replica::LEASE_TOKENS;
+use super::control_replica::FIRST_LEASE_TOKEN;
 use super::upstream_recovery::UpstreamRecovery;
 use super::{RunningView, ViewCell};
 use crate::connection::{DatagramCounts, FrameClass, LinkCounts};
@@ -85,8 +85,8 @@
     pub(super) follower: PlanFollower,
     pub(super) replica: Option<ReplicaDriver>,
     pub(super) router: QuestionRouter,
-    pub(super) counts: CountCarrier,
-    pub(super) answers: FastMap<QuestionNumber, AnswerSlot>,
+    pub(super) counts: CountExchange,
+    pub(super) pending_answers: FastMap<QuestionNumber, PendingAnswer>,
     pub(super) founders: Vec<HostId>,
     pub(super) outputs: Vec<ControlOutput>,
     pub(super) view: ViewCell,
@@ -94,20 +94,20 @@
     pub(super) shutting_down: bool,
     pub(super) transport: TransportCounts,
     /// The inputs of the last published view, and when it was built.
-    seen: Option<(ViewMarks, Moment)>,
+    published: Option<(ViewInputs, Moment)>,
     /// When to build a view that was deferred to collect more changes.
     view_due: Option<Moment>,
     /// The plan in force, as the published views hold it.
-    pub(super) shown_plan: Arc<IndexedPlan>,
+    pub(super) view_plan: Arc<IndexedPlan>,
     pub(super) lease_round: Option<(u64, Moment)>,
     pub(super) next_lease_round: Moment,
     pub(super) next_lease_token: u64,
     /// Whether this host led the log at the last call of [`Self::renew_lease`].
-    pub(super) led: bool,
+    pub(super) was_leader: bool,
     /// The departures of upstreams that a quorum has confirmed.
-    pub(super) departed: FastSet<UpstreamStart>,
+    pub(super) confirmed_departures: FastSet<UpstreamStart>,
     /// The revision of the evacuated zones that the registry was last given.
-    zones_shown: LogIndex,
+    applied_zones: LogIndex,
     /// The live entries of each zone, as the published views hold them.
     pub(super) entries: Arc<EntryZones>,
     pub(super) recovery: UpstreamRecovery,
@@ -116,11 +116,11 @@
 /// The shortest interval between views that differ only in hosts and upstreams, so that one view
 /// covers a burst of changes: the loss of a zone, a release, or the return of all hosts after a
 /// loss of power. A request may be placed by a view that is stale by this much.
-const VIEW_PAUSE: Duration = Duration::from_millis(20);
+const MIN_VIEW_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The inputs of a view. A new view is built when any of them changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ViewMarks {
+struct ViewInputs {
     members: u64,
     upstreams: u64,
     version: u64,
@@ -130,14 +130,14 @@
     leaving: bool,
 }
 
-impl ViewMarks {
+impl ViewInputs {
     /// Whether a view with the inputs `other` may be deferred. This is so if only hosts, upstreams
     /// or the number of the awaited version differ. That a version is awaited at all must be
     /// published at once: from then on, callers get no refusal that is final.
-    fn can_wait(&self, other: &Self) -> bool {
-        let without = |marks: &Self| {
-            let awaited = marks.awaited.map(|_| ConfigVersion::default());
-            Self { members: 0, upstreams: 0, awaited, ..*marks }
+    fn can_defer(&self, other: &Self) -> bool {
+        let without = |inputs: &Self| {
+            let awaited = inputs.awaited.map(|_| ConfigVersion::default());
+            Self { members: 0, upstreams: 0, awaited, ..*inputs }
         };
         without(self) == without(other)
     }
@@ -159,23 +159,23 @@
                 .with_link_rate(parts.link_rate),
             replica: parts.replica,
             router: QuestionRouter::new(host.clone(), parts.seed >> 2),
-            counts: CountCarrier::new(host, parts.share_counts),
-            answers: FastMap::default(),
+            counts: CountExchange::new(host, parts.share_counts),
+            pending_answers: FastMap::default(),
             founders: parts.founders,
             outputs: Vec::new(),
             view: parts.view,
             schedulers: parts.schedulers,
             shutting_down: false,
             transport: TransportCounts::default(),
-            seen: None,
+            published: None,
             view_due: None,
-            shown_plan: Arc::default(),
+            view_plan: Arc::default(),
             lease_round: None,
             next_lease_round: Moment::ZERO,
-            next_lease_token: LEASE_TOKENS,
-            led: false,
-            departed: FastSet::default(),
-            zones_shown: LogIndex::default(),
+            next_lease_token: FIRST_LEASE_TOKEN,
+            was_leader: false,
+            confirmed_departures: FastSet::default(),
+            applied_zones: LogIndex::default(),
             entries: Arc::default(),
             recovery: UpstreamRecovery::new(parts.directory),
         }
@@ -198,7 +198,7 @@
         self.send_plans(joined.into_iter().collect());
         let plans = self.follower.tick(now, &ring);
         self.send_plans(plans);
-        self.drive(now, DriverInput::Tick);
+        self.drive_replica(now, DriverInput::Tick);
         let routed = self.router.tick(now);
         self.route(now, routed);
         self.renew_lease(now);
@@ -217,7 +217,7 @@
     ) -> Vec<ControlOutput> {
         match class {
             FrameClass::Replication => {
-                self.drive(now, DriverInput::Peer { from: from.clone(), body });
+                self.drive_replica(now, DriverInput::Peer { from: from.clone(), body });
             }
             FrameClass::Operator | FrameClass::Ledger => {
                 let routed = self.router.receive(now, from, &body);
@@ -267,7 +267,7 @@
 
     /// Handles the result of a storage thread.
     pub(crate) fn stored(&mut self, now: Moment, input: DriverInput) -> Vec<ControlOutput> {
-        self.drive(now, input);
+        self.drive_replica(now, input);
         self.refresh(now);
         std::mem::take(&mut self.outputs)
     }
@@ -290,13 +290,13 @@
     }
 
     /// Records the traffic of the sockets, for the status.
-    pub(crate) fn note_transport(&mut self, counts: TransportCounts) {
+    pub(crate) fn record_transport(&mut self, counts: TransportCounts) {
         self.transport = counts;
     }
 
     /// Handles the result of a probe.
-    pub(crate) fn probed(&mut self, now: Moment, probe: &ProbeReport) {
-        self.counts.probed(now, probe);
+    pub(crate) fn handle_probe(&mut self, now: Moment, probe: &ProbeReport) {
+        self.counts.handle_probe(now, probe);
     }
 
     /// Returns when [`Self::tick`] is next due.
@@ -321,8 +321,8 @@
 
     /// Leaves the cluster's membership. No other method may be called afterwards.
     pub(crate) fn leave(&mut self, now: Moment) -> Vec<ControlOutput> {
-        let farewells = self.members.leave(now);
-        self.send_membership(farewells);
+        let messages = self.members.leave(now);
+        self.send_membership(messages);
         std::mem::take(&mut self.outputs)
     }
 
@@ -348,13 +348,13 @@
     }
 
     fn tick_counts(&mut self, now: Moment) {
-        let carried = self.counts.tick(now, &self.schedulers);
-        for (to, body) in carried.sends {
+        let outgoing = self.counts.tick(now, &self.schedulers);
+        for (to, body) in outgoing.sends {
             let Some(record) = self.members.find(&to) else { continue };
             let address = record.peer_address;
             self.datagram(address, FrameClass::Counts, body);
         }
-        for (pool, zone, output) in carried.probes {
+        for (pool, zone, output) in outgoing.probes {
             if let CoordinatorOutput::Probe { upstream, address } = output {
                 self.outputs.push(ControlOutput::Probe { pool, zone, upstream, address });
             }
@@ -365,31 +365,32 @@
     fn refresh(&mut self, now: Moment) {
         let standing = self.follower.standing(now);
         self.apply_zones();
-        let marks = ViewMarks {
+        let inputs = ViewInputs {
             members: self.members.changes(),
             upstreams: self.registry.changes(),
             version: self.follower.version().0,
             awaited: self.follower.awaited(),
-            zones: self.zones_shown,
+            zones: self.applied_zones,
             ready: standing.is_ready(),
             leaving: self.shutting_down,
         };
         self.view.confirm(now);
         self.view_due = None;
-        if let Some((seen, at)) = &self.seen {
-            if *seen == marks {
+        if let Some((published, at)) = &self.published {
+            if *published == inputs {
                 return;
             }
-            if seen.can_wait(&marks) && now < *at + VIEW_PAUSE {
-                self.view_due = Some(*at + VIEW_PAUSE);
+            if published.can_defer(&inputs) && now < *at + MIN_VIEW_INTERVAL {
+                self.view_due = Some(*at + MIN_VIEW_INTERVAL);
                 return;
             }
         }
-        let moved_members = self.seen.is_none_or(|(seen, _)| seen.members != marks.members);
-        self.seen = Some((marks, now));
-        if moved_members {
+        let members_changed =
+            self.published.is_none_or(|(published, _)| published.members != inputs.members);
+        self.published = Some((inputs, now));
+        if members_changed {
             self.apply_members();
-            self.introduce_entries(now);
+            self.inform_new_entries(now);
         }
         let view = self.build_view(now, standing);
         self.publish(now, view);
@@ -398,8 +399,8 @@
     /// Applies the latest zone orders to the registry of upstreams.
     fn apply_zones(&mut self) {
         let evacuated = self.follower.evacuated();
-        if evacuated.revision != self.zones_shown {
-            self.zones_shown = evacuated.revision;
+        if evacuated.revision != self.applied_zones {
+            self.applied_zones = evacuated.revision;
             self.registry.evacuate(&evacuated.zones);
         }
     }
--- a/crates/pulleyd/src/process/control_counts.rs
+++ b/crates/pulleyd/src/process/control_counts.rs
@@ -16,7 +16,7 @@
 
 /// The shortest interval between two ticks, so that a pool with many changes cannot keep the
 /// control thread in a busy loop.
-const COUNT_PACE: Duration = Duration::from_millis(2);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The upstreams of one pool in one zone.
 type CountScope = (PoolName, ZoneName);
@@ -43,7 +43,7 @@
 
 /// The messages and probes that a tick produces.
 #[derive(Debug, Default)]
-pub(crate) struct CarriedCounts {
+pub(crate) struct OutgoingCounts {
     /// Encoded messages for other hosts.
     pub(crate) sends: Vec<(HostId, Bytes)>,
     /// Probes that coordinators request.
@@ -51,27 +51,27 @@
 }
 
 /// The coordinators that run on this host, and the hosts that run the others.
-pub(crate) struct CountCarrier {
+pub(crate) struct CountExchange {
     host: HostId,
     /// Whether counts are exchanged with other hosts. If not, schedulers use their own counts
     /// alone.
     shares: bool,
     coordinators: FastMap<CountScope, PoolCoordinator>,
     assigned: FastMap<CountScope, HostId>,
-    not_before: Moment,
+    earliest_tick: Moment,
     /// Whether a sum waits to be relayed to further hosts.
-    passes_on: bool,
+    has_relays: bool,
 }
 
-impl CountCarrier {
+impl CountExchange {
     pub(crate) fn new(host: HostId, shares: bool) -> Self {
         Self {
             host,
             shares,
             coordinators: FastMap::default(),
             assigned: FastMap::default(),
-            not_before: Moment::ZERO,
-            passes_on: false,
+            earliest_tick: Moment::ZERO,
+            has_relays: false,
         }
     }
 
@@ -103,7 +103,7 @@
         // Every entry takes part in every pool's rounds, so the byte limit is divided by the number
         // of pools.
         let pools = u32::try_from(view.plan.pools().len()).unwrap_or(u32::MAX).max(1);
-        let bytes = count_bytes(live.len());
+        let bytes = count_byte_rate(live.len());
         for coordinator in self.coordinators.values_mut() {
             coordinator.set_bytes_per_second(bytes / pools);
         }
@@ -111,14 +111,14 @@
     }
 
     /// Returns the messages and probes that are due.
-    pub(crate) fn tick(&mut self, now: Moment, schedulers: &SchedulerSet) -> CarriedCounts {
-        let mut carried = CarriedCounts::default();
-        if now < self.not_before || !self.shares {
-            return carried;
+    pub(crate) fn tick(&mut self, now: Moment, schedulers: &SchedulerSet) -> OutgoingCounts {
+        let mut outgoing = OutgoingCounts::default();
+        if now < self.earliest_tick || !self.shares {
+            return outgoing;
         }
-        self.not_before = now + COUNT_PACE;
+        self.earliest_tick = now + MIN_TICK_INTERVAL;
         for (pool, zone, delta) in schedulers.take_deltas(now) {
-            self.carry_delta(now, &(pool, zone), delta, schedulers, &mut carried);
+            self.send_delta(now, &(pool, zone), delta, schedulers, &mut outgoing);
         }
         let mut sums: Vec<CountSum> = Vec::new();
         for ((pool, zone), coordinator) in &mut self.coordinators {
@@ -128,10 +128,12 @@
                         sums.push(*sum);
                     }
                     CoordinatorOutput::Publish { to, sum } => {
-                        carried.sends.extend(encode(&CountFrame::Sum(*sum)).map(|body| (to, body)));
+                        outgoing
+                            .sends
+                            .extend(encode(&CountFrame::Sum(*sum)).map(|body| (to, body)));
                     }
                     probe @ CoordinatorOutput::Probe { .. } => {
-                        carried.probes.push((pool.clone(), zone.clone(), probe));
+                        outgoing.probes.push((pool.clone(), zone.clone(), probe));
                     }
                 }
             }
@@ -139,11 +141,11 @@
         for sum in &sums {
             schedulers.receive_sum(now, sum);
         }
-        self.passes_on = false;
+        self.has_relays = false;
         for (to, sum) in schedulers.take_relays() {
-            carried.sends.extend(encode(&CountFrame::Sum(sum)).map(|body| (to, body)));
+            outgoing.sends.extend(encode(&CountFrame::Sum(sum)).map(|body| (to, body)));
         }
-        carried
+        outgoing
     }
 
     /// Handles a count message of another host. A message that cannot be decoded is dropped.
@@ -166,7 +168,7 @@
             // back to that name.
             CountFrame::Sum(sum) if sum.sender == *from => {
                 schedulers.receive_sum(now, &sum);
-                self.passes_on |= !sum.route.is_empty();
+                self.has_relays |= !sum.route.is_empty();
             }
             CountFrame::Sum(_) => {}
         }
@@ -190,7 +192,7 @@
 
     /// Passes a probe's outcome to the coordinator that requested it, if it still runs on this
     /// host.
-    pub(crate) fn probed(&mut self, now: Moment, probe: &ProbeReport) {
+    pub(crate) fn handle_probe(&mut self, now: Moment, probe: &ProbeReport) {
         let scope = (probe.pool.clone(), probe.zone.clone());
         if let Some(coordinator) = self.coordinators.get_mut(&scope) {
             coordinator.probed(now, &probe.upstream, probe.outcome);
@@ -203,8 +205,8 @@
         }
         let own = self.coordinators.values().map(PoolCoordinator::next_wakeup).min();
         let deltas = schedulers.next_delta_at();
-        let passes_on = self.passes_on.then_some(self.not_before);
-        own.into_iter().chain(deltas).chain(passes_on).min().map(|due| due.max(self.not_before))
+        let has_relays = self.has_relays.then_some(self.earliest_tick);
+        own.into_iter().chain(deltas).chain(has_relays).min().map(|due| due.max(self.earliest_tick))
     }
 
     /// Returns the pools and zones that this host coordinates.
@@ -229,13 +231,13 @@
         coordinator.apply_upstreams(now, records);
     }
 
-    fn carry_delta(
+    fn send_delta(
         &mut self,
         now: Moment,
         scope: &CountScope,
         delta: CountDelta,
         schedulers: &SchedulerSet,
-        carried: &mut CarriedCounts,
+        outgoing: &mut OutgoingCounts,
     ) {
         let to = delta.to.clone().or_else(|| self.assigned.get(scope).cloned());
         match to {
@@ -244,7 +246,7 @@
                 self.take_delta(now, &host, &delta, schedulers);
             }
             Some(to) => {
-                carried.sends.extend(encode(&CountFrame::Delta(delta)).map(|body| (to, body)));
+                outgoing.sends.extend(encode(&CountFrame::Delta(delta)).map(|body| (to, body)));
             }
             None => {}
         }
@@ -256,12 +258,13 @@
 /// The cost of gossip per host grows with the number of hosts (docs/CAPACITY.md). If counts did not
 /// leave room for it, a large installation would exceed its traffic limit. With fewer bytes, rounds
 /// are less frequent, and entries compare fewer upstreams by older counts.
-fn count_bytes(hosts: usize) -> u32 {
-    const BYTES_A_HOST: u32 = 28;
-    const LEAST: u32 = 3_000;
+fn count_byte_rate(hosts: usize) -> u32 {
+    const GOSSIP_BYTES_PER_HOST: u32 = 28;
+    const MINIMUM: u32 = 3_000;
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-    let room = (COUNT_BYTES_PER_SECOND + 1_000).saturating_sub(hosts.saturating_mul(BYTES_A_HOST));
-    room.clamp(LEAST, COUNT_BYTES_PER_SECOND)
+    let room = (COUNT_BYTES_PER_SECOND + 1_000)
+        .saturating_sub(hosts.saturating_mul(GOSSIP_BYTES_PER_HOST));
+    room.clamp(MINIMUM, COUNT_BYTES_PER_SECOND)
 }
 
 fn zones_of(records: &[UpstreamRecord]) -> Vec<ZoneName> {
--- a/crates/pulleyd/src/process/control_replica.rs
+++ b/crates/pulleyd/src/process/control_replica.rs
@@ -9,20 +9,20 @@
 };
 use pulley_core::{ConfigVersion, Moment};
 
-use super::control_answer::AnswerSlot;
+use super::control_answer::PendingAnswer;
 use super::control_core::{ControlCore, ControlOutput};
 use crate::connection::FrameClass;
 
 /// The interval at which a leader confirms its leadership with a quorum and renews the
 /// configuration lease. The shortest lease covers several intervals, so that two lost rounds do no
 /// harm.
-const LEASE_ROUND: Duration = Duration::from_millis(500);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The first token of the core's own questions. Lower tokens are the router's question numbers.
-pub(super) const LEASE_TOKENS: u64 = 1 << 63;
+pub(super) const FIRST_LEASE_TOKEN: u64 = 1 << 63;
 
 impl ControlCore {
-    pub(super) fn drive(&mut self, now: Moment, input: DriverInput) {
+    pub(super) fn drive_replica(&mut self, now: Moment, input: DriverInput) {
         let Some(replica) = &mut self.replica else { return };
         let outputs = replica.handle(now, input);
         for output in outputs {
@@ -38,7 +38,7 @@
                     self.outputs.push(ControlOutput::Persist(batch));
                 }
                 DriverOutput::ReadAudit(read) => self.outputs.push(ControlOutput::ReadAudit(read)),
-                DriverOutput::Answer { token, answer } => self.driver_answered(now, token, answer),
+                DriverOutput::Answer { token, answer } => self.handle_answer(now, token, answer),
                 DriverOutput::InForce(plan) => self.follower.committed(&plan),
                 DriverOutput::ZonesInForce(zones) => self.follower.committed_zones(&zones),
             }
@@ -46,9 +46,9 @@
         self.recall_upstreams(now);
     }
 
-    fn driver_answered(&mut self, now: Moment, token: u64, answer: ReplicaAnswer) {
-        if token >= LEASE_TOKENS {
-            self.lease_confirmed(token, &answer);
+    fn handle_answer(&mut self, now: Moment, token: u64, answer: ReplicaAnswer) {
+        if token >= FIRST_LEASE_TOKEN {
+            self.handle_lease_answer(token, &answer);
             return;
         }
         let routed = self.router.local_answer(now, QuestionNumber(token), answer);
@@ -69,15 +69,15 @@
                     });
                 }
                 RouterOutput::Answer { number, answer } => {
-                    let Some(slot) = self.answers.remove(&number) else { continue };
-                    match (&slot, &answer) {
-                        (AnswerSlot::Departure(start, _), ReplicaAnswer::Done) => {
-                            self.note_departed(start.clone());
+                    let Some(pending) = self.pending_answers.remove(&number) else { continue };
+                    match (&pending, &answer) {
+                        (PendingAnswer::Departure(start, _), ReplicaAnswer::Done) => {
+                            self.record_departure(start.clone());
                         }
-                        (AnswerSlot::Applied, answer) => self.note_applied(now, answer),
+                        (PendingAnswer::Applied, answer) => self.handle_applied_answer(now, answer),
                         _ => {}
                     }
-                    slot.answer(answer);
+                    pending.answer(answer);
                 }
             }
         }
@@ -90,7 +90,7 @@
             self.registry.take_departure(now, record);
         }
         if self.replica.is_some() {
-            self.drive(now, DriverInput::Ask { token: number.0, question });
+            self.drive_replica(now, DriverInput::Ask { token: number.0, question });
             return;
         }
         let answer = ReplicaAnswer::NotLeader { leader: None };
@@ -104,14 +104,14 @@
     /// starts when the read began, because the read proves nothing about later times.
     pub(super) fn renew_lease(&mut self, now: Moment) {
         // After a restart of all hosts, every host waits for the first lease of the new leader.
-        let leads = self.replica.as_ref().is_some_and(|replica| replica.node().is_leader());
-        let led = std::mem::replace(&mut self.led, leads);
-        let has_won = leads && !led;
-        if now < self.next_lease_round && !has_won {
+        let is_leader = self.replica.as_ref().is_some_and(|replica| replica.node().is_leader());
+        let was_leader = std::mem::replace(&mut self.was_leader, is_leader);
+        let became_leader = is_leader && !was_leader;
+        if now < self.next_lease_round && !became_leader {
             return;
         }
-        self.next_lease_round = now + LEASE_ROUND;
-        self.report_log();
+        self.next_lease_round = now + LEASE_RENEWAL_INTERVAL;
+        self.report_uncommitted();
         let Some(replica) = &self.replica else { return };
         if !replica.node().is_leader() {
             self.lease_round = None;
@@ -120,10 +120,10 @@
         self.next_lease_token += 1;
         self.lease_round = Some((self.next_lease_token, now));
         let question = ReplicaQuestion::Applied;
-        self.drive(now, DriverInput::Ask { token: self.next_lease_token, question });
+        self.drive_replica(now, DriverInput::Ask { token: self.next_lease_token, question });
     }
 
-    fn lease_confirmed(&mut self, token: u64, answer: &ReplicaAnswer) {
+    fn handle_lease_answer(&mut self, token: u64, answer: &ReplicaAnswer) {
         let Some((expected, began)) = self.lease_round else { return };
         if token != expected || !matches!(answer, ReplicaAnswer::Applied(_)) {
             return;
@@ -140,9 +140,9 @@
 
     /// Reports this host's uncommitted log entries to the follower. Hosts without a lease must know
     /// of them, because they may or may not have been accepted.
-    fn report_log(&mut self) {
+    fn report_uncommitted(&mut self) {
         let Some(replica) = &self.replica else { return };
-        let (last_version, last_order) = last_entries(replica);
+        let (last_version, last_order) = latest_in_log(replica);
         self.follower.set_replica(replica_set(replica), last_version, last_order);
     }
 }
@@ -156,7 +156,7 @@
 }
 
 /// Returns the latest version and the latest zone order in this log, committed or not.
-fn last_entries(replica: &ReplicaDriver) -> (ConfigVersion, LogIndex) {
+fn latest_in_log(replica: &ReplicaDriver) -> (ConfigVersion, LogIndex) {
     let (node, machines) = (replica.node(), replica.machines());
     let mut version = machines.configuration.version();
     let mut order = machines.evacuations.evacuated().revision;
--- a/crates/pulleyd/src/process/control_status.rs
+++ b/crates/pulleyd/src/process/control_status.rs
@@ -30,10 +30,10 @@
     /// readers of views detect a change by its pointer.
     fn plan_in_force(&mut self) -> Arc<IndexedPlan> {
         let Some(plan) = self.follower.in_force() else { return Arc::default() };
-        if !Arc::ptr_eq(self.shown_plan.shared(), plan) {
-            self.shown_plan = Arc::new(IndexedPlan::new(Arc::clone(plan)));
+        if !Arc::ptr_eq(self.view_plan.shared(), plan) {
+            self.view_plan = Arc::new(IndexedPlan::new(Arc::clone(plan)));
         }
-        Arc::clone(&self.shown_plan)
+        Arc::clone(&self.view_plan)
     }
 
     fn readiness(&self, standing: PlanStanding) -> HostReadiness {
@@ -102,7 +102,7 @@
             "zone": self.members.own().zone,
             "version": self.follower.version(),
             "ready": standing.is_ready() && !self.shutting_down,
-            "standing": standing_word(standing),
+            "standing": standing_name(standing),
             "leader": self.follower.leader(now),
             "evacuated": self.follower.evacuated().zones,
             "hosts": hosts,
@@ -121,7 +121,7 @@
 }
 
 /// Returns the text of a standing for operators. The status shows the version separately.
-const fn standing_word(standing: PlanStanding) -> &'static str {
+const fn standing_name(standing: PlanStanding) -> &'static str {
     match standing {
         PlanStanding::Starting => "starting",
         PlanStanding::InForce(_) => "in-force",
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -23,7 +23,7 @@
 use super::control_core::{ControlCore, ControlOutput, CoreParts, TransportCounts};
 use super::control_counts::ProbeReport;
 use super::control_handle::ControlRequest;
-use super::replica_opening::{ReplicaDisk, ReplicaOpening};
+use super::replica_opener::{ReplicaDisk, ReplicaOpener};
 use super::{DaemonSettings, ProcessClock, ViewCell};
 use crate::connection::{
     DatagramSeal, FrameClass, InboundDatagram, InboundFrame, KeyRing, LinkSettings, PeerDatagrams,
@@ -41,17 +41,17 @@
 
 /// The shortest interval between two log lines on the members. When hundreds of hosts start
 /// together, each host learns of them one by one.
-const MEMBERS_PAUSE: Duration = Duration::from_millis(500);
+const MEMBERS_LOG_INTERVAL: Duration = Duration::from_millis(500);
 /// Bytes in a kilobit.
 const BYTES_PER_KBIT: f64 = 125.0;
 /// The shortest interval between two log lines on the cost of spreading configurations.
-const SPREAD_PAUSE: Duration = Duration::from_secs(1);
+const SPREAD_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The interval at which the secret file is checked for changed keys.
-const KEY_CHECK: Duration = Duration::from_secs(2);
+const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The delay before a full disk is tried again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
 /// The most events handled between two ticks, so that a flood of messages cannot delay heartbeats.
 const EVENT_BURST: usize = 64;
@@ -137,7 +137,7 @@
     core: ControlCore,
     links: PeerLinks,
     datagrams: PeerDatagrams,
-    opening: ReplicaOpening,
+    opener: ReplicaOpener,
     disk: Option<ReplicaDisk>,
     /// When to open the data folder again after its disk was full.
     reopen_at: Option<Moment>,
@@ -147,24 +147,24 @@
     prober: UpstreamProber,
     probed: mpsc::Sender<ProbeReport>,
     /// The change count of the members up to which the links know their addresses.
-    known_mark: u64,
+    linked_members: u64,
     /// The change count of the members at the last log line on them, and when the next line is
     /// allowed.
-    told_mark: u64,
-    next_telling: Moment,
-    spread_told: SpreadCounts,
-    next_spread_telling: Moment,
-    believed: Option<ReplicaBelief>,
+    logged_members: u64,
+    next_members_log: Moment,
+    logged_spread: SpreadCounts,
+    next_spread_log: Moment,
+    logged_cluster: Option<ClusterState>,
     /// The standing of the configuration that was last logged.
-    standing: Option<PlanStanding>,
+    logged_standing: Option<PlanStanding>,
     /// The revision of the evacuated zones that was last logged.
-    zones_told: LogIndex,
+    logged_zones: LogIndex,
     next_key_check: Moment,
 }
 
 /// The state of the cluster as this replica knows it. A change of it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ReplicaBelief {
+struct ClusterState {
     role: &'static str,
     leader: Option<MemberId>,
     term: u64,
@@ -194,7 +194,7 @@
     };
     let _ = started.send(Ok(control.links.local_address()));
     loop {
-        control.look_after();
+        control.run_upkeep();
         control.reopen_full_disk(&mut inbox);
         let due = control.core.next_wakeup().min(control.clock.now() + LONGEST_SLEEP);
         let wake = tokio::time::Instant::from_std(control.clock.instant_at(due));
@@ -206,10 +206,10 @@
         }
         let now = control.clock.now();
         let outputs = control.core.tick(now);
-        control.carry_out(outputs);
+        control.execute(outputs);
     }
-    let farewells = control.core.leave(control.clock.now());
-    control.carry_out(farewells);
+    let outputs = control.core.leave(control.clock.now());
+    control.execute(outputs);
 }
 
 async fn open(parts: ControlParts) -> StartResult<(ControlLoop, ControlInbox)> {
@@ -221,8 +221,8 @@
         open_sockets(settings, &parts.key_ring, frame_sender, datagram_sender).await?;
     let seed = rand::random();
     let now = parts.clock.now();
-    let opening = ReplicaOpening::new(settings, parts.clock, parts.logger.clone());
-    let (replica, disk, directory, stored) = match opening.open(now)? {
+    let opener = ReplicaOpener::new(settings, parts.clock, parts.logger.clone());
+    let (replica, disk, directory, stored) = match opener.open(now)? {
         Some(open) => (Some(open.driver), Some(open.disk), open.directory, open.stored),
         None => (None, None, None, mpsc::unbounded_channel().1),
     };
@@ -247,7 +247,7 @@
         core,
         links,
         datagrams,
-        opening,
+        opener,
         disk,
         reopen_at: None,
         clock: parts.clock,
@@ -255,15 +255,15 @@
         key_ring: parts.key_ring,
         prober: parts.prober,
         probed: probe_sender,
-        known_mark: u64::MAX,
-        told_mark: u64::MAX,
-        next_telling: now,
-        spread_told: SpreadCounts::default(),
-        next_spread_telling: now,
-        believed: None,
-        standing: None,
-        zones_told: LogIndex::default(),
-        next_key_check: now + KEY_CHECK,
+        linked_members: u64::MAX,
+        logged_members: u64::MAX,
+        next_members_log: now,
+        logged_spread: SpreadCounts::default(),
+        next_spread_log: now,
+        logged_cluster: None,
+        logged_standing: None,
+        logged_zones: LogIndex::default(),
+        next_key_check: now + KEY_CHECK_INTERVAL,
     };
     let requests = parts.requests;
     let inbox = ControlInbox { requests, frames, datagrams: datagrams_in, stored, probes };
@@ -334,7 +334,7 @@
         let outputs = match event {
             ControlEvent::Request(request) => {
                 if matches!(request, ControlRequest::Status(_)) {
-                    self.core.note_transport(TransportCounts {
+                    self.core.record_transport(TransportCounts {
                         datagrams: self.datagrams.counts(),
                         links: self.links.counts(),
                     });
@@ -353,15 +353,15 @@
             ),
             ControlEvent::Stored(input) => self.core.stored(now, input),
             ControlEvent::Probed(report) => {
-                self.core.probed(now, &report);
+                self.core.handle_probe(now, &report);
                 Vec::new()
             }
             ControlEvent::Closed => Vec::new(),
         };
-        self.carry_out(outputs);
+        self.execute(outputs);
     }
 
-    fn carry_out(&mut self, outputs: Vec<ControlOutput>) {
+    fn execute(&mut self, outputs: Vec<ControlOutput>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -409,16 +409,16 @@
     }
 
     /// Updates addresses and keys, logs changes of state, and writes the directory of upstreams.
-    fn look_after(&mut self) {
+    fn run_upkeep(&mut self) {
         let mark = self.core.members.changes();
-        if mark != self.known_mark {
-            self.known_mark = mark;
+        if mark != self.linked_members {
+            self.linked_members = mark;
             self.apply_addresses();
         }
-        self.report_members(mark);
-        self.report_belief();
-        self.report_spread();
-        if let Some(outcome) = self.core.take_recall() {
+        self.log_members(mark);
+        self.log_cluster_state();
+        self.log_spread();
+        if let Some(outcome) = self.core.take_recall_outcome() {
             info!(self.logger, "upstreams-recalled"; "outcome" => ?outcome);
         }
         let now = self.clock.now();
@@ -426,7 +426,7 @@
         if now < self.next_key_check {
             return;
         }
-        self.next_key_check = now + KEY_CHECK;
+        self.next_key_check = now + KEY_CHECK_INTERVAL;
         match self.key_ring.reload() {
             Ok(true) => info!(self.logger, "keys-reloaded"),
             Ok(false) => {}
@@ -439,7 +439,7 @@
         let Some(disk) = self.disk.as_ref().filter(|disk| !disk.directory.is_busy()) else {
             return;
         };
-        if let Some(directory) = self.core.directory_due(now) {
+        if let Some(directory) = self.core.take_due_directory(now) {
             disk.directory.submit(directory);
         }
     }
@@ -453,15 +453,15 @@
     fn reopen_full_disk(&mut self, inbox: &mut ControlInbox) {
         let now = self.clock.now();
         if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_full) {
-            warn!(self.logger, "disk-full"; "retry_ms" => millis(REOPEN_PAUSE));
-            self.reopen_at = Some(now + REOPEN_PAUSE);
+            warn!(self.logger, "disk-full"; "retry_ms" => millis(REOPEN_DELAY));
+            self.reopen_at = Some(now + REOPEN_DELAY);
         }
         if self.reopen_at.is_none_or(|at| now < at) {
             return;
         }
         // The storage thread has to end before another one may open the folder.
         self.disk = None;
-        match self.opening.open(now) {
+        match self.opener.open(now) {
             Ok(Some(open)) => {
                 info!(self.logger, "disk-reopened");
                 self.core.replica = Some(open.driver);
@@ -474,54 +474,54 @@
             Ok(None) => self.reopen_at = None,
             Err(fault) => {
                 warn!(self.logger, "disk-unusable"; "error" => %fault);
-                self.reopen_at = Some(now + REOPEN_PAUSE);
+                self.reopen_at = Some(now + REOPEN_DELAY);
             }
         }
     }
 
     /// Logs the number of live hosts if the members have changed.
-    fn report_members(&mut self, mark: u64) {
+    fn log_members(&mut self, mark: u64) {
         let now = self.clock.now();
-        if mark == self.told_mark || now < self.next_telling {
+        if mark == self.logged_members || now < self.next_members_log {
             return;
         }
-        self.told_mark = mark;
-        self.next_telling = now + MEMBERS_PAUSE;
+        self.logged_members = mark;
+        self.next_members_log = now + MEMBERS_LOG_INTERVAL;
         info!(self.logger, "membership"; "live" => self.core.members.live().count());
     }
 
     /// Logs the configuration in force, the evacuated zones, the leader and the members of the log
     /// if they have changed.
-    fn report_belief(&mut self) {
+    fn log_cluster_state(&mut self) {
         let standing = self.core.follower.standing(self.clock.now());
-        if self.standing != Some(standing) {
-            self.standing = Some(standing);
+        if self.logged_standing != Some(standing) {
+            self.logged_standing = Some(standing);
             info!(self.logger, "configuration"; "standing" => ?standing);
         }
         let evacuated = self.core.follower.evacuated();
-        if self.zones_told != evacuated.revision {
-            self.zones_told = evacuated.revision;
+        if self.logged_zones != evacuated.revision {
+            self.logged_zones = evacuated.revision;
             let zones: Vec<&str> = evacuated.zones.iter().map(ZoneName::as_str).collect();
             info!(self.logger, "zones-in-force"; "evacuated" => zones.join(","),
                 "revision" => evacuated.revision.0);
         }
         let Some(replica) = &self.core.replica else { return };
         let node = replica.node();
-        let belief = ReplicaBelief {
+        let cluster = ClusterState {
             role: replica.role_name(),
             leader: node.leader(),
             term: node.term().0,
             members_index: node.members_index().0,
             has_failed: node.failure().is_some(),
         };
-        if self.believed == Some(belief) {
+        if self.logged_cluster == Some(cluster) {
             return;
         }
-        self.believed = Some(belief);
+        self.logged_cluster = Some(cluster);
         let status = replica.status();
         let voter = |member: &ReplicaMember| if member.voter { "" } else { "(learner)" };
         let members = status.members.iter().map(|m| format!("{}={}{}", m.host, m.member, voter(m)));
-        info!(self.logger, "replica"; "role" => belief.role, "term" => belief.term,
+        info!(self.logger, "replica"; "role" => cluster.role, "term" => cluster.term,
             "leader" => status.leader.as_ref().map(ToString::to_string),
             "members" => members.collect::<Vec<_>>().join(","), "last" => status.last_index.0,
             "committed" => status.commit_index.0, "version" => %status.version,
@@ -529,14 +529,14 @@
     }
 
     /// Logs the cost of spreading configurations if it has grown.
-    fn report_spread(&mut self) {
+    fn log_spread(&mut self) {
         let now = self.clock.now();
         let counts = self.core.follower.spread_counts();
-        if counts == self.spread_told || now < self.next_spread_telling {
+        if counts == self.logged_spread || now < self.next_spread_log {
             return;
         }
-        self.spread_told = counts;
-        self.next_spread_telling = now + SPREAD_PAUSE;
+        self.logged_spread = counts;
+        self.next_spread_log = now + SPREAD_LOG_INTERVAL;
         let follower = &self.core.follower;
         let awaited = follower.awaited().map(|version| version.to_string());
         info!(self.logger, "configuration-spread"; "version" => %follower.version(),
@@ -598,6 +598,6 @@
 }
 
 /// Tells the control thread to hand over its leadership, and waits for its answer.
-pub(super) async fn hand_over(handle: &super::ControlHandle) {
+pub(super) async fn hand_over_leadership(handle: &super::ControlHandle) {
     let _ = handle.ask(|reply: oneshot::Sender<()>| ControlRequest::ShutDown(reply)).await;
 }
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-use super::control_thread::{ControlParts, ControlStartFault, ControlThread, hand_over};
+use super::control_thread::{ControlParts, ControlStartFault, ControlThread, hand_over_leadership};
 use super::daemon_protocol::{DaemonProtocol, ProtocolRouter};
 use super::{
     AnnounceApi, ApiLimits, ApiServer, ControlApi, ControlHandle, ControlRequest, DaemonSettings,
@@ -29,10 +29,10 @@
 use crate::request::{HeaderDialect, SchedulerSet, TrafficContext, TrafficLimits, TrustedCallers};
 
 /// The most requests that may wait for the control thread.
-const CONTROL_DEPTH: usize = 8_192;
+const CONTROL_QUEUE_DEPTH: usize = 8_192;
 
 /// The interval at which the metrics of the view are updated.
-const METRICS_PACE: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits of the metrics' listener. It serves a few collectors, whose requests have no body.
 const METRICS_LIMITS: ApiLimits = ApiLimits { connections: 16, body_bytes: 1 << 10 };
@@ -166,24 +166,24 @@
     /// leadership is handed over, the platform's balancer gets time to notice, the listener stops
     /// accepting, requests in flight finish, and the host leaves the membership.
     ///
-    /// `hurry` ends the wait early. Returns the number of connections that were cut off.
-    pub fn shut_down(self, hurry: impl Future<Output = ()> + Send + 'static) -> usize {
+    /// `stop_now` ends the wait early. Returns the number of connections that were cut off.
+    pub fn shut_down(self, stop_now: impl Future<Output = ()> + Send + 'static) -> usize {
         let Self { parts, control, servers, .. } = self;
         let runtime = parts.threads.handle().clone();
         info!(parts.logger, "shutdown-began"; "running" => parts.schedulers.running());
         let cut = runtime.block_on(async {
-            hand_over(&parts.handle).await;
-            let mut hurry = std::pin::pin!(hurry);
-            let is_hurried = tokio::select! {
+            hand_over_leadership(&parts.handle).await;
+            let mut stop_now = std::pin::pin!(stop_now);
+            let must_stop_now = tokio::select! {
                 () = tokio::time::sleep(ready_grace(&parts.settings)) => false,
-                () = &mut hurry => true,
+                () = &mut stop_now => true,
             };
             // A future that has completed must not be polled again. Doing so made the process panic
             // on a second signal during the grace, which cut off all requests without a log line.
-            if is_hurried {
+            if must_stop_now {
                 servers.stop(&parts.schedulers, std::future::ready(())).await
             } else {
-                servers.stop(&parts.schedulers, hurry).await
+                servers.stop(&parts.schedulers, stop_now).await
             }
         });
         control.stop();
@@ -222,12 +222,12 @@
         let clock = ProcessClock::start();
         let threads = TrafficThreads::start(settings.traffic_threads)?;
         let timer = TimerService::start(clock)?;
-        let (handle, requests) = ControlHandle::channel(CONTROL_DEPTH);
+        let (handle, requests) = ControlHandle::channel(CONTROL_QUEUE_DEPTH);
         let view = ViewCell::new(clock);
         let (host, zone) = (settings.host_id.clone(), settings.zone.clone());
         let schedulers = SchedulerSet::new(host, zone, clock, rand::random())
             .with_retry_allowance(retry_allowance(&settings))
-            .with_arrival_probes(rate_of(settings.traffic.arrival_probe_rate));
+            .with_arrival_probes(rate_from_setting(settings.traffic.arrival_probe_rate));
         let schedulers = Arc::new(schedulers);
         let metrics = ProcessMetrics::new()?;
         let parts = Self {
@@ -312,11 +312,11 @@
     fn start(parts: &SharedParts, listeners: Listeners, routers: DaemonRouters) -> Self {
         let runtime = parts.threads.handle();
         let metrics = parts.metrics.clone();
-        runtime.spawn(record_views(metrics.clone(), parts.view.clone()));
+        runtime.spawn(record_view_metrics(metrics.clone(), parts.view.clone()));
         let (stop_callers, callers_stopped) = watch::channel(false);
         let (stop_apis, apis_stopped) = watch::channel(false);
         let grace = parts.settings.drain_grace;
-        let callers = runtime.spawn(listeners.callers.serve(until(callers_stopped), grace));
+        let callers = runtime.spawn(listeners.callers.serve(wait_for_stop(callers_stopped), grace));
         let mut served = vec![
             (listeners.upstreams, routers.upstreams),
             (listeners.operators, routers.operators),
@@ -328,7 +328,7 @@
             .into_iter()
             .map(|(listener, (router, limits))| {
                 let server = ApiServer::new(listener, router, limits, parts.logger.clone());
-                runtime.spawn(server.run(until(apis_stopped.clone())))
+                runtime.spawn(server.run(wait_for_stop(apis_stopped.clone())))
             })
             .collect();
         Self { stop_callers, stop_apis, callers, apis }
@@ -337,13 +337,13 @@
     /// Waits for callers' requests to finish, then stops the other listeners. Health checks and
     /// announcements are still needed while requests run. Returns the number of connections that
     /// were cut off.
-    async fn stop(self, schedulers: &SchedulerSet, hurry: impl Future<Output = ()>) -> usize {
+    async fn stop(self, schedulers: &SchedulerSet, stop_now: impl Future<Output = ()>) -> usize {
         let _ = self.stop_callers.send(true);
         let cut = tokio::select! {
             report = self.callers => {
                 report.map_or(0, |report| report.connections.max(report.requests))
             }
-            () = hurry => schedulers.running(),
+            () = stop_now => schedulers.running(),
         };
         let _ = self.stop_apis.send(true);
         for api in self.apis {
@@ -407,7 +407,7 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "the setting is at most a thousand")]
-fn rate_of(setting: usize) -> f32 {
+fn rate_from_setting(setting: usize) -> f32 {
     setting as f32
 }
 
@@ -420,16 +420,16 @@
     Router::new().route("/metrics", get(render))
 }
 
-async fn until(mut stopped: watch::Receiver<bool>) {
+async fn wait_for_stop(mut stopped: watch::Receiver<bool>) {
     let _ = stopped.wait_for(|stop| *stop).await;
 }
 
-async fn record_views(metrics: ProcessMetrics, view: ViewCell) {
+async fn record_view_metrics(metrics: ProcessMetrics, view: ViewCell) {
     loop {
         let current = view.load();
         metrics.record_view(current.version.0, view.readiness() == HostReadiness::Ready);
         metrics.record_awaited(current.awaited);
         metrics.record_zones(current.evacuated.zones.len(), current.evacuated_upstreams());
-        tokio::time::sleep(METRICS_PACE).await;
+        tokio::time::sleep(METRICS_INTERVAL).await;
     }
 }
--- a/crates/pulleyd/src/process/daemon_protocol.rs
+++ b/crates/pulleyd/src/process/daemon_protocol.rs
@@ -4,7 +4,7 @@
 
 use axum::Router;
 
-use super::api_server::with_bounded_bodies;
+use super::api_server::with_body_limits;
 use super::{ApiLimits, ControlApi};
 use crate::request::HeaderDialect;
 
@@ -27,7 +27,7 @@
     /// Builds the router and returns it with the listener's limits.
     pub fn build(self, control: ControlApi) -> (Router, ApiLimits) {
         let Self { builder, limits } = self;
-        (with_bounded_bodies(builder(control), limits.body_bytes), limits)
+        (with_body_limits(builder(control), limits.body_bytes), limits)
     }
 }
 
--- a/crates/pulleyd/src/process/daemon_settings.rs
+++ b/crates/pulleyd/src/process/daemon_settings.rs
@@ -19,17 +19,17 @@
 type Result<T> = std::result::Result<T, SettingsFaults>;
 
 /// The longest duration that a setting may have: a day.
-const TIME_LIMIT: Duration = Duration::from_secs(86_400);
+const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
 /// The most keys that a ledger may hold. At 138 bytes each they take 69 MB of a node's 128 MB.
 const LEDGER_CAPACITY_LIMIT: usize = 500_000;
 
 /// The shortest ledger retention. A caller resends a request after a lost answer well within it.
-const SHORTEST_RETENTION: Duration = Duration::from_secs(10);
+const MIN_LEDGER_RETENTION: Duration = Duration::from_secs(10);
 
 /// The shortest lease of an upstream: three announcements, one second apart, and half a second
 /// more.
-const SHORTEST_LEASE: Duration = Duration::from_secs(3);
+const MIN_UPSTREAM_LEASE: Duration = Duration::from_secs(3);
 
 /// The most upstreams that may be probed for one request. Probing more than a few costs more than
 /// it gains.
@@ -132,7 +132,7 @@
             return Ok(SettingsRequest::Version(version_text()));
         }
         let settings = reader.read();
-        let settings = settings.filter(|settings| reader.fits_together(settings));
+        let settings = settings.filter(|settings| reader.check_consistency(settings));
         match settings {
             Some(settings) if reader.faults.is_empty() => Ok(if reader.check {
                 SettingsRequest::Check(Box::new(settings))
@@ -206,16 +206,16 @@
             version: false,
             check: false,
         };
-        reader.take_variables(env);
-        reader.take_flags(args.into_iter().collect());
+        reader.read_variables(env);
+        reader.read_flags(args.into_iter().collect());
         reader
     }
 
-    fn take_variables(&mut self, env: impl IntoIterator<Item = (String, String)>) {
-        let ours = env.into_iter().filter(|(name, _)| name.starts_with(VARIABLE_PREFIX));
-        let mut ours: Vec<(String, String)> = ours.collect();
-        ours.sort();
-        for (name, value) in ours {
+    fn read_variables(&mut self, env: impl IntoIterator<Item = (String, String)>) {
+        let variables = env.into_iter().filter(|(name, _)| name.starts_with(VARIABLE_PREFIX));
+        let mut variables: Vec<(String, String)> = variables.collect();
+        variables.sort();
+        for (name, value) in variables {
             match SETTINGS.iter().find(|entry| entry.variable() == name) {
                 Some(entry) => drop(self.values.insert(entry.flag, value)),
                 None => self.faults.push(format!("{name}: no such variable; see --help")),
@@ -225,7 +225,7 @@
 
     /// Parses the flags. `getopts` stops at its first fault, so the faulty argument is removed and
     /// the rest is parsed again. An operator thus sees all faults at once.
-    fn take_flags(&mut self, mut args: Vec<String>) {
+    fn read_flags(&mut self, mut args: Vec<String>) {
         let options = options();
         let matches = loop {
             let fault = match options.parse(&args) {
@@ -241,10 +241,10 @@
             };
             let flag = format!("--{name}");
             let is_faulty = |arg: &String| arg.split('=').next() == Some(flag.as_str());
-            let place = args.iter().rposition(is_faulty);
+            let index = args.iter().rposition(is_faulty);
             self.faults.push(format!("{flag}: {fault}; see --help"));
-            let Some(place) = place else { return };
-            args.remove(place);
+            let Some(index) = index else { return };
+            args.remove(index);
         };
         self.help = matches.opt_present("help");
         self.version = matches.opt_present("version");
@@ -283,7 +283,7 @@
             self.checked("trusted-callers", "a list such as 10.0.0.7,10.0.0.8", list);
         let callers_limit = self.count("callers-limit", 100_000);
         let ledger_capacity = self.count("ledger-capacity", LEDGER_CAPACITY_LIMIT);
-        let ledger_retention = self.time("ledger-retention", SHORTEST_RETENTION);
+        let ledger_retention = self.time("ledger-retention", MIN_LEDGER_RETENTION);
         let share_counts = self.checked("share-counts", "yes or no", yes_or_no);
         let traffic = self.read_traffic();
         let replication = self.read_replication();
@@ -321,16 +321,16 @@
     }
 
     fn read_traffic(&mut self) -> Option<TrafficSettings> {
-        let upstream_lease = self.time("upstream-lease", SHORTEST_LEASE);
+        let upstream_lease = self.time("upstream-lease", MIN_UPSTREAM_LEASE);
         let serves_on = self.checked("without-quorum", "serve or refuse", serve_or_refuse);
-        let wanted = "a whole number, or nothing";
-        let retry_allowance = self.optional("retry-allowance", wanted, |text| text.parse().ok());
+        let expected = "a whole number, or nothing";
+        let retry_allowance = self.optional("retry-allowance", expected, |text| text.parse().ok());
         let retry_percent = self.count_from("retry-percent", 0, 100);
         let arrival_probes = self.count_from("arrival-probes", 0, ARRIVAL_PROBES_LIMIT);
         let arrival_probe_rate = self.count("arrival-probe-rate", 1_000);
-        let wanted = "a whole number of at least 1, or nothing";
+        let expected = "a whole number of at least 1, or nothing";
         let link_kbps =
-            self.optional("link-kbps", wanted, |text| text.parse().ok().filter(|rate| *rate > 0));
+            self.optional("link-kbps", expected, |text| text.parse().ok().filter(|rate| *rate > 0));
         Some(TrafficSettings {
             upstream_lease: upstream_lease?,
             serves_on: serves_on?,
@@ -349,7 +349,7 @@
     }
 
     /// Checks that the settings are consistent with each other. Returns whether they are.
-    fn fits_together(&mut self, settings: &DaemonSettings) -> bool {
+    fn check_consistency(&mut self, settings: &DaemonSettings) -> bool {
         let before = self.faults.len();
         if settings.roles.replica != settings.data_folder.is_some() {
             self.faults.push(format!(
@@ -363,8 +363,8 @@
             ("--operators-listen", settings.operators_listen),
             ("--peers-listen", settings.peers_listen),
         ];
-        for (place, (flag, address)) in listeners.iter().enumerate() {
-            let taken = listeners[..place].iter().find(|(_, other)| other == address);
+        for (index, (flag, address)) in listeners.iter().enumerate() {
+            let taken = listeners[..index].iter().find(|(_, other)| other == address);
             if let Some((other, _)) = taken.filter(|_| address.port() != 0) {
                 self.faults.push(format!("{flag}: {address} is also used by {other}"));
             }
@@ -375,11 +375,11 @@
                 settings.peers_listen
             ));
         }
-        for (place, replica) in settings.replicas.iter().enumerate() {
+        for (index, replica) in settings.replicas.iter().enumerate() {
             let same = |other: &&BootstrapReplica| {
                 other.host == replica.host || other.member == replica.member
             };
-            if settings.replicas[..place].iter().any(|other| same(&other)) {
+            if settings.replicas[..index].iter().any(|other| same(&other)) {
                 self.faults.push(format!("--replicas: {replica} repeats a host or a member"));
             }
         }
@@ -392,7 +392,7 @@
     fn checked<T>(
         &mut self,
         flag: &'static str,
-        wanted: &str,
+        expected: &str,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
         let entry = SETTINGS.iter().find(|entry| entry.flag == flag)?;
@@ -400,12 +400,12 @@
         let Some(text) = given else {
             let variable = entry.variable();
             self.faults
-                .push(format!("--{flag}: missing, and so is {variable}; expected: {wanted}"));
+                .push(format!("--{flag}: missing, and so is {variable}; expected: {expected}"));
             return None;
         };
         let value = parse(text.trim());
         if value.is_none() {
-            self.faults.push(format!("--{flag}: {text:?} is not allowed; expected: {wanted}"));
+            self.faults.push(format!("--{flag}: {text:?} is not allowed; expected: {expected}"));
         }
         value
     }
@@ -414,17 +414,17 @@
     fn optional<T>(
         &mut self,
         flag: &'static str,
-        wanted: &str,
+        expected: &str,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<Option<T>> {
-        self.checked(flag, wanted, |text| match text {
+        self.checked(flag, expected, |text| match text {
             "" => Some(None),
             text => parse(text).map(Some),
         })
     }
 
-    fn parsed<T: FromStr>(&mut self, flag: &'static str, wanted: &str) -> Option<T> {
-        self.checked(flag, wanted, |text| text.parse().ok())
+    fn parsed<T: FromStr>(&mut self, flag: &'static str, expected: &str) -> Option<T> {
+        self.checked(flag, expected, |text| text.parse().ok())
     }
 
     fn name<T: FromStr>(&mut self, flag: &'static str) -> Option<T> {
@@ -435,20 +435,21 @@
         self.parsed(flag, "an IP address and a port, such as 10.0.0.1:8080")
     }
 
-    fn time(&mut self, flag: &'static str, least: Duration) -> Option<Duration> {
-        let wanted = format!("a time such as 500ms, 3s or 2m, from {}ms to 24h", least.as_millis());
-        let allowed = least..=TIME_LIMIT;
-        self.checked(flag, &wanted, |text| time_span(text).filter(|span| allowed.contains(span)))
+    fn time(&mut self, flag: &'static str, minimum: Duration) -> Option<Duration> {
+        let expected =
+            format!("a time such as 500ms, 3s or 2m, from {}ms to 24h", minimum.as_millis());
+        let allowed = minimum..=MAX_DURATION;
+        self.checked(flag, &expected, |text| time_span(text).filter(|span| allowed.contains(span)))
     }
 
-    fn count(&mut self, flag: &'static str, most: usize) -> Option<usize> {
-        self.count_from(flag, 1, most)
+    fn count(&mut self, flag: &'static str, maximum: usize) -> Option<usize> {
+        self.count_from(flag, 1, maximum)
     }
 
-    fn count_from(&mut self, flag: &'static str, least: usize, most: usize) -> Option<usize> {
-        let wanted = format!("a whole number from {least} to {most}");
-        self.checked(flag, &wanted, |text| {
-            text.parse().ok().filter(|count| (least..=most).contains(count))
+    fn count_from(&mut self, flag: &'static str, minimum: usize, maximum: usize) -> Option<usize> {
+        let expected = format!("a whole number from {minimum} to {maximum}");
+        self.checked(flag, &expected, |text| {
+            text.parse().ok().filter(|count| (minimum..=maximum).contains(count))
         })
     }
 }
--- a/crates/pulleyd/src/process/event_log.rs
+++ b/crates/pulleyd/src/process/event_log.rs
@@ -71,8 +71,8 @@
         // The lock is poisoned if the `Display` of a value panicked. Logging goes on without that
         // event.
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = (record.file(), record.line());
-        let Some(suppressed) = state.admit(place, Instant::now()) else { return Ok(()) };
+        let source = (record.file(), record.line());
+        let Some(suppressed) = state.count_line(source, Instant::now()) else { return Ok(()) };
         let mut line = EventLine::begin(record);
         record.kv().serialize(record, &mut line)?;
         values.serialize(record, &mut line)?;
@@ -87,9 +87,9 @@
 impl<W> LogState<W> {
     /// Applies the rate limit to one line. Returns the number of lines suppressed before it, or
     /// `None` if this line is suppressed too.
-    fn admit(&mut self, place: (&'static str, u32), now: Instant) -> Option<u64> {
+    fn count_line(&mut self, source: (&'static str, u32), now: Instant) -> Option<u64> {
         let fresh = RepeatWindow { since: now, lines: 0, suppressed: 0 };
-        let window = self.windows.entry(place).or_insert(fresh);
+        let window = self.windows.entry(source).or_insert(fresh);
         let mut suppressed = 0;
         if now.duration_since(window.since) >= WINDOW {
             suppressed = window.suppressed;
--- a/crates/pulleyd/src/process/mod.rs
+++ b/crates/pulleyd/src/process/mod.rs
@@ -21,7 +21,7 @@
 mod operator_api;
 mod process_clock;
 mod process_metrics;
-mod replica_opening;
+mod replica_opener;
 mod running_view;
 mod setting_groups;
 mod setting_list;
--- a/crates/pulleyd/src/process/operator_api.rs
+++ b/crates/pulleyd/src/process/operator_api.rs
@@ -27,18 +27,18 @@
 use smol_str::SmolStr;
 
 use super::api_fault::{ApiFault, Result};
-use super::api_server::{ApiLimits, with_bounded_bodies};
+use super::api_server::{ApiLimits, with_body_limits};
 use super::{ControlHandle, ControlRequest, ProcessClock, ProcessMetrics, ReplicaChange, ViewCell};
 use crate::connection::KeyRing;
 
 /// Timeout for an answer of the control thread. A quorum that takes longer counts as failed.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The number of audit records returned if the operator gives no limit.
-const AUDIT_DEFAULT: u32 = 100;
+const DEFAULT_AUDIT_RECORDS: u32 = 100;
 
 /// The most audit records returned at once.
-const AUDIT_LIMIT: u32 = 1_000;
+const MAX_AUDIT_RECORDS: u32 = 1_000;
 
 /// Checks in constant time whether a presented key is one of the operators' keys.
 pub trait OperatorKeys: Send + Sync + 'static {
@@ -98,17 +98,17 @@
             .route("/status", get(show_status))
             .route("/metrics", get(show_metrics))
             .with_state(self.clone());
-        with_bounded_bodies(router, Self::LIMITS.body_bytes)
+        with_body_limits(router, Self::LIMITS.body_bytes)
             .layer(middleware::from_fn_with_state(self, check_key))
     }
 
-    async fn within<T>(&self, question: impl Future<Output = super::Result<T>>) -> Result<T> {
-        let answer = tokio::time::timeout(ANSWER_TIME, question).await;
+    async fn with_timeout<T>(&self, question: impl Future<Output = super::Result<T>>) -> Result<T> {
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, question).await;
         Ok(answer.map_err(|_| ApiFault::no_answer())??)
     }
 
     async fn status(&self) -> Result<Value> {
-        Ok(self.within(self.control.ask(ControlRequest::Status)).await??)
+        Ok(self.with_timeout(self.control.ask(ControlRequest::Status)).await??)
     }
 }
 
@@ -138,7 +138,7 @@
 // Sheets
 
 async fn show_sheet(State(api): State<OperatorApi>) -> Result<Json<SheetView>> {
-    Ok(Json(api.within(api.control.ask(ControlRequest::CurrentPlan)).await??))
+    Ok(Json(api.with_timeout(api.control.ask(ControlRequest::CurrentPlan)).await??))
 }
 
 async fn apply_sheet(State(api): State<OperatorApi>, body: Bytes) -> Result<Response> {
@@ -156,23 +156,23 @@
                 sheet: upload.sheet,
                 plan,
             };
-            decide(&api, change).await?
+            submit_change(&api, change).await?
         }
         Err(faults) => {
             ChangeAnswer::Refused(ChangeRefusal::SheetFaulty { faults: faults.to_string() })
         }
     };
-    let outcome = outcome_of(&answer);
+    let outcome = outcome_name(&answer);
     info!(api.logger, "sheet-apply"; "change_id" => %change_id, "actor" => %actor,
         "outcome" => outcome);
-    Ok((status_of(&answer), Json(answer)).into_response())
+    Ok((status_code(&answer), Json(answer)).into_response())
 }
 
 /// Passes a change to the control thread. If no answer comes, the outcome is unknown: answering
 /// "refused" could hide an accepted change from the operator.
-async fn decide(api: &OperatorApi, change: ChangeRequest) -> Result<ChangeAnswer> {
+async fn submit_change(api: &OperatorApi, change: ChangeRequest) -> Result<ChangeAnswer> {
     let question = api.control.ask(|reply| ControlRequest::Apply(Box::new(change), reply));
-    match tokio::time::timeout(ANSWER_TIME, question).await {
+    match tokio::time::timeout(ANSWER_TIMEOUT, question).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(super::ControlFault::NoAnswer)) => {
             Ok(ChangeAnswer::Unknown { why: SmolStr::new_static("the control thread ended") })
@@ -184,7 +184,7 @@
     }
 }
 
-fn outcome_of(answer: &ChangeAnswer) -> &'static str {
+fn outcome_name(answer: &ChangeAnswer) -> &'static str {
     match answer {
         ChangeAnswer::Accepted { .. } => "accepted",
         ChangeAnswer::Superseded { .. } => "superseded",
@@ -193,7 +193,7 @@
     }
 }
 
-fn status_of(answer: &ChangeAnswer) -> StatusCode {
+fn status_code(answer: &ChangeAnswer) -> StatusCode {
     match answer {
         ChangeAnswer::Accepted { .. } | ChangeAnswer::Superseded { .. } => StatusCode::OK,
         ChangeAnswer::Refused(ChangeRefusal::SheetFaulty { .. }) => {
@@ -231,10 +231,10 @@
         actor: query.actor,
         change_id: query.change_id,
         outcome: query.outcome,
-        limit: query.limit.unwrap_or(AUDIT_DEFAULT).min(AUDIT_LIMIT),
+        limit: query.limit.unwrap_or(DEFAULT_AUDIT_RECORDS).min(MAX_AUDIT_RECORDS),
     };
     let question = api.control.ask(|reply| ControlRequest::Audit(filter, reply));
-    Ok(Json(api.within(question).await??))
+    Ok(Json(api.with_timeout(question).await??))
 }
 
 async fn show_status(State(api): State<OperatorApi>) -> Result<Json<Value>> {
@@ -269,7 +269,7 @@
 // Zones
 
 async fn show_zones(State(api): State<OperatorApi>) -> Result<Json<EvacuatedZones>> {
-    Ok(Json(api.within(api.control.ask(ControlRequest::EvacuatedZones)).await??))
+    Ok(Json(api.with_timeout(api.control.ask(ControlRequest::EvacuatedZones)).await??))
 }
 
 async fn order_zone(State(api): State<OperatorApi>, body: Bytes) -> Result<Response> {
@@ -283,7 +283,7 @@
         based_on: LogIndex::default(),
     });
     let question = api.control.ask(|reply| ControlRequest::OrderZone(order, reply));
-    let answer = api.within(question).await?;
+    let answer = api.with_timeout(question).await?;
     info!(api.logger, "zone-order"; "change_id" => %change_id, "actor" => %actor, "zone" => %zone,
         "use" => %zone_use, "answer" => ?answer);
     let answer = answer?;
@@ -311,7 +311,7 @@
     info!(api.logger, "upstream-drain"; "upstream" => %upstream);
     let answer = json!({ "draining": upstream });
     let question = api.control.ask(|reply| ControlRequest::Drain(upstream, reply));
-    api.within(question).await??;
+    api.with_timeout(question).await??;
     Ok(Json(answer))
 }
 
@@ -350,7 +350,7 @@
 async fn change_replicas(api: &OperatorApi, change: ReplicaChange) -> Result<Json<Value>> {
     info!(api.logger, "replica-change"; "change" => ?change);
     let question = api.control.ask(|reply| ControlRequest::Replica(change, reply));
-    Ok(Json(api.within(question).await??))
+    Ok(Json(api.with_timeout(question).await??))
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
--- a/crates/pulleyd/src/process/process_metrics.rs
+++ b/crates/pulleyd/src/process/process_metrics.rs
@@ -39,7 +39,7 @@
     in_progress: IntGauge,
     traffic: TrafficSeries,
     counters: Arc<TrafficCounters>,
-    reading: Arc<Mutex<()>>,
+    render_lock: Arc<Mutex<()>>,
     config_version: IntGauge,
     config_version_awaited: IntGauge,
     zones_evacuated: IntGauge,
@@ -100,7 +100,7 @@
             in_progress,
             traffic: TrafficSeries::new()?,
             counters: Arc::default(),
-            reading: Arc::default(),
+            render_lock: Arc::default(),
             config_version: version,
             config_version_awaited: version_awaited,
             zones_evacuated,
@@ -192,8 +192,8 @@
     /// Returns all metrics in the text format of Prometheus.
     #[must_use]
     pub fn render(&self) -> Vec<u8> {
-        let _reading = self.reading.lock();
-        self.traffic.take_over(&self.counters);
+        let _guard = self.render_lock.lock();
+        self.traffic.copy_counts(&self.counters);
         self.in_progress.set(gauge(&self.counters.in_progress));
         self.callers_connections.set(gauge(&self.counters.caller_connections));
         let mut text = Vec::new();
@@ -267,22 +267,22 @@
         ]
     }
 
-    fn take_over(&self, counters: &TrafficCounters) {
-        raise(&self.requests, &counters.requests);
-        raise(&self.not_run, &counters.refused);
-        raise(&self.may_have_run, &counters.may_have_run);
-        raise(&self.retries, &counters.retries);
-        raise(&self.retries_denied, &counters.retries_denied);
-        raise(&self.cut_short, &counters.cut_short);
-        raise(&self.malformed_reports, &counters.malformed_reports);
-        raise(&self.unrecorded, &counters.unrecorded);
-        raise(&self.callers_refused, &counters.callers_refused);
+    fn copy_counts(&self, counters: &TrafficCounters) {
+        raise_to(&self.requests, &counters.requests);
+        raise_to(&self.not_run, &counters.refused);
+        raise_to(&self.may_have_run, &counters.may_have_run);
+        raise_to(&self.retries, &counters.retries);
+        raise_to(&self.retries_denied, &counters.retries_denied);
+        raise_to(&self.cut_short, &counters.cut_short);
+        raise_to(&self.malformed_reports, &counters.malformed_reports);
+        raise_to(&self.unrecorded, &counters.unrecorded);
+        raise_to(&self.callers_refused, &counters.callers_refused);
     }
 }
 
 /// Raises a series to a count. [`ProcessMetrics::render`] holds a lock meanwhile, because two
 /// concurrent calls would both add the same difference.
-fn raise(series: &IntCounter, count: &AtomicU64) {
+fn raise_to(series: &IntCounter, count: &AtomicU64) {
     let missing = count.load(Ordering::Relaxed).saturating_sub(series.get());
     series.inc_by(missing);
 }
--- a/crates/pulleyd/src/process/replica_opening.rs
+++ b/crates/pulleyd/src/process/replica_opener.rs
@@ -47,13 +47,13 @@
 }
 
 /// Opens the data folder of a replica, at the start and again after its disk was full.
-pub(super) struct ReplicaOpening {
+pub(super) struct ReplicaOpener {
     settings: DaemonSettings,
     clock: ProcessClock,
     logger: Logger,
 }
 
-impl ReplicaOpening {
+impl ReplicaOpener {
     pub(super) fn new(settings: &DaemonSettings, clock: ProcessClock, logger: Logger) -> Self {
         Self { settings: settings.clone(), clock, logger }
     }
@@ -72,11 +72,11 @@
             let _ = audit_sender.send(DriverInput::AuditRead { read, records });
         })?;
         let full = Arc::new(AtomicBool::new(false));
-        let (logger, noted) = (self.logger.clone(), Arc::clone(&full));
+        let (logger, disk_full) = (self.logger.clone(), Arc::clone(&full));
         let storage = StorageWorker::start(storage, move |ticket, outcome| {
             if let Err(fault) = &outcome {
                 error!(logger, "storage-failed"; "error" => %fault);
-                noted.fetch_or(fault.is_full(), Ordering::AcqRel);
+                disk_full.fetch_or(fault.is_full(), Ordering::AcqRel);
             }
             let _ = sender.send(DriverInput::Persisted { ticket, ok: outcome.is_ok() });
         })?;
--- a/crates/pulleyd/src/process/running_view.rs
+++ b/crates/pulleyd/src/process/running_view.rs
@@ -83,7 +83,7 @@
 /// control thread runs again. Together with the lease of 3 s this stays below the 4 s within which
 /// a configuration is in force everywhere. The control thread confirms the view at least every
 /// 250 ms.
-const VIEW_TERM: Duration = Duration::from_millis(900);
+const VIEW_LIFETIME: Duration = Duration::from_millis(900);
 
 /// Holds the current view. Reading it is cheap from every traffic thread.
 #[derive(Clone, Debug, Default)]
@@ -95,12 +95,12 @@
     view: ArcSwap<RunningView>,
     /// In microseconds. `u64::MAX` until the first confirmation, as in tests of the traffic side,
     /// where nobody confirms views.
-    holds_until: AtomicU64,
+    valid_until: AtomicU64,
 }
 
 impl ViewState {
     fn new(clock: ProcessClock) -> Self {
-        Self { clock, view: ArcSwap::default(), holds_until: AtomicU64::new(u64::MAX) }
+        Self { clock, view: ArcSwap::default(), valid_until: AtomicU64::new(u64::MAX) }
     }
 }
 
@@ -127,7 +127,7 @@
     /// recently.
     #[must_use]
     pub fn readiness(&self) -> HostReadiness {
-        if self.0.clock.now().micros() > self.0.holds_until.load(Ordering::Acquire) {
+        if self.0.clock.now().micros() > self.0.valid_until.load(Ordering::Acquire) {
             return HostReadiness::NotReady {
                 why: SmolStr::new_static("the control thread has paused"),
             };
@@ -142,6 +142,6 @@
 
     /// Confirms that the view is current, which keeps it valid for 900 ms.
     pub fn confirm(&self, now: Moment) {
-        self.0.holds_until.store((now + VIEW_TERM).micros(), Ordering::Release);
+        self.0.valid_until.store((now + VIEW_LIFETIME).micros(), Ordering::Release);
     }
 }
--- a/crates/pulleyd/src/process/timer_service.rs
+++ b/crates/pulleyd/src/process/timer_service.rs
@@ -54,7 +54,7 @@
 struct TimerQueue {
     due: BTreeMap<(Moment, u64), Waker>,
     next_number: u64,
-    armed: Option<Moment>,
+    sleeps_until: Option<Moment>,
     closed: bool,
 }
 
@@ -110,24 +110,24 @@
         while !queue.closed {
             let now = self.clock.now();
             let rest = queue.due.split_off(&(Moment::from_micros(now.micros() + 1), 0));
-            let ripe = std::mem::replace(&mut queue.due, rest);
-            if !ripe.is_empty() {
+            let expired = std::mem::replace(&mut queue.due, rest);
+            if !expired.is_empty() {
                 // A waker runs code of other modules. Under the lock it would deadlock if it called
                 // this service.
                 parking_lot::MutexGuard::unlocked(&mut queue, || {
-                    ripe.into_values().for_each(Waker::wake);
+                    expired.into_values().for_each(Waker::wake);
                 });
                 continue;
             }
             let first = queue.due.keys().next().map(|(due, _)| *due);
-            queue.armed = first;
+            queue.sleeps_until = first;
             match first {
                 Some(due) => {
                     self.changed.wait_for(&mut queue, due.since(now));
                 }
                 None => self.changed.wait(&mut queue),
             }
-            queue.armed = None;
+            queue.sleeps_until = None;
         }
     }
 
@@ -136,7 +136,7 @@
         let number = queue.next_number;
         queue.next_number += 1;
         queue.due.insert((due, number), waker);
-        let is_first = queue.armed.is_none_or(|armed| due < armed);
+        let is_first = queue.sleeps_until.is_none_or(|sleeps_until| due < sleeps_until);
         if is_first {
             self.changed.notify_one();
         }
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -9,17 +9,17 @@
 };
 use pulley_core::version::{LogIndex, ReplicaAnswer, ReplicaQuestion};
 
-use super::control_answer::AnswerSlot;
+use super::control_answer::PendingAnswer;
 use super::control_core::ControlCore;
 
 /// The interval between two writes of the directory. It limits the cost to one sync per second. The
 /// upstreams that a loss of power makes the replica forget have announced themselves within the
 /// last second.
-const DIRECTORY_PAUSE: Duration = Duration::from_secs(1);
+const DIRECTORY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long after its start a replica may recall the directory of its disk. It covers several
 /// elections. Later, the live upstreams have announced themselves, and other hosts pass them on.
-const RECALL_SPAN: Duration = Duration::from_secs(10);
+const RECALL_WINDOW: Duration = Duration::from_secs(10);
 
 /// The outcome of recalling the upstreams on a replica's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// The outcome of the recall, until it is logged.
     outcome: Option<RecallOutcome>,
     /// Entries that were sent the upstreams, each with its incarnation.
-    introduced: FastSet<(HostId, MemberIncarnation)>,
+    informed_entries: FastSet<(HostId, MemberIncarnation)>,
     /// The registry's change count at the last write of the directory, and the time of that write.
     written: Option<(u64, Moment)>,
 }
@@ -71,18 +71,18 @@
         };
         let leader = replica.leader();
         if self.recovery.proof.holds_at(replica.node().taken_index().0) {
-            self.recall_now(now);
+            self.recall_directory(now);
         } else if self.recovery.proof.is_wanted() && leader.is_some() {
             self.recovery.proof.begin_asking();
             self.router.apply_leader(leader);
-            if !self.ask(now, ReplicaQuestion::Applied, AnswerSlot::Applied) {
+            if !self.ask(now, ReplicaQuestion::Applied, PendingAnswer::Applied) {
                 self.recovery.proof.give_up_asking();
             }
         }
     }
 
     /// Handles the leader's answer about the last applied index.
-    pub(super) fn note_applied(&mut self, now: Moment, answer: &ReplicaAnswer) {
+    pub(super) fn handle_applied_answer(&mut self, now: Moment, answer: &ReplicaAnswer) {
         let applied = match answer {
             ReplicaAnswer::Applied(index) => Some(index.0),
             _ => None,
@@ -93,7 +93,7 @@
         }
     }
 
-    fn recall_now(&mut self, now: Moment) {
+    fn recall_directory(&mut self, now: Moment) {
         let Some(replica) = &self.replica else { return };
         let Some(directory) = self.recovery.directory.take() else { return };
         let departures = &replica.machines().departures;
@@ -105,18 +105,18 @@
         let taken = self.registry.recall(now, directory, |start| departures.has_left(start));
         self.recovery.outcome = Some(RecallOutcome::Recalled { taken, written });
         if taken > 0 {
-            self.recovery.introduced.clear();
-            self.introduce_entries(now);
+            self.recovery.informed_entries.clear();
+            self.inform_new_entries(now);
         }
     }
 
     /// Returns the outcome of the recall, once.
-    pub(crate) fn take_recall(&mut self) -> Option<RecallOutcome> {
+    pub(crate) fn take_recall_outcome(&mut self) -> Option<RecallOutcome> {
         self.recovery.outcome.take()
     }
 
     /// Sends the upstreams to entries of this zone that have just started.
-    pub(super) fn introduce_entries(&mut self, now: Moment) {
+    pub(super) fn inform_new_entries(&mut self, now: Moment) {
         if self.replica.is_none() {
             return;
         }
@@ -129,24 +129,24 @@
             .map(|record| ((record.host.clone(), record.incarnation), record.peer_address))
             .collect();
         for (start, address) in &entries {
-            if !self.recovery.introduced.contains(start) {
+            if !self.recovery.informed_entries.contains(start) {
                 self.registry.introduce(now, *address);
             }
         }
-        self.recovery.introduced = entries.into_iter().map(|(start, _)| start).collect();
+        self.recovery.informed_entries = entries.into_iter().map(|(start, _)| start).collect();
     }
 
     /// Returns the directory to write, if the upstreams have changed since the last write and the
     /// interval has passed.
-    pub(crate) fn directory_due(&mut self, now: Moment) -> Option<UpstreamDirectory> {
-        if now.since(Moment::ZERO) > RECALL_SPAN && self.recovery.directory.take().is_some() {
+    pub(crate) fn take_due_directory(&mut self, now: Moment) -> Option<UpstreamDirectory> {
+        if now.since(Moment::ZERO) > RECALL_WINDOW && self.recovery.directory.take().is_some() {
             self.recovery.outcome = Some(RecallOutcome::TooLate);
         }
         let changes = self.registry.changes();
         let is_due = self
             .recovery
             .written
-            .is_none_or(|(written, at)| written != changes && now.since(at) >= DIRECTORY_PAUSE);
+            .is_none_or(|(written, at)| written != changes && now.since(at) >= DIRECTORY_INTERVAL);
         let replica =
             self.replica.as_ref().filter(|_| is_due && self.recovery.directory.is_none())?;
         let departures = &replica.machines().departures;
--- a/crates/pulleyd/tests/control_apis.rs
+++ b/crates/pulleyd/tests/control_apis.rs
@@ -24,7 +24,7 @@
 "slots":2,"connections":500,"incarnation":1,"sequence":1,"phase":"ready"}"#;
 
 /// The longest wait for an answer. Only a hang exceeds it.
-const PATIENCE: Duration = Duration::from_secs(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct TestHost {
     operators: SocketAddr,
@@ -33,9 +33,9 @@
 }
 
 /// Answers requests as a control thread would, but drops changes that expect version 99.
-async fn answer_questions(mut questions: mpsc::Receiver<ControlRequest>) {
-    while let Some(question) = questions.recv().await {
-        match question {
+async fn run_fake_control(mut requests: mpsc::Receiver<ControlRequest>) {
+    while let Some(control_request) = requests.recv().await {
+        match control_request {
             ControlRequest::Announce(announcement, reply) => {
                 let id = announcement.id.as_str();
                 let refusal = ControlFault::Refused("u2 has another address".to_owned());
@@ -79,8 +79,8 @@
 }
 
 async fn test_host() -> TestHost {
-    let (control, questions) = ControlHandle::channel(16);
-    tokio::spawn(answer_questions(questions));
+    let (control, requests) = ControlHandle::channel(16);
+    tokio::spawn(run_fake_control(requests));
     let view = ViewCell::default();
     let keys = Arc::new(|key: &[u8]| key == b"secret");
     let logger = Logger::root(Discard, o!());
@@ -98,7 +98,7 @@
 
 /// Sends raw bytes, keeps the sending side open, and reads the answer until the server closes the
 /// connection.
-async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
+async fn exchange_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.unwrap();
         // The server may answer and close before it has read everything.
@@ -110,7 +110,7 @@
         }
         String::from_utf8_lossy(&answer).into_owned()
     };
-    tokio::time::timeout(PATIENCE, exchange).await.unwrap()
+    tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.unwrap()
 }
 
 fn request(method: &str, path: &str, key: &str, body: &str) -> Vec<u8> {
@@ -123,7 +123,7 @@
 }
 
 async fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    let answer = raw(address, &request(method, path, "secret", body)).await;
+    let answer = exchange_raw(address, &request(method, path, "secret", body)).await;
     (status_of(&answer), answer.split_once("\r\n\r\n").unwrap().1.to_owned())
 }
 
@@ -138,11 +138,11 @@
 }
 
 #[tokio::test]
-async fn nobody_is_let_in_without_the_key() {
+async fn requests_without_a_valid_key_are_unauthorized() {
     let host = test_host().await;
     for path in ["/v1/sheet", "/v1/audit", "/v1/status", "/metrics", "/status", "/nowhere"] {
         for key in ["wrong", "", "secret2"] {
-            let answer = raw(host.operators, &request("GET", path, key, "")).await;
+            let answer = exchange_raw(host.operators, &request("GET", path, key, "")).await;
             assert_eq!(status_of(&answer), 401, "{path} with {key:?}");
         }
     }
@@ -267,7 +267,7 @@
 /// Clients that send too much, endlessly or too slowly would each hold memory or a connection of
 /// the process that also serves requests.
 #[tokio::test]
-async fn each_abuse_of_a_listener_meets_a_limit_with_a_status() {
+async fn requests_beyond_a_limit_are_refused_with_a_status() {
     let host = test_host().await;
     let head = "POST /v1/announce HTTP/1.1\r\nhost: h\r\n";
     let chunk = format!("400\r\n{}\r\n", "x".repeat(0x400));
@@ -280,7 +280,7 @@
     let two_lengths = format!("{head}content-length: 5\r\ncontent-length: 6\r\n\r\nabcdef");
     let answers =
         [&oversized, &endless, &slow_body, &large_header, head, &two_framings, &two_lengths]
-            .map(|bytes| raw(host.upstreams, bytes.as_bytes()));
+            .map(|bytes| exchange_raw(host.upstreams, bytes.as_bytes()));
     let answers = futures::future::join_all(answers).await;
     let [oversized, endless, slow_body, large_header, slow_header, two_framings, two_lengths] =
         &answers[..]
@@ -325,9 +325,9 @@
 /// A listener answers damaged requests, and never with status 500. That would mean that unchecked
 /// bytes from outside reached code that does not expect them.
 #[tokio::test]
-async fn damaged_requests_are_answered_and_never_as_a_fault_of_the_host() {
-    let (control, questions) = ControlHandle::channel(16);
-    tokio::spawn(answer_questions(questions));
+async fn damaged_requests_never_cause_an_internal_error() {
+    let (control, requests) = ControlHandle::channel(16);
+    tokio::spawn(run_fake_control(requests));
     let view = ViewCell::default();
     let keys = Arc::new(|key: &[u8]| key == b"secret");
     let metrics = ProcessMetrics::new().unwrap();
@@ -366,7 +366,7 @@
     let _ = stream.write_all(rest).await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
-    tokio::time::timeout(PATIENCE, reading).await.unwrap().unwrap();
+    tokio::time::timeout(ANSWER_TIMEOUT, reading).await.unwrap().unwrap();
     // The body is read to its end, and then refused because it is not a valid sheet.
     assert_eq!(status_of(&String::from_utf8_lossy(&answer)), 422);
 }
@@ -381,7 +381,8 @@
     let endless = format!("{head}transfer-encoding: chunked\r\n\r\n{}", chunk.repeat(40));
     let slow = format!("{head}content-length: 10\r\n\r\n{{");
     let without_key = "POST /v1/sheet HTTP/1.1\r\nhost: h\r\ncontent-length: 99\r\n\r\n";
-    let answers = [&endless, &slow, without_key].map(|text| raw(host.operators, text.as_bytes()));
+    let answers =
+        [&endless, &slow, without_key].map(|text| exchange_raw(host.operators, text.as_bytes()));
     let answers = futures::future::join_all(answers).await;
     let statuses: Vec<u16> = answers.iter().map(|answer| status_of(answer)).collect();
     // Without the key, the answer comes before the body is read.
--- a/crates/pulleyd/tests/daemon_settings.rs
+++ b/crates/pulleyd/tests/daemon_settings.rs
@@ -6,10 +6,10 @@
 
 use pulleyd::process::{DaemonSettings, SettingsFaults, SettingsRequest};
 
-const NEEDED: [&str; 4] = ["--host-id=a", "--zone=z1", "--cluster=c", "--secret-file=/s/key"];
+const REQUIRED: [&str; 4] = ["--host-id=a", "--zone=z1", "--cluster=c", "--secret-file=/s/key"];
 
 fn parse(args: &[&str], env: &[(&str, &str)]) -> Result<SettingsRequest, SettingsFaults> {
-    let args = NEEDED.iter().chain(args).map(ToString::to_string);
+    let args = REQUIRED.iter().chain(args).map(ToString::to_string);
     let env = env.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned()));
     DaemonSettings::parse(args, env)
 }
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_flag_wins_over_its_variable_and_a_variable_over_the_default() {
+fn a_flag_overrides_its_variable_and_a_variable_the_default() {
     let env = [("PULLEYD_DRAIN_GRACE", "5s"), ("PULLEYD_ZONE", "z9"), ("HOME", "/h")];
     let read = settings(&[], &env);
     assert_eq!(read.zone.as_str(), "z1");
@@ -51,7 +51,7 @@
 /// A service file written by hand has several mistyped settings. If each start reported only one
 /// fault, the host would be out of service for as many restarts as there are faults.
 #[test]
-fn every_fault_is_named_at_once() {
+fn every_fault_is_reported_at_once() {
     let args = [
         "--callers-lissten=x",
         "--operators-listen=localhost:1",
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_does_not_fit_together_is_refused() {
+fn inconsistent_settings_are_refused() {
     let clash = "--callers-listen=10.0.0.1:80";
     for args in [
         &["--roles=replica"][..],
--- a/crates/pulleyd/tests/event_log.rs
+++ b/crates/pulleyd/tests/event_log.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn logged(events: impl FnOnce(&Logger)) -> Vec<String> {
+fn log_lines(events: impl FnOnce(&Logger)) -> Vec<String> {
     let buffer = SharedBuffer::default();
     let drain = EventLog::new(buffer.clone(), Level::Info).ignore_res();
     events(&Logger::root(drain, o!("host" => "a")));
@@ -35,7 +35,7 @@
 /// in the log as an event that never happened.
 #[test]
 fn a_value_cannot_forge_an_event() {
-    let lines = logged(|logger| {
+    let lines = log_lines(|logger| {
         info!(logger, "request-refused"; "path" => "/a\nlevel=info event=\"x\"", "cause" => "");
         slog::debug!(logger, "unseen");
     });
@@ -47,8 +47,8 @@
 /// An upstream fails every request, thousands per second. Without a rate limit, the repeated line
 /// would fill the disk and hide all other events.
 #[test]
-fn repeats_of_one_place_are_limited_and_others_are_not() {
-    let lines = logged(|logger| {
+fn repeated_lines_are_limited_and_others_are_not() {
+    let lines = log_lines(|logger| {
         for _ in 0..1_000 {
             warn!(logger, "upstream-failed");
         }
--- a/crates/pulleyd/tests/timer_service.rs
+++ b/crates/pulleyd/tests/timer_service.rs
@@ -15,7 +15,7 @@
 // be woken, and none before its deadline. An early deadline would fail a request that is still in
 // time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn wakes_everybody_and_nobody_early() {
+async fn every_subscriber_is_woken_and_none_early() {
     let timer = start();
     let tasks = (0..4_000_u64).map(|number| {
         let timer = timer.clone();
@@ -32,7 +32,7 @@
 
 // The later of two subscriptions is due first. It must not wait until the earlier one is due.
 #[tokio::test]
-async fn a_nearer_moment_goes_before_a_farther_one() {
+async fn an_earlier_deadline_fires_before_a_later_one() {
     let timer = start();
     let far = timer.after(Duration::from_secs(600));
     let near = timer.after(Duration::from_millis(20));
@@ -43,9 +43,9 @@
 // Most deadlines are dropped unused, because the answer comes in time. Work that completes in time
 // must keep its result, and other work must be dropped at its deadline.
 #[tokio::test]
-async fn limits_work_and_drops_it_at_the_deadline() {
-    struct Held(Arc<AtomicUsize>);
-    impl Drop for Held {
+async fn work_is_dropped_at_its_deadline() {
+    struct DropCounter(Arc<AtomicUsize>);
+    impl Drop for DropCounter {
         fn drop(&mut self) {
             self.0.fetch_add(1, Ordering::SeqCst);
         }
@@ -55,9 +55,9 @@
     assert_eq!(timer.limit(deadline, async { 7 }).await, Some(7));
 
     let dropped = Arc::new(AtomicUsize::new(0));
-    let held = Held(Arc::clone(&dropped));
+    let counter = DropCounter(Arc::clone(&dropped));
     let endless = async move {
-        let _held = held;
+        let _counter = counter;
         std::future::pending::<()>().await;
     };
     let deadline = timer.now() + Duration::from_millis(10);
