--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -1,4 +1,4 @@
-//! Takes this host's own questions, and brings their answers back to who asked.
+//! Handles the requests of this host's traffic side and operators, and returns their answers.
 
 use pulley_core::process::{Announcement, Incarnation, UpstreamStart};
 use pulley_core::version::{
@@ -12,12 +12,12 @@
 use super::control_core::ControlCore;
 use super::control_handle::{ControlFault, ControlRequest, Result};
 
-/// Confirmed departures that are remembered; a day has some thousands at the planned size.
-const DEPARTED_LIMIT: usize = 4_096;
+/// The most confirmed departures that are remembered. A day has a few thousand at the planned size.
+const MAX_CONFIRMED_DEPARTURES: usize = 4_096;
 
-/// Who waits for the answer to a question.
+/// The receiver of the answer to a question that was put to the leader.
 #[derive(Debug)]
-pub(crate) enum AnswerSlot {
+pub(crate) enum PendingAnswer {
     Change(oneshot::Sender<ChangeAnswer>),
     Sheet(oneshot::Sender<Result<SheetView>>),
     Audit(oneshot::Sender<Result<Vec<AuditRecord>>>),
@@ -26,41 +26,42 @@
     Zones(oneshot::Sender<Result<EvacuatedZones>>),
     Claim(oneshot::Sender<ClaimAnswer>),
     Done(oneshot::Sender<Result<()>>),
-    /// An upstream's leaving, with the start that leaves.
+    /// The departure of an upstream, with the incarnation that leaves.
     Departure(UpstreamStart, oneshot::Sender<Result<()>>),
-    /// The control core itself; see [`ControlCore::note_applied`].
+    /// The control core itself. See [`ControlCore::handle_applied_answer`].
     Applied,
 }
 
-impl AnswerSlot {
-    /// Gives the answer in the form that was asked for; who no longer waits is passed over.
+impl PendingAnswer {
+    /// Converts the answer to the requested form and sends it. A receiver that no longer waits is
+    /// ignored.
     pub(crate) fn answer(self, answer: ReplicaAnswer) {
         match self {
             Self::Change(reply) => drop(reply.send(change_answer(answer))),
             Self::Sheet(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Sheet(sheet) => Ok(sheet),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Audit(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Audit(records) => Ok(records),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Replica(reply) => drop(
                 reply.send(match answer {
                     ReplicaAnswer::Members(members) => serde_json::to_value(members)
                         .map_err(|fault| ControlFault::Refused(fault.to_string())),
-                    other => Err(fault_of(other)),
+                    other => Err(fault_from_answer(other)),
                 }),
             ),
             Self::Zone(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Zone(answer) => Ok(answer),
-                // It may hold all the same.
+                // The order may be accepted nevertheless.
                 ReplicaAnswer::Unknown { .. } => Err(ControlFault::NoAnswer),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Zones(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Zones(zones) => Ok(zones),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
             Self::Claim(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Claim(claim) => claim,
@@ -69,7 +70,7 @@
             Self::Applied => {}
             Self::Done(reply) | Self::Departure(_, reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Done => Ok(()),
-                other => Err(fault_of(other)),
+                other => Err(fault_from_answer(other)),
             })),
         }
     }
@@ -79,11 +80,11 @@
     match answer {
         ReplicaAnswer::Change(answer) => answer,
         ReplicaAnswer::Unknown { why } => ChangeAnswer::Unknown { why },
-        other => ChangeAnswer::Unknown { why: SmolStr::new(fault_of(other).to_string()) },
+        other => ChangeAnswer::Unknown { why: SmolStr::new(fault_from_answer(other).to_string()) },
     }
 }
 
-fn fault_of(answer: ReplicaAnswer) -> ControlFault {
+fn fault_from_answer(answer: ReplicaAnswer) -> ControlFault {
     match answer {
         ReplicaAnswer::Refused(refusal) => ControlFault::Refused(refusal.to_string()),
         ReplicaAnswer::NotLeader { .. } => ControlFault::NoQuorum("no leader is known".to_owned()),
@@ -96,7 +97,7 @@
     pub(super) fn answer_request(&mut self, now: Moment, request: ControlRequest) {
         match request {
             ControlRequest::Announce(announcement, reply) => {
-                self.announced(now, announcement, reply);
+                self.handle_announcement(now, announcement, reply);
             }
             ControlRequest::Gone(id, incarnation, reply) => {
                 if self.registry.announce_gone(now, &id, incarnation) {
@@ -118,40 +119,41 @@
             ControlRequest::Status(reply) => drop(reply.send(Ok(self.status(now)))),
             ControlRequest::ShutDown(reply) => {
                 self.shutting_down = true;
-                self.drive(now, DriverInput::TransferLeadership);
+                self.drive_replica(now, DriverInput::TransferLeadership);
                 let _ = reply.send(());
             }
             replicated => self.ask_leader(now, replicated),
         }
     }
 
-    fn announced(
+    fn handle_announcement(
         &mut self,
         now: Moment,
         announcement: Announcement,
         reply: oneshot::Sender<Result<()>>,
     ) {
         let (id, incarnation) = (announcement.id.clone(), announcement.incarnation);
-        let leaves = !announcement.phase.takes_work();
+        let is_leaving = !announcement.phase.takes_work();
         let start = UpstreamStart { id, incarnation };
-        if !leaves && self.has_left(&start) {
-            // It was under way for long. Taken in by a host that has restarted since and knows
-            // nothing of the start, it would bring work back to an upstream that is gone.
+        if !is_leaving && self.has_left(&start) {
+            // The announcement was delayed. If a host that has restarted since, and does not know
+            // this incarnation, took it in, requests would go to an upstream that is gone.
             let _ = reply.send(Ok(()));
             return;
         }
         match self.registry.announce(now, announcement) {
             Err(fault) => drop(reply.send(Err(ControlFault::Refused(fault.to_string())))),
-            Ok(_) if leaves => self.confirm_departure(now, &start.id, Some(incarnation), reply),
+            Ok(_) if is_leaving => self.confirm_departure(now, &start.id, Some(incarnation), reply),
             Ok(_) => drop(reply.send(Ok(()))),
         }
     }
 
-    /// Acknowledges that an upstream leaves only once a quorum has heard of it.
+    /// Acknowledges a departure only once a quorum knows of it.
     ///
-    /// An upstream stops soon after it is told that its leaving is known. A host that is cut off
-    /// from the others knows, but nobody else does: they would go on sending work to an upstream
-    /// that is gone. It gives no answer then, and the upstream tells another host.
+    /// An upstream stops soon after its departure is acknowledged. If a host that is cut off from
+    /// the others acknowledged it, no other host would know, and they would keep sending requests
+    /// to an upstream that is gone. Such a host gives no answer, and the upstream tries another
+    /// host.
     fn confirm_departure(
         &mut self,
         now: Moment,
@@ -159,82 +161,88 @@
         incarnation: Option<Incarnation>,
         reply: oneshot::Sender<Result<()>>,
     ) {
-        let told = incarnation.map(|incarnation| UpstreamStart { id: id.clone(), incarnation });
-        if told.as_ref().is_some_and(|start| self.departed.contains(start)) {
+        let leaving_start =
+            incarnation.map(|incarnation| UpstreamStart { id: id.clone(), incarnation });
+        if leaving_start.as_ref().is_some_and(|start| self.confirmed_departures.contains(start)) {
             let _ = reply.send(Ok(()));
             return;
         }
         let Some((start, record)) = self.registry.departure(id) else {
-            // A late message of an earlier start, or of one that has gone on since.
-            let _ = reply.send(Err(ControlFault::Refused(format!("{id} does not leave"))));
+            // A delayed message of an earlier incarnation, or of one that has resumed since.
+            let _ = reply.send(Err(ControlFault::Refused(format!("{id} is not leaving"))));
             return;
         };
         let question = ReplicaQuestion::Departure { start: start.clone(), record };
-        self.ask(now, question, AnswerSlot::Departure(start, reply));
+        self.ask(now, question, PendingAnswer::Departure(start, reply));
     }
 
-    /// Remembers confirmed departures, since upstreams go on announcing them until they stop.
-    pub(super) fn note_departed(&mut self, start: UpstreamStart) {
-        if self.departed.len() >= DEPARTED_LIMIT {
-            self.departed.clear();
+    /// Remembers a confirmed departure, because upstreams keep announcing it until they stop.
+    pub(super) fn record_departure(&mut self, start: UpstreamStart) {
+        if self.confirmed_departures.len() >= MAX_CONFIRMED_DEPARTURES {
+            self.confirmed_departures.clear();
         }
-        self.departed.insert(start);
+        self.confirmed_departures.insert(start);
     }
 
     fn ask_leader(&mut self, now: Moment, request: ControlRequest) {
-        let (question, slot) = match request {
+        let (question, pending) = match request {
             ControlRequest::Apply(change, reply) => {
                 if let Err(fault) = SizeFault::check(&change) {
                     let refusal = ChangeRefusal::TooLarge { fault: fault.to_string() };
                     let _ = reply.send(ChangeAnswer::Refused(refusal));
                     return;
                 }
-                (ReplicaQuestion::Apply(*change), AnswerSlot::Change(reply))
+                (ReplicaQuestion::Apply(*change), PendingAnswer::Change(reply))
             }
             ControlRequest::CurrentPlan(reply) => {
-                (ReplicaQuestion::CurrentPlan, AnswerSlot::Sheet(reply))
+                (ReplicaQuestion::CurrentPlan, PendingAnswer::Sheet(reply))
             }
             ControlRequest::Audit(filter, reply) => {
-                (ReplicaQuestion::Audit(filter), AnswerSlot::Audit(reply))
+                (ReplicaQuestion::Audit(filter), PendingAnswer::Audit(reply))
             }
             ControlRequest::Replica(change, reply) => {
-                (ReplicaQuestion::Change(change), AnswerSlot::Replica(reply))
+                (ReplicaQuestion::Change(change), PendingAnswer::Replica(reply))
             }
             ControlRequest::OrderZone(mut order, reply) => {
                 order.based_on = self.follower.evacuated().revision;
-                (ReplicaQuestion::OrderZone(*order), AnswerSlot::Zone(reply))
+                (ReplicaQuestion::OrderZone(*order), PendingAnswer::Zone(reply))
             }
             ControlRequest::EvacuatedZones(reply) => {
-                (ReplicaQuestion::EvacuatedZones, AnswerSlot::Zones(reply))
+                (ReplicaQuestion::EvacuatedZones, PendingAnswer::Zones(reply))
             }
             ControlRequest::Claim(claim, reply) => {
                 let key = SmolStr::new(claim.key);
                 let claimant = ClaimantId(rand::random());
                 let question = ReplicaQuestion::Claim { key, digest: claim.digest, claimant };
-                (question, AnswerSlot::Claim(reply))
+                (question, PendingAnswer::Claim(reply))
             }
             ControlRequest::Record(claim, token, answer, reply) => {
                 let key = SmolStr::new(claim.key);
-                (ReplicaQuestion::Record { key, token, answer }, AnswerSlot::Done(reply))
+                (ReplicaQuestion::Record { key, token, answer }, PendingAnswer::Done(reply))
             }
             ControlRequest::Release(claim, token, reply) => {
                 let key = SmolStr::new(claim.key);
-                (ReplicaQuestion::Release { key, token }, AnswerSlot::Done(reply))
+                (ReplicaQuestion::Release { key, token }, PendingAnswer::Done(reply))
             }
-            // Answered without the leader, before this is called.
+            // `answer_request` handles the other requests without the leader.
             _ => return,
         };
-        self.ask(now, question, slot);
+        self.ask(now, question, pending);
     }
 
-    /// Puts a question to the leader; returns whether it is on its way. One that is not was answered
-    /// as refused.
-    pub(super) fn ask(&mut self, now: Moment, question: ReplicaQuestion, slot: AnswerSlot) -> bool {
+    /// Sends a question to the leader. Returns whether it was sent; if not, it was answered as
+    /// refused.
+    pub(super) fn ask(
+        &mut self,
+        now: Moment,
+        question: ReplicaQuestion,
+        pending: PendingAnswer,
+    ) -> bool {
         let Some((number, routed)) = self.router.ask(now, question) else {
-            slot.answer(ReplicaAnswer::Refused(ReplicaRefusal::Busy));
+            pending.answer(ReplicaAnswer::Refused(ReplicaRefusal::Busy));
             return false;
         };
-        self.answers.insert(number, slot);
+        self.pending_answers.insert(number, pending);
         self.route(now, routed);
         true
     }
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -1,4 +1,4 @@
-//! The one thread that holds control state, and what it needs of sockets and timers.
+//! The control thread, which owns the control state of the host with its sockets, disk and timers.
 
 use std::collections::VecDeque;
 use std::io;
@@ -23,7 +23,7 @@
 use super::control_core::{ControlCore, ControlOutput, CoreParts, TransportCounts};
 use super::control_counts::ProbeReport;
 use super::control_handle::ControlRequest;
-use super::replica_opening::{ReplicaDisk, ReplicaOpening};
+use super::replica_opener::{ReplicaDisk, ReplicaOpener};
 use super::{DaemonSettings, ProcessClock, ViewCell};
 use crate::connection::{
     DatagramSeal, FrameClass, InboundDatagram, InboundFrame, KeyRing, LinkSettings, PeerDatagrams,
@@ -32,29 +32,28 @@
 use crate::request::SchedulerSet;
 use crate::version::StorageFault;
 
-/// Messages that may wait for the control thread, of each sort. Datagrams past it are dropped
-/// and replaced by later ones; links are held back.
+/// The most messages of each kind that may wait for the control thread. Further datagrams are
+/// dropped and replaced by later ones. Links are held back.
 const QUEUE_DEPTH: usize = 4_096;
 
 /// The longest sleep of the control thread.
 const LONGEST_SLEEP: Duration = Duration::from_millis(250);
 
-/// The pause between two lines on the members: where hundreds of hosts start together, each hears
-/// of them one by one.
-const MEMBERS_PAUSE: Duration = Duration::from_millis(500);
+/// The shortest interval between two log lines on the members. When hundreds of hosts start
+/// together, each host learns of them one by one.
+const MEMBERS_LOG_INTERVAL: Duration = Duration::from_millis(500);
 /// Bytes in a kilobit.
 const BYTES_PER_KBIT: f64 = 125.0;
-/// The shortest pause between two log lines on what spreading configurations costs.
-const SPREAD_PAUSE: Duration = Duration::from_secs(1);
+/// The shortest interval between two log lines on the cost of spreading configurations.
+const SPREAD_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often the secret file is looked at for changed keys.
-const KEY_CHECK: Duration = Duration::from_secs(2);
+/// The interval at which the secret file is checked for changed keys.
+const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long after a full disk was noticed it is tried again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+/// The delay before a full disk is tried again.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
-/// Events handled between two looks at what is due, so that a flood of messages cannot hold up
-/// heartbeats.
+/// The most events handled between two ticks, so that a flood of messages cannot delay heartbeats.
 const EVENT_BURST: usize = 64;
 
 /// Why the control thread could not start.
@@ -68,38 +67,38 @@
     Storage(#[from] StorageFault),
 }
 
-/// What starting the control thread returns.
+/// Result of starting the control thread.
 pub type StartResult<T> = Result<T, ControlStartFault>;
 
-/// What the control thread is started with.
+/// The parts with which the control thread is started.
 #[derive(Debug)]
 pub struct ControlParts {
     /// The daemon's settings.
     pub settings: DaemonSettings,
-    /// Where callers reach this host, once bound.
+    /// The bound address for callers.
     pub caller_address: SocketAddr,
-    /// Where operators reach this host, once bound.
+    /// The bound address for operators.
     pub operator_address: SocketAddr,
-    /// The installation's keys.
+    /// The keys of the installation.
     pub key_ring: KeyRing,
-    /// Where it publishes its view.
+    /// The cell in which the control thread publishes its view.
     pub view: ViewCell,
-    /// The schedulers whose counts it carries.
+    /// The schedulers whose counts it exchanges with other hosts.
     pub schedulers: Arc<SchedulerSet>,
-    /// Requests of the traffic side and the operators.
+    /// The requests of the traffic side and the operators.
     pub requests: mpsc::Receiver<ControlRequest>,
-    /// Asks an upstream how loaded it is; runs on the traffic threads.
+    /// Probes upstreams for their load, on the traffic threads.
     pub prober: UpstreamProber,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: ProcessClock,
-    /// Where events go.
+    /// The event log.
     pub logger: Logger,
 }
 
 /// The running control thread.
 #[derive(Debug)]
 pub struct ControlThread {
-    /// Where other hosts reach this one.
+    /// The address at which other hosts reach this one.
     pub peer_address: SocketAddr,
     stop: watch::Sender<bool>,
     thread: JoinHandle<()>,
@@ -109,7 +108,7 @@
     /// Opens the data folder and the peers' sockets, then runs until [`Self::stop`].
     ///
     /// # Errors
-    /// Whatever kept it from starting; nothing runs then.
+    /// Returns the fault that prevented the start. Nothing runs then.
     pub fn start(parts: ControlParts) -> StartResult<Self> {
         let (stop, stopped) = watch::channel(false);
         let (started, start) = std::sync::mpsc::sync_channel(1);
@@ -138,33 +137,34 @@
     core: ControlCore,
     links: PeerLinks,
     datagrams: PeerDatagrams,
-    opening: ReplicaOpening,
+    opener: ReplicaOpener,
     disk: Option<ReplicaDisk>,
-    /// When to open the data folder again whose disk was full.
+    /// When to open the data folder again after its disk was full.
     reopen_at: Option<Moment>,
     clock: ProcessClock,
     logger: Logger,
     key_ring: KeyRing,
     prober: UpstreamProber,
     probed: mpsc::Sender<ProbeReport>,
-    /// Up to which change of the members addresses are known.
-    known_mark: u64,
-    /// Up to which change of the members the log tells of them, and when it next may.
-    told_mark: u64,
-    next_telling: Moment,
-    spread_told: SpreadCounts,
-    next_spread_telling: Moment,
-    believed: Option<ReplicaBelief>,
-    /// How this host stood towards the configuration when that was last logged.
-    standing: Option<PlanStanding>,
-    /// The latest order for a zone that was logged.
-    zones_told: LogIndex,
+    /// The change count of the members up to which the links know their addresses.
+    linked_members: u64,
+    /// The change count of the members at the last log line on them, and when the next line is
+    /// allowed.
+    logged_members: u64,
+    next_members_log: Moment,
+    logged_spread: SpreadCounts,
+    next_spread_log: Moment,
+    logged_cluster: Option<ClusterState>,
+    /// The standing of the configuration that was last logged.
+    logged_standing: Option<PlanStanding>,
+    /// The revision of the evacuated zones that was last logged.
+    logged_zones: LogIndex,
     next_key_check: Moment,
 }
 
-/// What a replica believes of its cluster; a change of it is logged.
+/// The state of the cluster as this replica knows it. A change of it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ReplicaBelief {
+struct ClusterState {
     role: &'static str,
     leader: Option<MemberId>,
     term: u64,
@@ -194,7 +194,7 @@
     };
     let _ = started.send(Ok(control.links.local_address()));
     loop {
-        control.look_after();
+        control.run_upkeep();
         control.reopen_full_disk(&mut inbox);
         let due = control.core.next_wakeup().min(control.clock.now() + LONGEST_SLEEP);
         let wake = tokio::time::Instant::from_std(control.clock.instant_at(due));
@@ -206,10 +206,10 @@
         }
         let now = control.clock.now();
         let outputs = control.core.tick(now);
-        control.carry_out(outputs);
+        control.execute(outputs);
     }
-    let farewells = control.core.leave(control.clock.now());
-    control.carry_out(farewells);
+    let outputs = control.core.leave(control.clock.now());
+    control.execute(outputs);
 }
 
 async fn open(parts: ControlParts) -> StartResult<(ControlLoop, ControlInbox)> {
@@ -221,8 +221,8 @@
         open_sockets(settings, &parts.key_ring, frame_sender, datagram_sender).await?;
     let seed = rand::random();
     let now = parts.clock.now();
-    let opening = ReplicaOpening::new(settings, parts.clock, parts.logger.clone());
-    let (replica, disk, directory, stored) = match opening.open(now)? {
+    let opener = ReplicaOpener::new(settings, parts.clock, parts.logger.clone());
+    let (replica, disk, directory, stored) = match opener.open(now)? {
         Some(open) => (Some(open.driver), Some(open.disk), open.directory, open.stored),
         None => (None, None, None, mpsc::unbounded_channel().1),
     };
@@ -247,7 +247,7 @@
         core,
         links,
         datagrams,
-        opening,
+        opener,
         disk,
         reopen_at: None,
         clock: parts.clock,
@@ -255,15 +255,15 @@
         key_ring: parts.key_ring,
         prober: parts.prober,
         probed: probe_sender,
-        known_mark: u64::MAX,
-        told_mark: u64::MAX,
-        next_telling: now,
-        spread_told: SpreadCounts::default(),
-        next_spread_telling: now,
-        believed: None,
-        standing: None,
-        zones_told: LogIndex::default(),
-        next_key_check: now + KEY_CHECK,
+        linked_members: u64::MAX,
+        logged_members: u64::MAX,
+        next_members_log: now,
+        logged_spread: SpreadCounts::default(),
+        next_spread_log: now,
+        logged_cluster: None,
+        logged_standing: None,
+        logged_zones: LogIndex::default(),
+        next_key_check: now + KEY_CHECK_INTERVAL,
     };
     let requests = parts.requests;
     let inbox = ControlInbox { requests, frames, datagrams: datagrams_in, stored, probes };
@@ -305,7 +305,8 @@
     }
 }
 
-/// Takes the next output off if it is a datagram to the same host, as one datagram carries both.
+/// Removes and returns the next output if it is a datagram to the same host. One datagram then
+/// carries both.
 fn take_same(
     outputs: &mut VecDeque<ControlOutput>,
     host: SocketAddr,
@@ -318,7 +319,7 @@
 }
 
 impl ControlLoop {
-    /// Handles what has come in, up to a burst.
+    /// Waits for an event, then handles it and those already queued, up to [`EVENT_BURST`] in all.
     async fn next_event(&mut self, inbox: &mut ControlInbox) {
         let first = wait_event(inbox).await;
         self.handle(first);
@@ -333,7 +334,7 @@
         let outputs = match event {
             ControlEvent::Request(request) => {
                 if matches!(request, ControlRequest::Status(_)) {
-                    self.core.note_transport(TransportCounts {
+                    self.core.record_transport(TransportCounts {
                         datagrams: self.datagrams.counts(),
                         links: self.links.counts(),
                     });
@@ -352,15 +353,15 @@
             ),
             ControlEvent::Stored(input) => self.core.stored(now, input),
             ControlEvent::Probed(report) => {
-                self.core.probed(now, &report);
+                self.core.handle_probe(now, &report);
                 Vec::new()
             }
             ControlEvent::Closed => Vec::new(),
         };
-        self.carry_out(outputs);
+        self.execute(outputs);
     }
 
-    fn carry_out(&mut self, outputs: Vec<ControlOutput>) {
+    fn execute(&mut self, outputs: Vec<ControlOutput>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -407,17 +408,17 @@
         self.core.persisted(self.clock.now(), ticket, false)
     }
 
-    /// Keeps addresses and keys up to date.
-    fn look_after(&mut self) {
+    /// Updates addresses and keys, logs changes of state, and writes the directory of upstreams.
+    fn run_upkeep(&mut self) {
         let mark = self.core.members.changes();
-        if mark != self.known_mark {
-            self.known_mark = mark;
+        if mark != self.linked_members {
+            self.linked_members = mark;
             self.apply_addresses();
         }
-        self.report_members(mark);
-        self.report_belief();
-        self.report_spread();
-        if let Some(outcome) = self.core.take_recall() {
+        self.log_members(mark);
+        self.log_cluster_state();
+        self.log_spread();
+        if let Some(outcome) = self.core.take_recall_outcome() {
             info!(self.logger, "upstreams-recalled"; "outcome" => ?outcome);
         }
         let now = self.clock.now();
@@ -425,7 +426,7 @@
         if now < self.next_key_check {
             return;
         }
-        self.next_key_check = now + KEY_CHECK;
+        self.next_key_check = now + KEY_CHECK_INTERVAL;
         match self.key_ring.reload() {
             Ok(true) => info!(self.logger, "keys-reloaded"),
             Ok(false) => {}
@@ -433,106 +434,109 @@
         }
     }
 
-    /// Writes down the upstreams, if they have changed and the disk is done with the last ones.
+    /// Writes the directory of upstreams, if they have changed and the previous write has ended.
     fn write_directory(&mut self, now: Moment) {
         let Some(disk) = self.disk.as_ref().filter(|disk| !disk.directory.is_busy()) else {
             return;
         };
-        if let Some(directory) = self.core.directory_due(now) {
+        if let Some(directory) = self.core.take_due_directory(now) {
             disk.directory.submit(directory);
         }
     }
 
     /// Opens the data folder again after its disk was full.
     ///
-    /// A replica whose write failed falls silent for good. A disk that is full refuses writes and
-    /// loses none: once it has room, what the folder holds is what the replica had acknowledged, as
-    /// after a restart. Left silent, one full disk after the other would take the majority away.
+    /// A replica whose write failed stays silent until it is opened again. A full disk refuses
+    /// writes but loses none: once it has room, the folder holds what the replica had acknowledged,
+    /// as after a restart. If such replicas stayed silent, one full disk after the other would cost
+    /// the cluster its majority.
     fn reopen_full_disk(&mut self, inbox: &mut ControlInbox) {
         let now = self.clock.now();
         if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_full) {
-            warn!(self.logger, "disk-full"; "retry_ms" => millis(REOPEN_PAUSE));
-            self.reopen_at = Some(now + REOPEN_PAUSE);
+            warn!(self.logger, "disk-full"; "retry_ms" => millis(REOPEN_DELAY));
+            self.reopen_at = Some(now + REOPEN_DELAY);
         }
         if self.reopen_at.is_none_or(|at| now < at) {
             return;
         }
-        // The thread that writes has to end before another may open the folder.
+        // The storage thread has to end before another one may open the folder.
         self.disk = None;
-        match self.opening.open(now) {
+        match self.opener.open(now) {
             Ok(Some(open)) => {
                 info!(self.logger, "disk-reopened");
                 self.core.replica = Some(open.driver);
                 self.disk = Some(open.disk);
-                // Tickets begin anew: no word on an earlier write may be taken for one on these.
+                // Tickets are numbered from the start again. The old channel is dropped, so that
+                // the result of an earlier write is not taken for that of a new one.
                 inbox.stored = open.stored;
                 self.reopen_at = None;
             }
             Ok(None) => self.reopen_at = None,
             Err(fault) => {
                 warn!(self.logger, "disk-unusable"; "error" => %fault);
-                self.reopen_at = Some(now + REOPEN_PAUSE);
+                self.reopen_at = Some(now + REOPEN_DELAY);
             }
         }
     }
 
-    /// Logs how many hosts are alive, once that has changed.
-    fn report_members(&mut self, mark: u64) {
+    /// Logs the number of live hosts if the members have changed.
+    fn log_members(&mut self, mark: u64) {
         let now = self.clock.now();
-        if mark == self.told_mark || now < self.next_telling {
+        if mark == self.logged_members || now < self.next_members_log {
             return;
         }
-        self.told_mark = mark;
-        self.next_telling = now + MEMBERS_PAUSE;
+        self.logged_members = mark;
+        self.next_members_log = now + MEMBERS_LOG_INTERVAL;
         info!(self.logger, "membership"; "live" => self.core.members.live().count());
     }
 
-    /// Logs what is in force, who leads and who votes, once that has changed.
-    fn report_belief(&mut self) {
+    /// Logs the configuration in force, the evacuated zones, the leader and the members of the log
+    /// if they have changed.
+    fn log_cluster_state(&mut self) {
         let standing = self.core.follower.standing(self.clock.now());
-        if self.standing != Some(standing) {
-            self.standing = Some(standing);
+        if self.logged_standing != Some(standing) {
+            self.logged_standing = Some(standing);
             info!(self.logger, "configuration"; "standing" => ?standing);
         }
         let evacuated = self.core.follower.evacuated();
-        if self.zones_told != evacuated.revision {
-            self.zones_told = evacuated.revision;
+        if self.logged_zones != evacuated.revision {
+            self.logged_zones = evacuated.revision;
             let zones: Vec<&str> = evacuated.zones.iter().map(ZoneName::as_str).collect();
             info!(self.logger, "zones-in-force"; "evacuated" => zones.join(","),
                 "revision" => evacuated.revision.0);
         }
         let Some(replica) = &self.core.replica else { return };
         let node = replica.node();
-        let belief = ReplicaBelief {
+        let cluster = ClusterState {
             role: replica.role_name(),
             leader: node.leader(),
             term: node.term().0,
             members_index: node.members_index().0,
             has_failed: node.failure().is_some(),
         };
-        if self.believed == Some(belief) {
+        if self.logged_cluster == Some(cluster) {
             return;
         }
-        self.believed = Some(belief);
+        self.logged_cluster = Some(cluster);
         let status = replica.status();
         let voter = |member: &ReplicaMember| if member.voter { "" } else { "(learner)" };
         let members = status.members.iter().map(|m| format!("{}={}{}", m.host, m.member, voter(m)));
-        info!(self.logger, "replica"; "role" => belief.role, "term" => belief.term,
+        info!(self.logger, "replica"; "role" => cluster.role, "term" => cluster.term,
             "leader" => status.leader.as_ref().map(ToString::to_string),
             "members" => members.collect::<Vec<_>>().join(","), "last" => status.last_index.0,
             "committed" => status.commit_index.0, "version" => %status.version,
             "failure" => status.failure.as_ref().map(ToString::to_string));
     }
 
-    /// Logs what spreading configurations costs, while it does.
-    fn report_spread(&mut self) {
+    /// Logs the cost of spreading configurations if it has grown.
+    fn log_spread(&mut self) {
         let now = self.clock.now();
         let counts = self.core.follower.spread_counts();
-        if counts == self.spread_told || now < self.next_spread_telling {
+        if counts == self.logged_spread || now < self.next_spread_log {
             return;
         }
-        self.spread_told = counts;
-        self.next_spread_telling = now + SPREAD_PAUSE;
+        self.logged_spread = counts;
+        self.next_spread_log = now + SPREAD_LOG_INTERVAL;
         let follower = &self.core.follower;
         let awaited = follower.awaited().map(|version| version.to_string());
         info!(self.logger, "configuration-spread"; "version" => %follower.version(),
@@ -593,7 +597,7 @@
     inbox.probes.try_recv().ok().map(ControlEvent::Probed)
 }
 
-/// Tells the control thread to hand over what it leads, and waits until it has.
-pub(super) async fn hand_over(handle: &super::ControlHandle) {
+/// Tells the control thread to hand over its leadership, and waits for its answer.
+pub(super) async fn hand_over_leadership(handle: &super::ControlHandle) {
     let _ = handle.ask(|reply: oneshot::Sender<()>| ControlRequest::ShutDown(reply)).await;
 }
--- a/crates/pulleyd/src/process/mod.rs
+++ b/crates/pulleyd/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! State that lives as long as the process.
+//! The daemon's process: settings, event log, metrics, listeners' APIs, timers and the control
+//! thread.
 
 mod announce_api;
 mod api_fault;
@@ -20,7 +21,7 @@
 mod operator_api;
 mod process_clock;
 mod process_metrics;
-mod replica_opening;
+mod replica_opener;
 mod running_view;
 mod setting_groups;
 mod setting_list;
--- a/crates/pulleyd/src/process/operator_api.rs
+++ b/crates/pulleyd/src/process/operator_api.rs
@@ -1,4 +1,5 @@
-//! The operators' listener: sheets, audit trail, status, drains, replicas and metrics, by key.
+//! The HTTP API for operators: sheets, audit trail, status, zones, drains, replicas and metrics.
+//! Every request needs a key.
 
 use std::fmt;
 use std::future::Future;
@@ -26,22 +27,22 @@
 use smol_str::SmolStr;
 
 use super::api_fault::{ApiFault, Result};
-use super::api_server::{ApiLimits, with_bounded_bodies};
+use super::api_server::{ApiLimits, with_body_limits};
 use super::{ControlHandle, ControlRequest, ProcessClock, ProcessMetrics, ReplicaChange, ViewCell};
 use crate::connection::KeyRing;
 
-/// Time the control thread has for an answer; a quorum that takes longer is a failed one.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+/// Timeout for an answer of the control thread. A quorum that takes longer counts as failed.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Audit records given when the operator names no limit.
-const AUDIT_DEFAULT: u32 = 100;
+/// The number of audit records returned if the operator gives no limit.
+const DEFAULT_AUDIT_RECORDS: u32 = 100;
 
-/// Most audit records given at once.
-const AUDIT_LIMIT: u32 = 1_000;
+/// The most audit records returned at once.
+const MAX_AUDIT_RECORDS: u32 = 1_000;
 
-/// Says whether a presented key is one of the operators' keys, in constant time.
+/// Checks in constant time whether a presented key is one of the operators' keys.
 pub trait OperatorKeys: Send + Sync + 'static {
-    /// Whether the key is accepted.
+    /// Returns whether the key is accepted.
     fn accepts(&self, presented: &[u8]) -> bool;
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// What operators may ask of a host.
+/// The HTTP API for operators.
 #[derive(Clone)]
 pub struct OperatorApi {
     control: ControlHandle,
@@ -68,10 +69,10 @@
 }
 
 impl OperatorApi {
-    /// Limits of its listener: a sheet has at most 400 KiB, which JSON may double.
+    /// The limits of its listener. A sheet has at most 400 KiB, and JSON escapes may double that.
     pub const LIMITS: ApiLimits = ApiLimits { connections: 64, body_bytes: 1 << 20 };
 
-    /// Makes the API; whoever holds one of `keys` may ask everything.
+    /// Creates the API. Each of `keys` gives access to all of it.
     #[must_use]
     pub fn new(
         control: ControlHandle,
@@ -83,7 +84,7 @@
         Self { control, view, metrics, keys, logger }
     }
 
-    /// The routes; each asks for the key before it reads a body.
+    /// Returns the routes. Each checks the key before it reads a body.
     pub fn router(self) -> Router {
         let router = Router::new()
             .route("/v1/sheet", get(show_sheet).post(apply_sheet))
@@ -97,22 +98,22 @@
             .route("/status", get(show_status))
             .route("/metrics", get(show_metrics))
             .with_state(self.clone());
-        with_bounded_bodies(router, Self::LIMITS.body_bytes)
+        with_body_limits(router, Self::LIMITS.body_bytes)
             .layer(middleware::from_fn_with_state(self, check_key))
     }
 
-    async fn within<T>(&self, question: impl Future<Output = super::Result<T>>) -> Result<T> {
-        let answer = tokio::time::timeout(ANSWER_TIME, question).await;
+    async fn with_timeout<T>(&self, question: impl Future<Output = super::Result<T>>) -> Result<T> {
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, question).await;
         Ok(answer.map_err(|_| ApiFault::no_answer())??)
     }
 
     async fn status(&self) -> Result<Value> {
-        Ok(self.within(self.control.ask(ControlRequest::Status)).await??)
+        Ok(self.with_timeout(self.control.ask(ControlRequest::Status)).await??)
     }
 }
 
 impl fmt::Debug for OperatorApi {
-    /// Leaves the keys out.
+    /// Omits the keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("OperatorApi").field("control", &self.control).finish_non_exhaustive()
     }
@@ -125,7 +126,7 @@
         return next.run(request).await;
     }
     warn!(api.logger, "operator-refused"; "path" => %request.uri().path());
-    let message = "an Authorization header with Bearer and one of the keys is needed";
+    let message = "an Authorization header with Bearer and a valid key is required";
     let mut response =
         ApiFault::new(StatusCode::UNAUTHORIZED, "unauthorized", message).into_response();
     let challenge = header::HeaderValue::from_static("Bearer");
@@ -137,7 +138,7 @@
 // Sheets
 
 async fn show_sheet(State(api): State<OperatorApi>) -> Result<Json<SheetView>> {
-    Ok(Json(api.within(api.control.ask(ControlRequest::CurrentPlan)).await??))
+    Ok(Json(api.with_timeout(api.control.ask(ControlRequest::CurrentPlan)).await??))
 }
 
 async fn apply_sheet(State(api): State<OperatorApi>, body: Bytes) -> Result<Response> {
@@ -155,23 +156,23 @@
                 sheet: upload.sheet,
                 plan,
             };
-            decide(&api, change).await?
+            submit_change(&api, change).await?
         }
         Err(faults) => {
             ChangeAnswer::Refused(ChangeRefusal::SheetFaulty { faults: faults.to_string() })
         }
     };
-    let outcome = outcome_of(&answer);
+    let outcome = outcome_name(&answer);
     info!(api.logger, "sheet-apply"; "change_id" => %change_id, "actor" => %actor,
         "outcome" => outcome);
-    Ok((status_of(&answer), Json(answer)).into_response())
+    Ok((status_code(&answer), Json(answer)).into_response())
 }
 
-/// Once the change is with the control thread, silence means that nobody knows: answering
+/// Passes a change to the control thread. If no answer comes, the outcome is unknown: answering
 /// "refused" could hide an accepted change from the operator.
-async fn decide(api: &OperatorApi, change: ChangeRequest) -> Result<ChangeAnswer> {
+async fn submit_change(api: &OperatorApi, change: ChangeRequest) -> Result<ChangeAnswer> {
     let question = api.control.ask(|reply| ControlRequest::Apply(Box::new(change), reply));
-    match tokio::time::timeout(ANSWER_TIME, question).await {
+    match tokio::time::timeout(ANSWER_TIMEOUT, question).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(super::ControlFault::NoAnswer)) => {
             Ok(ChangeAnswer::Unknown { why: SmolStr::new_static("the control thread ended") })
@@ -183,7 +184,7 @@
     }
 }
 
-fn outcome_of(answer: &ChangeAnswer) -> &'static str {
+fn outcome_name(answer: &ChangeAnswer) -> &'static str {
     match answer {
         ChangeAnswer::Accepted { .. } => "accepted",
         ChangeAnswer::Superseded { .. } => "superseded",
@@ -192,7 +193,7 @@
     }
 }
 
-fn status_of(answer: &ChangeAnswer) -> StatusCode {
+fn status_code(answer: &ChangeAnswer) -> StatusCode {
     match answer {
         ChangeAnswer::Accepted { .. } | ChangeAnswer::Superseded { .. } => StatusCode::OK,
         ChangeAnswer::Refused(ChangeRefusal::SheetFaulty { .. }) => {
@@ -207,7 +208,7 @@
 // -----------------------------------------------------------------------------------------
 // Audit trail, status, upstreams and metrics
 
-/// The filters of the audit trail as they stand in the query.
+/// The audit trail's filters, as the query string gives them.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AuditQuery {
@@ -230,10 +231,10 @@
         actor: query.actor,
         change_id: query.change_id,
         outcome: query.outcome,
-        limit: query.limit.unwrap_or(AUDIT_DEFAULT).min(AUDIT_LIMIT),
+        limit: query.limit.unwrap_or(DEFAULT_AUDIT_RECORDS).min(MAX_AUDIT_RECORDS),
     };
     let question = api.control.ask(|reply| ControlRequest::Audit(filter, reply));
-    Ok(Json(api.within(question).await??))
+    Ok(Json(api.with_timeout(question).await??))
 }
 
 async fn show_status(State(api): State<OperatorApi>) -> Result<Json<Value>> {
@@ -268,7 +269,7 @@
 // Zones
 
 async fn show_zones(State(api): State<OperatorApi>) -> Result<Json<EvacuatedZones>> {
-    Ok(Json(api.within(api.control.ask(ControlRequest::EvacuatedZones)).await??))
+    Ok(Json(api.with_timeout(api.control.ask(ControlRequest::EvacuatedZones)).await??))
 }
 
 async fn order_zone(State(api): State<OperatorApi>, body: Bytes) -> Result<Response> {
@@ -282,7 +283,7 @@
         based_on: LogIndex::default(),
     });
     let question = api.control.ask(|reply| ControlRequest::OrderZone(order, reply));
-    let answer = api.within(question).await?;
+    let answer = api.with_timeout(question).await?;
     info!(api.logger, "zone-order"; "change_id" => %change_id, "actor" => %actor, "zone" => %zone,
         "use" => %zone_use, "answer" => ?answer);
     let answer = answer?;
@@ -298,7 +299,7 @@
 // -----------------------------------------------------------------------------------------
 // Drains and replicas
 
-/// Names the upstream to drain.
+/// The body of a request to drain an upstream.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DrainOrder {
@@ -310,11 +311,11 @@
     info!(api.logger, "upstream-drain"; "upstream" => %upstream);
     let answer = json!({ "draining": upstream });
     let question = api.control.ask(|reply| ControlRequest::Drain(upstream, reply));
-    api.within(question).await??;
+    api.with_timeout(question).await??;
     Ok(Json(answer))
 }
 
-/// Names the host that joins.
+/// The body of a request to add a replica.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ReplicaOrder {
@@ -324,9 +325,9 @@
 async fn list_replicas(State(api): State<OperatorApi>) -> Result<Json<Value>> {
     let status = api.status().await?;
     let replicas = status.get("replicas").filter(|replicas| replicas.is_array());
-    // Status 503 sends the operators' client on to the next host.
+    // On status 503 the operators' client tries the next host.
     let replicas = replicas.ok_or_else(|| {
-        let message = "this host holds no log; ask a replica";
+        let message = "this host is not a replica; ask one";
         ApiFault::new(StatusCode::SERVICE_UNAVAILABLE, "no-replica", message)
     })?;
     Ok(Json(json!({ "replicas": replicas })))
@@ -349,7 +350,7 @@
 async fn change_replicas(api: &OperatorApi, change: ReplicaChange) -> Result<Json<Value>> {
     info!(api.logger, "replica-change"; "change" => ?change);
     let question = api.control.ask(|reply| ControlRequest::Replica(change, reply));
-    Ok(Json(api.within(question).await??))
+    Ok(Json(api.with_timeout(question).await??))
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
--- a/crates/pulleyd/tests/control_apis.rs
+++ b/crates/pulleyd/tests/control_apis.rs
@@ -1,6 +1,6 @@
-//! The operators' and upstreams' listeners, over real sockets, with a stand-in control thread.
+//! The operators' and upstreams' APIs over real sockets, with a fake control thread.
 
-#![allow(clippy::unwrap_used, clippy::panic, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, clippy::panic, reason = "a panic fails the test")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 const ANNOUNCEMENT: &str = r#"{"id":"u1","address":"127.0.0.1:9","zone":"z","pool":"cover",
 "slots":2,"connections":500,"incarnation":1,"sequence":1,"phase":"ready"}"#;
 
-/// Longest wait for an answer; only a hang ends there.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The longest wait for an answer. Only a hang exceeds it.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct TestHost {
     operators: SocketAddr,
@@ -32,10 +32,10 @@
     view: ViewCell,
 }
 
-/// Answers as a control thread would, and drops questions about version 99.
-async fn answer_questions(mut questions: mpsc::Receiver<ControlRequest>) {
-    while let Some(question) = questions.recv().await {
-        match question {
+/// Answers requests as a control thread would, but drops changes that expect version 99.
+async fn run_fake_control(mut requests: mpsc::Receiver<ControlRequest>) {
+    while let Some(control_request) = requests.recv().await {
+        match control_request {
             ControlRequest::Announce(announcement, reply) => {
                 let id = announcement.id.as_str();
                 let refusal = ControlFault::Refused("u2 has another address".to_owned());
@@ -79,8 +79,8 @@
 }
 
 async fn test_host() -> TestHost {
-    let (control, questions) = ControlHandle::channel(16);
-    tokio::spawn(answer_questions(questions));
+    let (control, requests) = ControlHandle::channel(16);
+    tokio::spawn(run_fake_control(requests));
     let view = ViewCell::default();
     let keys = Arc::new(|key: &[u8]| key == b"secret");
     let logger = Logger::root(Discard, o!());
@@ -96,9 +96,9 @@
     }
 }
 
-/// Sends raw bytes, keeps the sending side open, and reads until the server closes or the whole
-/// answer is there.
-async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes, keeps the sending side open, and reads the answer until the server closes the
+/// connection.
+async fn exchange_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.unwrap();
         // The server may answer and close before it has read everything.
@@ -110,7 +110,7 @@
         }
         String::from_utf8_lossy(&answer).into_owned()
     };
-    tokio::time::timeout(PATIENCE, exchange).await.unwrap()
+    tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.unwrap()
 }
 
 fn request(method: &str, path: &str, key: &str, body: &str) -> Vec<u8> {
@@ -123,7 +123,7 @@
 }
 
 async fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    let answer = raw(address, &request(method, path, "secret", body)).await;
+    let answer = exchange_raw(address, &request(method, path, "secret", body)).await;
     (status_of(&answer), answer.split_once("\r\n\r\n").unwrap().1.to_owned())
 }
 
@@ -138,17 +138,19 @@
 }
 
 #[tokio::test]
-async fn nobody_is_let_in_without_the_key() {
+async fn requests_without_a_valid_key_are_unauthorized() {
     let host = test_host().await;
     for path in ["/v1/sheet", "/v1/audit", "/v1/status", "/metrics", "/status", "/nowhere"] {
         for key in ["wrong", "", "secret2"] {
-            let answer = raw(host.operators, &request("GET", path, key, "")).await;
+            let answer = exchange_raw(host.operators, &request("GET", path, key, "")).await;
             assert_eq!(status_of(&answer), 401, "{path} with {key:?}");
         }
     }
 }
 
-/// During a rotation the file holds the old and the new key, and operators send either.
+/// During a key rotation the file holds the old and the new key, and operators may send either. A
+/// ring that accepts only one of them would lock operators out, and a loose comparison would let
+/// others in.
 #[test]
 fn each_key_of_the_ring_is_accepted_and_no_other() {
     let (old, new) = ("o".repeat(32), "n".repeat(40));
@@ -173,7 +175,7 @@
     assert_eq!(status, 422);
     assert!(body.contains("column service"), "{body}");
 
-    // The control thread drops this question, as it would when it ends in the middle.
+    // The fake control thread drops this request, as a control thread that ends meanwhile would.
     let (status, body) = call(host.operators, "POST", "/v1/sheet", &upload(99, good)).await;
     assert_eq!(status, 504);
     assert!(body.contains("unknown"), "{body}");
@@ -183,8 +185,9 @@
     assert!(body.contains("no-quorum"), "{body}");
 }
 
-// An operator's order for a zone is answered as done, refused or unknown, and one that names no
-// zone is refused as unreadable: an operator who takes it for done sends machines away at work.
+// An order for a zone is answered as accepted, refused or unknown, and one without a valid zone is
+// refused as a bad request. An operator who takes a failed order for done would shut down machines
+// that still serve requests.
 #[tokio::test]
 async fn an_order_for_a_zone_is_accepted_refused_or_unknown() {
     let host = test_host().await;
@@ -234,8 +237,9 @@
     assert_eq!((status, body.contains("lease over")), (503, true));
 }
 
-/// A broken or hostile upstream announces nonsense. Taken in, an upstream with a million slots or
-/// with an address nobody can connect to would draw its pool's work.
+/// A broken or hostile upstream sends an invalid announcement. If it were accepted, an upstream
+/// with a million slots, or with an address that nobody can connect to, would attract its pool's
+/// requests.
 #[tokio::test]
 async fn announcements_are_checked() {
     let host = test_host().await;
@@ -260,10 +264,10 @@
     }
 }
 
-/// Clients that send too much, without end, or too slowly would each hold memory or a connection
-/// of the one process that also carries requests.
+/// Clients that send too much, endlessly or too slowly would each hold memory or a connection of
+/// the process that also serves requests.
 #[tokio::test]
-async fn each_abuse_of_a_listener_meets_a_limit_with_a_status() {
+async fn requests_beyond_a_limit_are_refused_with_a_status() {
     let host = test_host().await;
     let head = "POST /v1/announce HTTP/1.1\r\nhost: h\r\n";
     let chunk = format!("400\r\n{}\r\n", "x".repeat(0x400));
@@ -276,7 +280,7 @@
     let two_lengths = format!("{head}content-length: 5\r\ncontent-length: 6\r\n\r\nabcdef");
     let answers =
         [&oversized, &endless, &slow_body, &large_header, head, &two_framings, &two_lengths]
-            .map(|bytes| raw(host.upstreams, bytes.as_bytes()));
+            .map(|bytes| exchange_raw(host.upstreams, bytes.as_bytes()));
     let answers = futures::future::join_all(answers).await;
     let [oversized, endless, slow_body, large_header, slow_header, two_framings, two_lengths] =
         &answers[..]
@@ -287,13 +291,13 @@
     assert_eq!(status_of(endless), 413);
     assert_eq!(status_of(slow_body), 408);
     assert_eq!(status_of(large_header), 431);
-    // With headers incomplete there is no request to answer: the connection is closed.
+    // With incomplete headers there is no request to answer, so the connection is closed.
     assert_eq!(slow_header, "");
     assert_eq!(status_of(two_framings), 400);
     assert_eq!(status_of(two_lengths), 400);
 }
 
-/// Sends bytes to a router without a socket and gives the status.
+/// Passes a request to a router without a socket, and returns the status.
 async fn status_without_socket(
     router: &axum::Router,
     request: http::Request<axum::body::Body>,
@@ -318,12 +322,12 @@
     request.body(body.into()).unwrap()
 }
 
-/// Whatever a client sends, a listener answers, and never with a fault of its own: 500 would mean
-/// that bytes from outside reached code that does not expect them.
+/// A listener answers damaged requests, and never with status 500. That would mean that unchecked
+/// bytes from outside reached code that does not expect them.
 #[tokio::test]
-async fn damaged_requests_are_answered_and_never_as_a_fault_of_the_host() {
-    let (control, questions) = ControlHandle::channel(16);
-    tokio::spawn(answer_questions(questions));
+async fn damaged_requests_never_cause_an_internal_error() {
+    let (control, requests) = ControlHandle::channel(16);
+    tokio::spawn(run_fake_control(requests));
     let view = ViewCell::default();
     let keys = Arc::new(|key: &[u8]| key == b"secret");
     let metrics = ProcessMetrics::new().unwrap();
@@ -342,14 +346,14 @@
         let changed = status_without_socket(&operators, request).await;
         assert!([200, 400, 409].contains(&announced), "{announced}");
         assert!([200, 400, 422].contains(&applied), "{applied}");
-        // The stand-in control thread answers no question about replicas.
+        // The fake control thread does not answer requests about replicas.
         assert!([400, 504].contains(&changed), "{changed}");
         accepted += u32::from(announced == 200) + u32::from(applied == 200);
     }
-    assert!((100..2_900).contains(&accepted), "both outcomes are tried: {accepted}");
+    assert!((100..2_900).contains(&accepted), "both outcomes must occur: {accepted}");
 }
 
-/// A large sheet came over a slow link, and was cut off after the time that a small one has.
+/// A large sheet over a slow link was cut off, because its body had the timeout of a small one.
 #[tokio::test]
 async fn a_large_body_has_longer_to_arrive() {
     let host = test_host().await;
@@ -362,12 +366,13 @@
     let _ = stream.write_all(rest).await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
-    tokio::time::timeout(PATIENCE, reading).await.unwrap().unwrap();
-    // Read to its end, it is found to be no sheet.
+    tokio::time::timeout(ANSWER_TIMEOUT, reading).await.unwrap().unwrap();
+    // The body is read to its end, and then refused because it is not a valid sheet.
     assert_eq!(status_of(&String::from_utf8_lossy(&answer)), 422);
 }
 
-/// An operator's client that is broken or hostile meets the same limits, once it has the key.
+/// A broken or hostile client of operators that has the key must meet the same limits. Otherwise it
+/// would hold memory or a connection of the process that also serves requests.
 #[tokio::test]
 async fn the_operators_listener_has_limits_too() {
     let host = test_host().await;
@@ -376,9 +381,10 @@
     let endless = format!("{head}transfer-encoding: chunked\r\n\r\n{}", chunk.repeat(40));
     let slow = format!("{head}content-length: 10\r\n\r\n{{");
     let without_key = "POST /v1/sheet HTTP/1.1\r\nhost: h\r\ncontent-length: 99\r\n\r\n";
-    let answers = [&endless, &slow, without_key].map(|text| raw(host.operators, text.as_bytes()));
+    let answers =
+        [&endless, &slow, without_key].map(|text| exchange_raw(host.operators, text.as_bytes()));
     let answers = futures::future::join_all(answers).await;
     let statuses: Vec<u16> = answers.iter().map(|answer| status_of(answer)).collect();
-    // Without the key, the answer comes before the body does.
+    // Without the key, the answer comes before the body is read.
     assert_eq!(statuses, [413, 408, 401]);
 }
--- a/crates/pulleyd/tests/timer_service.rs
+++ b/crates/pulleyd/tests/timer_service.rs
@@ -1,4 +1,4 @@
-//! The timer service under many subscribers.
+//! The timer service with many concurrent subscribers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,10 +11,11 @@
     TimerService::start(ProcessClock::start()).expect("a thread can be started")
 }
 
-// Thousands of requests subscribe their deadlines in any order from several threads. Each is woken,
-// and none before its moment: a deadline that comes early fails a request that was in time.
+// Thousands of requests subscribe to their deadlines in any order from several threads. Each must
+// be woken, and none before its deadline. An early deadline would fail a request that is still in
+// time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn wakes_everybody_and_nobody_early() {
+async fn every_subscriber_is_woken_and_none_early() {
     let timer = start();
     let tasks = (0..4_000_u64).map(|number| {
         let timer = timer.clone();
@@ -29,9 +30,9 @@
     }
 }
 
-// A later subscription is due first. It must not wait for the earlier one's far moment.
+// The later of two subscriptions is due first. It must not wait until the earlier one is due.
 #[tokio::test]
-async fn a_nearer_moment_goes_before_a_farther_one() {
+async fn an_earlier_deadline_fires_before_a_later_one() {
     let timer = start();
     let far = timer.after(Duration::from_secs(600));
     let near = timer.after(Duration::from_millis(20));
@@ -39,12 +40,12 @@
     assert!(matches!(winner, futures::future::Either::Right(_)));
 }
 
-// Most deadlines are dropped unused, as the answer came in time. Work that ends in time keeps its
-// result, and work that does not is dropped at its deadline.
+// Most deadlines are dropped unused, because the answer comes in time. Work that completes in time
+// must keep its result, and other work must be dropped at its deadline.
 #[tokio::test]
-async fn limits_work_and_drops_it_at_the_deadline() {
-    struct Held(Arc<AtomicUsize>);
-    impl Drop for Held {
+async fn work_is_dropped_at_its_deadline() {
+    struct DropCounter(Arc<AtomicUsize>);
+    impl Drop for DropCounter {
         fn drop(&mut self) {
             self.0.fetch_add(1, Ordering::SeqCst);
         }
@@ -54,9 +55,9 @@
     assert_eq!(timer.limit(deadline, async { 7 }).await, Some(7));
 
     let dropped = Arc::new(AtomicUsize::new(0));
-    let held = Held(Arc::clone(&dropped));
+    let counter = DropCounter(Arc::clone(&dropped));
     let endless = async move {
-        let _held = held;
+        let _counter = counter;
         std::future::pending::<()>().await;
     };
     let deadline = timer.now() + Duration::from_millis(10);
