--- a/crates/pulleyd/src/version/audit_reader.rs
+++ b/crates/pulleyd/src/version/audit_reader.rs
@@ -1,4 +1,4 @@
-//! Reads old audit records from the data folder, on a thread of its own.
+//! Reads old audit records from the data folder, on a dedicated thread.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -13,7 +13,7 @@
 const CHUNK_PREFIX: &str = "audit-";
 const CHUNK_SUFFIX: &str = ".records";
 
-/// How many reads may wait; a replica has no more than that under way.
+/// Capacity of the read queue. A replica never has more reads outstanding than this.
 const QUEUE_DEPTH: usize = 64;
 
 pub(crate) fn chunk_name(number: u64) -> String {
@@ -26,8 +26,8 @@
 
 /// The thread that reads old audit records.
 ///
-/// A question may go through years of chunks; neither the control thread nor the thread that syncs
-/// the log may wait for that.
+/// A query may scan years of chunks. Neither the control thread nor the thread that syncs the log
+/// may block on that.
 #[derive(Debug)]
 pub struct AuditReader {
     reads: Option<SyncSender<AuditRead>>,
@@ -35,7 +35,7 @@
 }
 
 impl AuditReader {
-    /// Starts the thread; `on_read` is called on it with each read's number and what was found, or
+    /// Starts the thread. It calls `on_read` with each read's number and the matching records, or
     /// `None` if a chunk could not be read.
     ///
     /// # Errors
@@ -53,10 +53,10 @@
         Ok(Self { reads: Some(reads), thread: Some(thread) })
     }
 
-    /// Hands a read to the thread; never waits.
+    /// Queues a read for the thread without blocking.
     ///
     /// # Errors
-    /// `Stalled` if too many reads wait or the thread is gone.
+    /// `Stalled` if the queue is full or the thread has ended.
     pub fn submit(&self, read: AuditRead) -> Result<()> {
         let Some(reads) = &self.reads else { return Err(StorageFault::Stalled) };
         reads.try_send(read).map_err(|_| StorageFault::Stalled)
@@ -82,7 +82,8 @@
     }
 }
 
-/// Reads chunks until enough records are found, the newest first; `None` if one cannot be read.
+/// Reads chunks, newest first, until the limit of matching records is reached. Returns `None` if
+/// a chunk cannot be read.
 pub fn read_audit<D: DiskFolder>(folder: &D, read: &AuditRead) -> Option<Vec<AuditRecord>> {
     let mut found = Vec::new();
     for number in &read.chunks {
--- a/crates/pulleyd/src/version/directory_file.rs
+++ b/crates/pulleyd/src/version/directory_file.rs
@@ -1,4 +1,4 @@
-//! The file in which a replica writes down the upstreams it knows.
+//! The files in which a replica stores the upstreams it knows.
 
 use pulley_core::process::{DIRECTORY_LIMIT, UpstreamDirectory};
 
@@ -6,35 +6,35 @@
 use super::record_frame::{WriteGroup, push_frame, read_frame};
 use super::storage_fault::{Result, StorageFault};
 
-/// The two places that are written in turn: a write that is cut short spoils one, and the other
-/// holds what was synced before. Renaming a file over another would cost a second sync.
+/// Two copies, written alternately. An interrupted write damages one, and the other still holds the
+/// previously synced directory. Renaming a file over another would cost a second sync.
 const SLOTS: [&str; 2] = ["upstreams-a", "upstreams-b"];
 
-/// What a folder holds of directories.
+/// The result of reading both copies from a folder.
 #[derive(Debug, Default)]
 pub struct DirectoryReading {
-    /// The newest whole one.
+    /// The newest intact directory.
     pub newest: Option<UpstreamDirectory>,
-    /// Why others could not be read.
+    /// Why the other copies could not be read.
     pub faults: Vec<StorageFault>,
 }
 
-/// The directory's place in a data folder.
+/// The directory of upstreams in a data folder.
 ///
-/// Nothing else rests on it: what cannot be read or written is left out, and the replica starts as
-/// one that knows no upstream.
+/// Nothing else depends on it: read and write failures are tolerated, and a replica without a
+/// readable directory starts with no known upstreams.
 #[derive(Debug)]
 pub struct DirectoryFile<D: DiskFolder> {
     folder: D,
-    /// Numbers the writes; the slot of each is its number modulo two.
+    /// The number of the last write; its parity selects the copy that is written.
     written: u64,
-    /// Which slots have a name that is on disk.
+    /// Which copies have a synced directory entry in the folder.
     named: [bool; 2],
 }
 
 impl<D: DiskFolder> DirectoryFile<D> {
-    /// Opens the directory of a folder, and reads the newest whole one that it holds. What could
-    /// not be read is told beside it; a write that was cut short is among that.
+    /// Opens the directory files of a folder and reads the newest intact directory. Copies that
+    /// cannot be read, including one left by an interrupted write, are reported as faults.
     pub fn open(folder: D) -> (Self, DirectoryReading) {
         let mut file = Self { folder, written: 0, named: [false; 2] };
         let mut reading = DirectoryReading::default();
@@ -56,10 +56,10 @@
         (file, reading)
     }
 
-    /// Writes a directory over the older of the two, and syncs it.
+    /// Overwrites the older copy with this directory and syncs it.
     ///
     /// # Errors
-    /// If it is too large, or cannot be written or synced; the newer one stays as it is.
+    /// If the directory is too large, or cannot be written or synced. The newer copy stays intact.
     pub fn write(&mut self, directory: &UpstreamDirectory) -> Result<()> {
         let number = self.written + 1;
         let slot = usize::from(number % 2 == 1);
@@ -70,7 +70,8 @@
             return Err(StorageFault::damaged(name, buffer.len(), "the directory is too large"));
         }
         let fault = || StorageFault::disk(name);
-        // One that has a name is emptied in place: made anew, it could turn up as it was before.
+        // An existing file is truncated in place, because a newly created one could reappear with
+        // its old content after a crash.
         let opened = match self.named[slot] {
             true => self.folder.open_at(name, 0),
             false => self.folder.create(name),
@@ -92,7 +93,7 @@
         let Some(bytes) = read else { return Ok(None) };
         let whole = (bytes.len() <= DIRECTORY_LIMIT).then(|| read_frame(&bytes, 0)).flatten();
         let Some(frame) = whole else {
-            return Err(StorageFault::damaged(name, 0, "no whole directory"));
+            return Err(StorageFault::damaged(name, 0, "no intact directory"));
         };
         Ok(Some((frame.group.0, frame.decode()?)))
     }
--- a/crates/pulleyd/src/version/directory_writer.rs
+++ b/crates/pulleyd/src/version/directory_writer.rs
@@ -11,8 +11,8 @@
 use super::disk_folder::DiskFolder;
 use super::storage_fault::{Result, StorageFault};
 
-/// The thread that writes the directory, so that neither the control thread nor the log waits for
-/// it where a disk has become slow.
+/// The thread that writes the directory, so that neither the control thread nor the log blocks on
+/// it when the disk is slow.
 #[derive(Debug)]
 pub struct DirectoryWriter {
     directories: Option<SyncSender<UpstreamDirectory>>,
@@ -21,7 +21,7 @@
 }
 
 impl DirectoryWriter {
-    /// Starts the thread; `on_done` is called on it with what became of each write.
+    /// Starts the thread. It calls `on_done` with the result of each write.
     ///
     /// # Errors
     /// If the thread cannot be started.
@@ -53,7 +53,7 @@
         self.is_busy.load(Ordering::Acquire)
     }
 
-    /// Hands a directory to the thread; one that comes while it is busy is left out.
+    /// Queues a directory for the thread, or discards it if the thread is busy.
     pub fn submit(&self, directory: UpstreamDirectory) {
         let Some(directories) = &self.directories else { return };
         if !self.is_busy.swap(true, Ordering::AcqRel) {
@@ -63,7 +63,7 @@
 }
 
 impl Drop for DirectoryWriter {
-    /// Lets the thread end its write, as the folder may be opened again at once.
+    /// Waits for the write in progress, because the folder may be reopened immediately.
     fn drop(&mut self) {
         self.directories = None;
         if let Some(thread) = self.thread.take() {
--- a/crates/pulleyd/src/version/disk_folder.rs
+++ b/crates/pulleyd/src/version/disk_folder.rs
@@ -1,93 +1,93 @@
-//! The few things the log needs of a file system, so that tests can put a failing disk under it.
+//! The file system operations that the log needs, as traits so that tests can use a failing disk.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A file that is only ever appended to.
+/// An append-only file.
 pub trait DiskFile: Send + fmt::Debug {
-    /// Writes all bytes at the end.
+    /// Appends all bytes.
     ///
     /// # Errors
-    /// Whatever the file system reports; how much was written is then unknown.
+    /// Any file system error; how much was written is then unknown.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes what was written last through a power loss.
+    /// Makes everything written durable across a power loss.
     ///
     /// # Errors
-    /// Whatever the file system reports; what is on disk is then unknown.
+    /// Any file system error; what is on disk is then unknown.
     fn sync(&mut self) -> io::Result<()>;
 }
 
 /// A folder of files, without subfolders.
 pub trait DiskFolder: Send + fmt::Debug {
-    /// The files' type.
+    /// The type of its files.
     type File: DiskFile;
 
-    /// Makes an empty file for appending; one that exists is emptied.
+    /// Creates an empty file for appending, truncating an existing one.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
 
-    /// Opens a file for appending after its first `length` bytes; the rest is cut off.
+    /// Truncates a file to `length` bytes and opens it for appending.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn open_at(&mut self, name: &str, length: u64) -> io::Result<Self::File>;
 
-    /// Reads a whole file; `None` if there is none.
+    /// Reads a whole file. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Renames a file over another.
+    /// Renames a file, replacing an existing one.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// The names of all files, in order.
+    /// Returns the names of all files, sorted.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// Draws an id for a folder that is new.
+    /// Generates a random id for a new folder.
     fn draw_id(&mut self) -> u64;
 
-    /// Makes creations, renames and removals last through a power loss.
+    /// Makes creations, renames and removals durable across a power loss.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A folder in the file system of the operating system.
 #[derive(Clone, Debug)]
 pub struct SystemFolder {
     path: PathBuf,
 }
 
 impl SystemFolder {
-    /// Opens a folder, and makes it if it is not there.
+    /// Opens a folder, creating it if it does not exist.
     ///
     /// # Errors
-    /// Whatever the file system reports.
+    /// Any file system error.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Ok(Self { path: path.to_owned() })
     }
 
-    /// Where a file of the folder is.
+    /// Returns the path of a file in the folder.
     #[must_use]
     pub fn path_of(&self, name: &str) -> PathBuf {
         self.path.join(name)
--- a/crates/pulleyd/src/version/log_recovery.rs
+++ b/crates/pulleyd/src/version/log_recovery.rs
@@ -1,4 +1,5 @@
-//! Reads a data folder after a start: torn tails are cut, damage is refused.
+//! Reads a data folder at startup. A torn write at the end of the log is discarded; any other
+//! damage is an error.
 
 use std::sync::Arc;
 
@@ -22,9 +23,9 @@
 /// One record of a segment.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum LogRecord {
-    /// The election state from here on.
+    /// The election state from this record on.
     Vote(VoteRecord),
-    /// Entries from here on are no longer part of the log.
+    /// Entries from this index on are no longer part of the log.
     Cut(LogIndex),
     /// The founding membership that this disk has agreed to.
     Promise(ReplicaMembership),
@@ -32,7 +33,7 @@
     Entry(Arc<LogEntry>),
 }
 
-/// The beginning of a snapshot file; the state follows as it is, so that a large one is not copied.
+/// The header of a snapshot file. The state follows unframed, so that a large one is not copied.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct SnapshotHead {
     pub(crate) place: SnapshotPlace,
@@ -40,11 +41,11 @@
     pub(crate) checksum: u32,
 }
 
-/// A segment that is on disk.
+/// A log segment on disk.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentFile {
     pub(crate) number: u64,
-    /// The highest entry in it.
+    /// The highest entry index in it.
     pub(crate) highest: LogIndex,
     pub(crate) length: u64,
 }
@@ -55,13 +56,13 @@
     }
 }
 
-/// What was found in a folder.
+/// The contents of a data folder.
 #[derive(Debug, Default)]
 pub(crate) struct FolderContents {
     pub(crate) recovered: RecoveredState,
     pub(crate) segments: Vec<SegmentFile>,
     pub(crate) group: WriteGroup,
-    /// Bytes of a torn write that were left out.
+    /// How many bytes of a torn write were discarded.
     pub(crate) torn: u64,
 }
 
@@ -81,7 +82,7 @@
     name.strip_prefix(SNAPSHOT_PREFIX)?.strip_suffix(SNAPSHOT_SUFFIX)?.parse().ok()
 }
 
-/// Reads all that a folder holds.
+/// Reads the newest snapshot, the audit chunk numbers and all segments of a folder.
 pub(crate) fn read_folder<D: DiskFolder>(folder: &D) -> Result<FolderContents> {
     let names = folder.names().map_err(StorageFault::disk("data folder"))?;
     let mut contents = FolderContents::default();
@@ -103,9 +104,9 @@
     let Some(number) = newest else { return Ok(None) };
     let name = snapshot_name(LogIndex(number));
     let bytes = read_file(folder, &name)?;
-    // It was synced before it got its name, so any fault in it is damage, not a torn write.
+    // The file was synced before it was renamed, so any fault in it is damage, not a torn write.
     let Some(frame) = read_frame(&bytes, 0) else {
-        return Err(StorageFault::damaged(&name, 0, "the snapshot's checksum does not fit"));
+        return Err(StorageFault::damaged(&name, 0, "the snapshot checksum does not match"));
     };
     let head = frame
         .decode::<SnapshotHead>()
@@ -113,7 +114,7 @@
     let begin = frame.end;
     let state = Bytes::from(bytes).slice(begin..);
     if state.len() as u64 != head.size || crc32c::crc32c(&state) != head.checksum {
-        return Err(StorageFault::damaged(&name, begin, "the state's checksum does not fit"));
+        return Err(StorageFault::damaged(&name, begin, "the state checksum does not match"));
     }
     Ok(Some(Arc::new(ReplicaSnapshot { place: head.place, state })))
 }
@@ -131,7 +132,11 @@
     while offset < bytes.len() {
         let Some(frame) = read_frame(&bytes, offset) else {
             if !is_last || was_synced(&bytes, offset, contents.group) {
-                return Err(StorageFault::damaged(&name, offset, "a record's checksum is wrong"));
+                return Err(StorageFault::damaged(
+                    &name,
+                    offset,
+                    "a record checksum does not match",
+                ));
             }
             contents.torn = (bytes.len() - offset) as u64;
             break;
@@ -178,5 +183,5 @@
 
 fn read_file<D: DiskFolder>(folder: &D, name: &str) -> Result<Vec<u8>> {
     let bytes = folder.read(name).map_err(StorageFault::disk(name))?;
-    bytes.ok_or_else(|| StorageFault::damaged(name, 0, "the file is gone"))
+    bytes.ok_or_else(|| StorageFault::damaged(name, 0, "the file is missing"))
 }
--- a/crates/pulleyd/src/version/log_storage.rs
+++ b/crates/pulleyd/src/version/log_storage.rs
@@ -1,4 +1,4 @@
-//! The replica's data folder: segments of the log, snapshots, identity and lock.
+//! The replica's data folder: log segments, snapshots, identity and lock.
 
 use std::fs::File;
 use std::path::Path;
@@ -21,32 +21,32 @@
 use super::record_frame::{WriteGroup, push_frame, read_frame};
 use super::storage_fault::{Result, StorageFault};
 
-/// A segment that has grown beyond this is closed and a new one begun, in bytes.
+/// Size in bytes at which a segment is closed and a new one started.
 const SEGMENT_LIMIT: u64 = 8 << 20;
 
 const IDENTITY_FILE: &str = "identity";
 const LOCK_FILE: &str = "lock";
 const TEMPORARY_SUFFIX: &str = ".new";
 
-/// Whose a folder is.
+/// The owner of a folder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct FolderIdentity {
     host: HostId,
     cluster: ClusterId,
     disk: DiskId,
-    /// The member id given to this disk, if it is not the founding one.
+    /// The member id assigned to this disk, if it is not the founding one.
     member: Option<MemberId>,
 }
 
 /// The replica's data folder.
 ///
-/// After the first failed write or sync it refuses all others: the kernel reports a failed sync
-/// once and may drop the pages, so a later sync that succeeds proves nothing.
+/// After the first failed write or sync it rejects all further writes. The kernel reports a failed
+/// sync only once and may drop the dirty pages, so a later successful sync proves nothing.
 #[derive(Debug)]
 pub struct LogStorage<D: DiskFolder = SystemFolder> {
     folder: D,
     owner: FolderIdentity,
-    /// Holds the lock for as long as the storage lives.
+    /// Keeps the folder locked for the lifetime of the storage.
     _lock: Option<File>,
     closed: Vec<SegmentFile>,
     open: SegmentFile,
@@ -59,15 +59,15 @@
 }
 
 impl LogStorage<SystemFolder> {
-    /// Opens a data folder, or makes one; reads what it holds.
+    /// Opens or creates a data folder and recovers its state.
     ///
     /// # Errors
-    /// `Locked` if another process has it open, `Foreign` if it belongs to another replica,
-    /// `Damaged` if what was synced cannot be read; the folder is then left as it is.
+    /// `Locked` if another process has the folder open, `Foreign` if it belongs to another replica,
+    /// `Damaged` if synced data cannot be read. The folder is then left unchanged.
     pub fn open(path: &Path, identity: &ReplicaIdentity) -> Result<(Self, RecoveredState)> {
         let folder = SystemFolder::open(path).map_err(StorageFault::disk("data folder"))?;
-        // The lock belongs to the open file: the kernel drops it when the process dies, so no
-        // stale lock is left behind, and two processes never write one log.
+        // The lock is tied to the open file. The kernel releases it when the process dies, so no
+        // stale lock remains, and two processes never write to the same log.
         let lock =
             File::create(folder.path_of(LOCK_FILE)).map_err(StorageFault::disk(LOCK_FILE))?;
         if lock.try_lock().is_err() {
@@ -78,10 +78,10 @@
 }
 
 impl<D: DiskFolder> LogStorage<D> {
-    /// Opens any folder, such as a test's; the lock is the caller's matter.
+    /// Opens any kind of folder, such as one from a test. Locking is up to the calling code.
     ///
     /// # Errors
-    /// As [`LogStorage::open`].
+    /// The same as [`LogStorage::open`], except `Locked`.
     pub fn open_folder(
         mut folder: D,
         identity: &ReplicaIdentity,
@@ -118,20 +118,20 @@
         Ok((storage, recovered))
     }
 
-    /// Sets how large a segment grows before a new one is begun, in bytes.
+    /// Sets the size in bytes at which a new segment is started.
     #[must_use]
     pub fn with_segment_limit(mut self, limit: u64) -> Self {
         self.segment_limit = limit;
         self
     }
 
-    /// How many bytes of a torn write were cut off when the folder was opened.
+    /// Returns how many bytes of a torn write were discarded when the folder was opened.
     #[must_use]
     pub fn torn_bytes(&self) -> u64 {
         self.torn
     }
 
-    /// Whether an earlier write has failed.
+    /// Whether no write has failed so far.
     #[must_use]
     pub fn is_trusted(&self) -> bool {
         self.trusted
@@ -140,7 +140,7 @@
     /// Writes batches in order and syncs them together.
     ///
     /// # Errors
-    /// If anything cannot be written or synced; every later call then fails with `Distrusted`.
+    /// If a write or sync fails. Every later call then fails with `Distrusted`.
     pub fn write(&mut self, batches: &[PersistBatch]) -> Result<()> {
         if !self.trusted {
             return Err(StorageFault::Distrusted);
@@ -163,8 +163,8 @@
                 pending.push(LogRecord::Cut(index));
             }
             if let Some(snapshot) = &batch.snapshot {
-                // The cut is on disk before the snapshot: entries that the snapshot's log does
-                // not have must not come back behind it.
+                // The truncation must be on disk before the snapshot. Otherwise entries that are
+                // not in the snapshot's log could reappear after it.
                 self.write_records(&std::mem::take(&mut pending))?;
                 self.write_snapshot(snapshot)?;
             }
@@ -221,8 +221,8 @@
         self.remove_covered(snapshot.place.index)
     }
 
-    /// Closes the open segment and begins a new one, which repeats the vote: the segments before it
-    /// may then be removed.
+    /// Closes the open segment and starts a new one. The new segment repeats the vote, so that
+    /// earlier segments can be removed.
     fn begin_segment(&mut self) -> Result<()> {
         let number = self.open.number + 1;
         let name = segment_name(number);
@@ -233,7 +233,8 @@
         self.folder.sync().map_err(StorageFault::disk(&name))
     }
 
-    /// Removes the oldest segments and snapshots that a snapshot makes useless.
+    /// Removes old segments and snapshots that are covered by the snapshot at `index`, and leftover
+    /// temporary files.
     fn remove_covered(&mut self, index: LogIndex) -> Result<()> {
         let covered = self.closed.iter().take_while(|segment| segment.highest <= index).count();
         for segment in self.closed.drain(..covered) {
@@ -251,15 +252,15 @@
     }
 }
 
-/// Writes a chunk of old audit records; the name's own sync comes with it, since the snapshot that
-/// follows no longer holds them.
+/// Writes a chunk of old audit records. The folder is synced as well, because the snapshot that
+/// follows no longer contains these records.
 fn write_chunk<D: DiskFolder>(folder: &mut D, chunk: &AuditChunk) -> Result<()> {
     let mut buffer = Vec::new();
     push_frame(&mut buffer, WriteGroup(0), true, chunk)?;
     replace_file(folder, &chunk_name(chunk.number), &[&buffer])
 }
 
-/// Writes a file so that a crash leaves either the old or the new one, never a part.
+/// Replaces a file atomically: a crash leaves either the old or the new content.
 fn replace_file<D: DiskFolder>(folder: &mut D, name: &str, parts: &[&[u8]]) -> Result<()> {
     let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     let mut file = folder.create(&temporary).map_err(StorageFault::disk(&temporary))?;
@@ -279,7 +280,7 @@
     Ok((segment, file))
 }
 
-/// Checks whose folder it is; an empty one becomes this replica's.
+/// Checks that the folder belongs to this replica. An empty folder gets its identity.
 fn check_identity<D: DiskFolder>(
     folder: &mut D,
     wanted: &ReplicaIdentity,
@@ -288,7 +289,7 @@
     let Some(bytes) = bytes else { return new_identity(folder, wanted) };
     let found = read_frame(&bytes, 0)
         .and_then(|frame| frame.decode::<FolderIdentity>().ok())
-        .ok_or_else(|| StorageFault::damaged(IDENTITY_FILE, 0, "the checksum does not fit"))?;
+        .ok_or_else(|| StorageFault::damaged(IDENTITY_FILE, 0, "the checksum does not match"))?;
     if found.host != wanted.host || found.cluster != wanted.cluster {
         return Err(StorageFault::Foreign {
             found: format!("host {} of cluster {}", found.host, found.cluster),
--- a/crates/pulleyd/src/version/mod.rs
+++ b/crates/pulleyd/src/version/mod.rs
@@ -1,9 +1,9 @@
-//! State that belongs to the replicated log and its versions: the data folder of a replica.
+//! Persistent state of the replicated log: the data folder of a replica.
 //!
-//! A folder holds segments of the log, the newest snapshot, an identity file and a lock. All
-//! writing of these happens on one thread ([`StorageWorker`]), with one sync for all that waits.
-//! Beside the log lies the directory of upstreams, written by a thread of its own
-//! ([`DirectoryWriter`]): it may be lost, and must not hold up the log.
+//! A folder holds log segments, the newest snapshot, an identity file and a lock. They are all
+//! written by one thread ([`StorageWorker`]), with one sync for all queued batches. The folder also
+//! holds the directory of upstreams, which a separate thread writes ([`DirectoryWriter`]): losing
+//! it is acceptable, and it must not delay the log.
 
 mod audit_reader;
 mod directory_file;
--- a/crates/pulleyd/src/version/record_frame.rs
+++ b/crates/pulleyd/src/version/record_frame.rs
@@ -1,32 +1,32 @@
-//! How records lie in a file: each with its length, a checksum and the number of its write group.
+//! The framing of records in a file: each has its length, a checksum and its write group's number.
 
 use postcard::Error as EncodingError;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Marks the beginning of a frame, so that frames can be found again after damage.
+/// Marks the start of a frame, so that frames can be found again after damage.
 const MAGIC: [u8; 4] = *b"jplr";
 
-/// Bytes before the payload: magic, length, checksum, group.
+/// Size of the frame header in bytes: magic, length, checksum, group.
 const HEADER: usize = 20;
 
-/// The largest payload that is believed; a damaged length must not ask for gigabytes.
+/// The largest accepted payload in bytes, so that a damaged length cannot claim gigabytes.
 const PAYLOAD_LIMIT: usize = 512 << 20;
 
-/// Marks the first frame of its group.
+/// Flag bit that marks the first frame of a group.
 const FIRST: u64 = 1 << 63;
 
-/// Numbers the groups of frames that were written and synced together.
+/// The number of a group of frames that were written and synced together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WriteGroup(pub(crate) u64);
 
-/// A frame as read.
+/// A frame read from a file.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordFrame<'a> {
     pub(crate) group: WriteGroup,
     pub(crate) first: bool,
     pub(crate) payload: &'a [u8],
-    /// Where the next frame begins.
+    /// The offset of the next frame.
     pub(crate) end: usize,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Adds a record's frame to a buffer.
+/// Appends a record to a buffer as a frame.
 pub(crate) fn push_frame<T: Serialize>(
     buffer: &mut Vec<u8>,
     group: WriteGroup,
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Reads the frame at an offset, if a whole and undamaged one is there.
+/// Reads the frame at an offset. Returns `None` if it is incomplete or damaged.
 pub(crate) fn read_frame(bytes: &[u8], offset: usize) -> Option<RecordFrame<'_>> {
     let header = bytes.get(offset..offset.checked_add(HEADER)?)?;
     if header[..4] != MAGIC {
@@ -74,12 +74,12 @@
     Some(RecordFrame { group, first: tag & FIRST != 0, payload, end: begin + size })
 }
 
-/// Tells whether the damage at `offset` lies in what had been synced.
+/// Returns whether the damage at `offset` is in data that had been synced.
 ///
-/// A group is written only after the one before it was synced. So if a later group can be found
-/// behind the damage, what is damaged was once safe on the disk, and cutting it off would silently
-/// lose entries that others were told are stored. Without a later group the damage is a write that
-/// a power loss cut short; nobody was told of it.
+/// A group is written only after the previous one was synced. If a later group follows the damage,
+/// the damaged data was durable once, and truncating it would silently lose entries that were
+/// acknowledged to other replicas. Without a later group, the damage is a write that a power loss
+/// interrupted, which was never acknowledged.
 pub(crate) fn was_synced(bytes: &[u8], offset: usize, last_good: WriteGroup) -> bool {
     let next_group = last_good.0 + 1;
     let mut from = offset + 1;
--- a/crates/pulleyd/src/version/storage_fault.rs
+++ b/crates/pulleyd/src/version/storage_fault.rs
@@ -1,10 +1,10 @@
-//! Why a data folder cannot be used.
+//! Errors of the data folder.
 
 use std::io;
 
 use thiserror::Error;
 
-/// What storage calls return.
+/// The result of a storage operation.
 pub type Result<T> = std::result::Result<T, StorageFault>;
 
 /// Why a data folder cannot be used.
@@ -16,49 +16,49 @@
     /// The folder belongs to another host or cluster.
     #[error("this data folder belongs to {found}, not to {wanted}")]
     Foreign {
-        /// Whose it is.
+        /// The owner of the folder.
         found: String,
-        /// Who opened it.
+        /// The replica that opened it.
         wanted: String,
     },
-    /// The folder holds a log but no identity.
-    #[error("this data folder holds {file} but no identity file; it is not one of ours or damaged")]
+    /// The folder holds a log but no identity file.
+    #[error("this data folder holds {file} but no identity file; it is foreign or damaged")]
     NoIdentity {
-        /// A file that was found.
+        /// One of the files found.
         file: String,
     },
-    /// What was synced once can no longer be read.
+    /// Synced data can no longer be read.
     #[error("{file} is damaged at byte {offset}: {what}; nothing was changed")]
     Damaged {
         /// The file.
         file: String,
-        /// Where in it.
+        /// The byte offset of the damage.
         offset: u64,
-        /// What is wrong there.
+        /// What is wrong at that offset.
         what: String,
     },
-    /// The file system reports an error.
+    /// The file system reported an error.
     #[error("{file}: {source}")]
     Disk {
         /// The file or folder.
         file: String,
-        /// What it reports.
+        /// The reported error.
         source: io::Error,
     },
-    /// An earlier write failed; what is on disk is unknown until the process starts anew.
+    /// An earlier write failed; what is on disk is unknown until the process restarts.
     #[error("an earlier write failed; this replica's disk is not trusted until it is restarted")]
     Distrusted,
     /// A record cannot be encoded.
     #[error("a record cannot be encoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// The storage thread cannot take more, or is gone.
-    #[error("the storage thread takes no more writes")]
+    /// The queue of the storage thread is full, or the thread has ended.
+    #[error("the storage thread accepts no more writes")]
     Stalled,
 }
 
 impl StorageFault {
-    /// Whether a write was refused for want of room. Nothing that was synced is lost by that, as it
-    /// may be after a sync that failed.
+    /// Whether a write failed because the disk or quota is full. Unlike after a failed sync, no
+    /// synced data can be lost then.
     #[must_use]
     pub fn is_full(&self) -> bool {
         let Self::Disk { source, .. } = self else { return false };
--- a/crates/pulleyd/src/version/storage_worker.rs
+++ b/crates/pulleyd/src/version/storage_worker.rs
@@ -1,4 +1,4 @@
-//! The thread that writes, so that the control thread never waits for a disk.
+//! The thread that writes the log, so that the control thread never blocks on a disk.
 
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::thread::{self, JoinHandle};
@@ -9,13 +9,13 @@
 use super::log_storage::LogStorage;
 use super::storage_fault::{Result, StorageFault};
 
-/// How many batches may wait. A replica has at most two under way, so a full queue means that
-/// the owner no longer keeps to that.
+/// Capacity of the batch queue. A replica has at most two batches outstanding, so a full queue
+/// means that its owner violates that limit.
 const QUEUE_DEPTH: usize = 8;
 
 /// The thread that writes to a data folder.
 ///
-/// Whatever waits when a sync ends goes into the next one together.
+/// All batches that are queued when a sync ends are written together with the next sync.
 #[derive(Debug)]
 pub struct StorageWorker {
     batches: Option<SyncSender<PersistBatch>>,
@@ -23,8 +23,8 @@
 }
 
 impl StorageWorker {
-    /// Starts the thread; `on_done` is called on it with each batch's ticket and whether it is on
-    /// disk, and with the fault if it is not.
+    /// Starts the thread. It calls `on_done` with each batch's ticket and the result: `Ok` once the
+    /// batch is on disk, or the fault.
     ///
     /// # Errors
     /// If the thread cannot be started.
@@ -44,11 +44,11 @@
         Ok(Self { batches: Some(batches), thread: Some(thread) })
     }
 
-    /// Hands a batch to the thread; never waits.
+    /// Queues a batch for the thread without blocking.
     ///
     /// # Errors
-    /// `Stalled` if the queue is full or the thread is gone; nothing of the batch is written then,
-    /// and the replica must be told that the write failed.
+    /// `Stalled` if the queue is full or the thread has ended. No part of the batch is written then,
+    /// and the owner must report the failed write to the replica.
     pub fn submit(&self, batch: PersistBatch) -> Result<()> {
         let Some(batches) = &self.batches else { return Err(StorageFault::Stalled) };
         batches.try_send(batch).map_err(|_| StorageFault::Stalled)
@@ -56,7 +56,7 @@
 }
 
 impl Drop for StorageWorker {
-    /// Lets the thread write what it was given, then waits for its end, which frees the lock.
+    /// Lets the thread finish the queued batches, then joins it, which releases the folder's lock.
     fn drop(&mut self) {
         self.batches = None;
         if let Some(thread) = self.thread.take() {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The first ticket carries the fault; the others say that the disk is no longer trusted.
+/// Reports the fault for the first ticket, and `Distrusted` for the others.
 fn report_fault(
     tickets: &[PersistTicket],
     fault: StorageFault,
