--- a/crates/pulleyd/src/version/directory_writer.rs
+++ b/crates/pulleyd/src/version/directory_writer.rs
@@ -34,13 +34,13 @@
     {
         let (directories, queue) = sync_channel::<UpstreamDirectory>(1);
         let is_busy = Arc::new(AtomicBool::new(false));
-        let busy = Arc::clone(&is_busy);
+        let busy_flag = Arc::clone(&is_busy);
         let thread = thread::Builder::new()
             .name("directory".to_owned())
             .spawn(move || {
                 while let Ok(directory) = queue.recv() {
                     on_done(file.write(&directory));
-                    busy.store(false, Ordering::Release);
+                    busy_flag.store(false, Ordering::Release);
                 }
             })
             .map_err(StorageFault::disk("directory thread"))?;
--- a/crates/pulleyd/src/version/log_recovery.rs
+++ b/crates/pulleyd/src/version/log_recovery.rs
@@ -26,7 +26,7 @@
     /// The election state from this record on.
     Vote(VoteRecord),
     /// Entries from this index on are no longer part of the log.
-    Cut(LogIndex),
+    Truncate(LogIndex),
     /// The founding membership that this disk has agreed to.
     Promise(ReplicaMembership),
     /// The next entry.
@@ -35,7 +35,7 @@
 
 /// The header of a snapshot file. The state follows unframed, so that a large one is not copied.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct SnapshotHead {
+pub(crate) struct SnapshotHeader {
     pub(crate) place: SnapshotPlace,
     pub(crate) size: u64,
     pub(crate) checksum: u32,
@@ -61,9 +61,9 @@
 pub(crate) struct FolderContents {
     pub(crate) recovered: RecoveredState,
     pub(crate) segments: Vec<SegmentFile>,
-    pub(crate) group: WriteGroup,
+    pub(crate) last_group: WriteGroup,
     /// How many bytes of a torn write were discarded.
-    pub(crate) torn: u64,
+    pub(crate) torn_bytes: u64,
 }
 
 pub(crate) fn segment_name(number: u64) -> String {
@@ -108,15 +108,15 @@
     let Some(frame) = read_frame(&bytes, 0) else {
         return Err(StorageFault::damaged(&name, 0, "the snapshot checksum does not match"));
     };
-    let head = frame
-        .decode::<SnapshotHead>()
+    let header = frame
+        .decode::<SnapshotHeader>()
         .map_err(|error| StorageFault::damaged(&name, 0, error.to_string()))?;
     let begin = frame.end;
     let state = Bytes::from(bytes).slice(begin..);
-    if state.len() as u64 != head.size || crc32c::crc32c(&state) != head.checksum {
+    if state.len() as u64 != header.size || crc32c::crc32c(&state) != header.checksum {
         return Err(StorageFault::damaged(&name, begin, "the state checksum does not match"));
     }
-    Ok(Some(Arc::new(ReplicaSnapshot { place: head.place, state })))
+    Ok(Some(Arc::new(ReplicaSnapshot { place: header.place, state })))
 }
 
 fn read_segment<D: DiskFolder>(
@@ -131,21 +131,21 @@
     let mut offset = 0;
     while offset < bytes.len() {
         let Some(frame) = read_frame(&bytes, offset) else {
-            if !is_last || was_synced(&bytes, offset, contents.group) {
+            if !is_last || was_synced(&bytes, offset, contents.last_group) {
                 return Err(StorageFault::damaged(
                     &name,
                     offset,
                     "a record checksum does not match",
                 ));
             }
-            contents.torn = (bytes.len() - offset) as u64;
+            contents.torn_bytes = (bytes.len() - offset) as u64;
             break;
         };
         let record = frame
             .decode::<LogRecord>()
             .map_err(|error| StorageFault::damaged(&name, offset, error.to_string()))?;
         replay(&name, offset, record, &mut segment, &mut contents.recovered)?;
-        contents.group = contents.group.max(frame.group);
+        contents.last_group = contents.last_group.max(frame.group);
         offset = frame.end;
     }
     segment.length = offset as u64;
@@ -164,7 +164,7 @@
     match record {
         LogRecord::Vote(vote) => recovered.vote = vote,
         LogRecord::Promise(members) => recovered.promise = Some(members),
-        LogRecord::Cut(index) => recovered.entries.retain(|entry| entry.index < index),
+        LogRecord::Truncate(index) => recovered.entries.retain(|entry| entry.index < index),
         LogRecord::Entry(entry) => {
             segment.highest = segment.highest.max(entry.index);
             if entry.index <= base {
--- a/crates/pulleyd/src/version/log_storage.rs
+++ b/crates/pulleyd/src/version/log_storage.rs
@@ -15,8 +15,8 @@
 use super::audit_reader::chunk_name;
 use super::disk_folder::{DiskFile, DiskFolder, SystemFolder};
 use super::log_recovery::{
-    LogRecord, SegmentFile, SnapshotHead, read_folder, segment_name, segment_number, snapshot_name,
-    snapshot_number,
+    LogRecord, SegmentFile, SnapshotHeader, read_folder, segment_name, segment_number,
+    snapshot_name, snapshot_number,
 };
 use super::record_frame::{WriteGroup, push_frame, read_frame};
 use super::storage_fault::{Result, StorageFault};
@@ -51,11 +51,11 @@
     closed: Vec<SegmentFile>,
     open: SegmentFile,
     file: D::File,
-    group: WriteGroup,
+    next_group: WriteGroup,
     vote: VoteRecord,
     segment_limit: u64,
-    trusted: bool,
-    torn: u64,
+    is_trusted: bool,
+    torn_bytes: u64,
 }
 
 impl LogStorage<SystemFolder> {
@@ -90,14 +90,14 @@
         let owner = check_identity(&mut folder, identity)?;
         let contents = read_folder(&folder)?;
         let mut closed = contents.segments;
-        let group = WriteGroup(contents.group.0 + 1);
+        let next_group = WriteGroup(contents.last_group.0 + 1);
         let (open, file) = match closed.pop() {
             Some(last) => {
                 let name = last.name();
                 let file = folder.open_at(&name, last.length).map_err(StorageFault::disk(&name))?;
                 (last, file)
             }
-            None => first_segment(&mut folder)?,
+            None => create_first_segment(&mut folder)?,
         };
         let mut recovered = contents.recovered;
         recovered.disk = owner.disk;
@@ -109,11 +109,11 @@
             closed,
             open,
             file,
-            group,
+            next_group,
             vote: recovered.vote,
             segment_limit: SEGMENT_LIMIT,
-            trusted: true,
-            torn: contents.torn,
+            is_trusted: true,
+            torn_bytes: contents.torn_bytes,
         };
         Ok((storage, recovered))
     }
@@ -128,13 +128,13 @@
     /// Returns how many bytes of a torn write were discarded when the folder was opened.
     #[must_use]
     pub fn torn_bytes(&self) -> u64 {
-        self.torn
+        self.torn_bytes
     }
 
     /// Whether no write has failed so far.
     #[must_use]
     pub fn is_trusted(&self) -> bool {
-        self.trusted
+        self.is_trusted
     }
 
     /// Writes batches in order and syncs them together.
@@ -142,12 +142,12 @@
     /// # Errors
     /// If a write or sync fails. Every later call then fails with `Distrusted`.
     pub fn write(&mut self, batches: &[PersistBatch]) -> Result<()> {
-        if !self.trusted {
+        if !self.is_trusted {
             return Err(StorageFault::Distrusted);
         }
-        let written = self.write_all(batches);
-        self.trusted = written.is_ok();
-        written
+        let result = self.write_all(batches);
+        self.is_trusted = result.is_ok();
+        result
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -160,7 +160,7 @@
                 write_chunk(&mut self.folder, chunk)?;
             }
             if let Some(index) = batch.cut_from {
-                pending.push(LogRecord::Cut(index));
+                pending.push(LogRecord::Truncate(index));
             }
             if let Some(snapshot) = &batch.snapshot {
                 // The truncation must be on disk before the snapshot. Otherwise entries that are
@@ -194,12 +194,12 @@
         }
         let mut buffer = Vec::new();
         for (position, record) in records.iter().enumerate() {
-            push_frame(&mut buffer, self.group, position == 0, record)?;
+            push_frame(&mut buffer, self.next_group, position == 0, record)?;
             if let LogRecord::Entry(entry) = record {
                 self.open.highest = self.open.highest.max(entry.index);
             }
         }
-        self.group.0 += 1;
+        self.next_group.0 += 1;
         let name = self.open.name();
         self.file.append(&buffer).map_err(StorageFault::disk(&name))?;
         self.file.sync().map_err(StorageFault::disk(&name))?;
@@ -210,12 +210,12 @@
     fn write_snapshot(&mut self, snapshot: &Arc<ReplicaSnapshot>) -> Result<()> {
         let name = snapshot_name(snapshot.place.index);
         let mut buffer = Vec::new();
-        let head = SnapshotHead {
+        let header = SnapshotHeader {
             place: snapshot.place.clone(),
             size: snapshot.state.len() as u64,
             checksum: crc32c::crc32c(&snapshot.state),
         };
-        push_frame(&mut buffer, WriteGroup(0), true, &head)?;
+        push_frame(&mut buffer, WriteGroup(0), true, &header)?;
         replace_file(&mut self.folder, &name, &[&buffer, &snapshot.state])?;
         self.begin_segment()?;
         self.remove_covered(snapshot.place.index)
@@ -272,7 +272,7 @@
     folder.sync().map_err(StorageFault::disk(name))
 }
 
-fn first_segment<D: DiskFolder>(folder: &mut D) -> Result<(SegmentFile, D::File)> {
+fn create_first_segment<D: DiskFolder>(folder: &mut D) -> Result<(SegmentFile, D::File)> {
     let segment = SegmentFile { number: 1, highest: LogIndex(0), length: 0 };
     let name = segment.name();
     let file = folder.create(&name).map_err(StorageFault::disk(&name))?;
@@ -283,31 +283,35 @@
 /// Checks that the folder belongs to this replica. An empty folder gets its identity.
 fn check_identity<D: DiskFolder>(
     folder: &mut D,
-    wanted: &ReplicaIdentity,
+    expected: &ReplicaIdentity,
 ) -> Result<FolderIdentity> {
     let bytes = folder.read(IDENTITY_FILE).map_err(StorageFault::disk(IDENTITY_FILE))?;
-    let Some(bytes) = bytes else { return new_identity(folder, wanted) };
+    let Some(bytes) = bytes else { return create_identity(folder, expected) };
     let found = read_frame(&bytes, 0)
         .and_then(|frame| frame.decode::<FolderIdentity>().ok())
         .ok_or_else(|| StorageFault::damaged(IDENTITY_FILE, 0, "the checksum does not match"))?;
-    if found.host != wanted.host || found.cluster != wanted.cluster {
+    if found.host != expected.host || found.cluster != expected.cluster {
         return Err(StorageFault::Foreign {
             found: format!("host {} of cluster {}", found.host, found.cluster),
-            wanted: format!("host {} of cluster {}", wanted.host, wanted.cluster),
+            expected: format!("host {} of cluster {}", expected.host, expected.cluster),
         });
     }
     Ok(found)
 }
 
-fn new_identity<D: DiskFolder>(folder: &mut D, wanted: &ReplicaIdentity) -> Result<FolderIdentity> {
+fn create_identity<D: DiskFolder>(
+    folder: &mut D,
+    expected: &ReplicaIdentity,
+) -> Result<FolderIdentity> {
     let names = folder.names().map_err(StorageFault::disk("data folder"))?;
-    let ours = |name: &&String| segment_number(name).is_some() || snapshot_number(name).is_some();
-    if let Some(file) = names.iter().find(ours) {
+    let is_log_file =
+        |name: &&String| segment_number(name).is_some() || snapshot_number(name).is_some();
+    if let Some(file) = names.iter().find(is_log_file) {
         return Err(StorageFault::NoIdentity { file: file.clone() });
     }
     let identity = FolderIdentity {
-        host: wanted.host.clone(),
-        cluster: wanted.cluster.clone(),
+        host: expected.host.clone(),
+        cluster: expected.cluster.clone(),
         disk: DiskId(folder.draw_id()),
         member: None,
     };
--- a/crates/pulleyd/src/version/mod.rs
+++ b/crates/pulleyd/src/version/mod.rs
@@ -16,7 +16,7 @@
 mod storage_worker;
 
 pub use audit_reader::{AuditReader, read_audit};
-pub use directory_file::{DirectoryFile, DirectoryReading};
+pub use directory_file::{DirectoryFile, RecoveredDirectory};
 pub use directory_writer::DirectoryWriter;
 pub use disk_folder::{DiskFile, DiskFolder, SystemFolder};
 pub use log_storage::LogStorage;
--- a/crates/pulleyd/src/version/storage_fault.rs
+++ b/crates/pulleyd/src/version/storage_fault.rs
@@ -14,12 +14,12 @@
     #[error("another process uses this data folder")]
     Locked,
     /// The folder belongs to another host or cluster.
-    #[error("this data folder belongs to {found}, not to {wanted}")]
+    #[error("this data folder belongs to {found}, not to {expected}")]
     Foreign {
         /// The owner of the folder.
         found: String,
         /// The replica that opened it.
-        wanted: String,
+        expected: String,
     },
     /// The folder holds a log but no identity file.
     #[error("this data folder holds {file} but no identity file; it is foreign or damaged")]
