--- a/crates/pulleyd/tests/process_failures/behind_tests.rs
+++ b/crates/pulleyd/tests/process_failures/behind_tests.rs
@@ -1,4 +1,4 @@
-//! A real entry that has heard of a change and can't fetch it.
+//! A real entry that has learned of a newer configuration but cannot fetch it.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use crate::KOLKHI;
 use crate::process_support::{DaemonProcess, TestCluster, wait_until};
 
-/// Long enough for the others' rounds to reach the entry.
+/// Long enough for the other hosts' gossip rounds to reach the entry.
 const ROUNDS: Duration = Duration::from_secs(1);
 const PATIENCE: Duration = Duration::from_secs(20);
-/// In which an accepted change is to be in force everywhere, and so not denied any more.
+/// Time within which an accepted change must be in force everywhere. From then on, no host may
+/// deny a request based on an older configuration.
 const HEARD_LIMIT: Duration = Duration::from_secs(2);
 
 fn cause(cluster: &TestCluster, host: usize) -> Option<String> {
@@ -18,7 +19,8 @@
     Some(format!("{} {}", answer.status, answer.header("jacinthpulley-cause")?))
 }
 
-// Guards against views that don't show what the control thread has heard of.
+// An entry learns of version 2 while the replicas are frozen, so it cannot fetch it. If its view
+// did not include what the control thread has learned, it would answer 404 according to version 1.
 #[test]
 fn an_entry_that_cannot_fetch_a_change_denies_nothing_by_the_version_before() {
     let mut cluster = TestCluster::start(3, 1);
--- a/crates/pulleyd/tests/process_failures/main.rs
+++ b/crates/pulleyd/tests/process_failures/main.rs
@@ -1,4 +1,4 @@
-//! What must hold while real processes are killed, paused and raced.
+//! Guarantees that must hold while real processes are killed, paused and run concurrently.
 
 mod behind_tests;
 mod process_support;
@@ -17,7 +17,7 @@
 const ABAY: &str = include_str!("../../../../examples/abay.csv");
 const KOLKHI: &str = include_str!("../../../../examples/kolkhi.csv");
 
-/// Within this time an accepted configuration is in force, or the host is not ready.
+/// After this time an accepted configuration is in force, or the host is not ready.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
 fn accepted(answer: &serde_json::Value) -> u64 {
@@ -25,9 +25,9 @@
     version.unwrap_or_else(|| panic!("not accepted: {answer}"))
 }
 
-// The leader's machine dies while operators send one change after the other. An operator whose
-// answer is lost sends the change again by its id; were it counted twice, or an accepted one lost,
-// the day would run on the wrong sheet.
+// The leader is killed while operators send a series of changes. An operator whose answer is lost
+// resends the change with the same id. If a resend were applied twice or an accepted change lost,
+// the system would run on the wrong sheet.
 #[test]
 fn a_leader_killed_under_changes_loses_and_doubles_none() {
     let mut cluster = TestCluster::start(3, 0);
@@ -50,8 +50,8 @@
     assert_eq!(accepted(&again), 6, "a resend gets its first answer");
 }
 
-// All hosts lose power at once after a long day of changes. They must come back to the newest
-// configuration, and a change that was answered in the morning keeps that answer.
+// All hosts lose power at once after 500 changes. They must recover the newest configuration, and
+// a resend of the first change must still get its original answer.
 #[test]
 fn hundreds_of_changes_outlive_a_restart_of_all_hosts() {
     let mut cluster = TestCluster::start(3, 1);
@@ -73,16 +73,16 @@
     assert_eq!(accepted(&next), 501);
 }
 
-/// The files in which a replica has written down its upstreams.
+/// Returns the files in which the replicas have stored their upstreams, with their contents.
 fn directory_files(cluster: &TestCluster) -> Vec<(PathBuf, Vec<u8>)> {
     let folders = cluster.hosts.iter().take(3).map(DaemonProcess::data_folder);
     let files = folders.flat_map(|folder| ["upstreams-a", "upstreams-b"].map(|n| folder.join(n)));
     files.filter_map(|file| Some((file.clone(), fs::read(file).ok()?))).collect()
 }
 
-// All hosts lose power at once, right after an upstream was told that its leaving is known: what
-// the replicas had written down just before still names it. The upstreams announce nothing for a
-// while after. Callers must be served by the one that stays, and none may be sent to the other.
+// All hosts lose power at once, right after the draining of an upstream was acknowledged. The
+// directories that the replicas wrote just before still list it, and the upstreams announce nothing
+// for a while. Callers must be served by the remaining upstream, and none may be sent to the other.
 #[test]
 fn upstreams_outlive_a_restart_of_all_hosts_but_for_those_that_left() {
     let mut cluster = TestCluster::start(3, 2);
@@ -99,7 +99,7 @@
     cluster.await_that("both upstreams run calls", &hosts, |cluster| {
         call_all(cluster) && staying.total() > 0 && leaving.total() > 0
     });
-    // Time for every replica to write both down.
+    // Gives every replica time to store both.
     std::thread::sleep(Duration::from_millis(2_500));
     let written = directory_files(&cluster);
     assert!(written.len() >= 3, "every replica has written: {written:?}");
@@ -119,7 +119,7 @@
     leaving.fall_silent();
     let before = leaving.total();
     for host in &mut cluster.hosts {
-        // On a busy machine the start of five hosts one after the other takes its time.
+        // Starting five hosts in sequence can take long on a busy machine.
         host.set_flag("--upstream-lease", "30s");
         host.restart();
     }
@@ -130,9 +130,9 @@
     assert_eq!(leaving.total(), before);
 }
 
-// While a host is down, another process on the machine is given the number of one of its ports. The
-// host must start again all the same: a test that restarts hosts failed once with "address already
-// in use", as all listened at one address with ports that the system gives to anybody.
+// While a host is down, another process on the machine gets one of its port numbers. The host must
+// still restart. With one shared address and ports from the system, which gives them to any
+// process, a test that restarts hosts once failed with "address already in use".
 #[test]
 fn a_host_starts_again_though_its_port_number_is_in_use() {
     let mut cluster = TestCluster::start(1, 0);
@@ -143,8 +143,8 @@
     assert!(wait_until(Duration::from_secs(20), || cluster.health(0).is_some()));
 }
 
-// Two operators change the same version at the same moment through different hosts. If both were
-// told that theirs was accepted, one would work all day by a sheet that is not in force.
+// Operators concurrently change the same version through different hosts. If more than one change
+// were reported as accepted, an operator would rely on a sheet that is not in force.
 #[test]
 fn of_racing_changes_to_one_version_exactly_one_is_accepted() {
     let cluster = TestCluster::start(3, 0);
@@ -166,9 +166,9 @@
     cluster.await_version(&[0, 1, 2], 11);
 }
 
-// A host is frozen by its neighbours for longer than its configuration lease while the others
-// accept a change. When it goes on it must not serve a single call by the old sheet as if nothing
-// had happened; callers would see old rules in force long after the change.
+// A host is paused, as by other load on its machine, for longer than its configuration lease while
+// the others accept a change. After resuming it must not serve a single call with the old sheet, or
+// callers would see old rules in force long after the change.
 #[test]
 fn a_host_frozen_past_its_lease_never_serves_the_old_version() {
     let cluster = TestCluster::start(3, 1);
@@ -189,9 +189,9 @@
     cluster.await_version(&[3], 2);
 }
 
-// The leader is frozen without a sign, and the others elect another and accept changes. When the
-// old leader goes on it believes for a moment that it leads. Nothing that it says then may undo
-// what was accepted.
+// The leader is frozen without warning, and the other replicas elect a new one and accept changes.
+// After resuming, the old leader briefly believes that it still leads. Nothing it does then may
+// revert an accepted change.
 #[test]
 fn a_leader_that_wakes_up_reverts_nothing() {
     let cluster = TestCluster::start(3, 0);
@@ -210,9 +210,9 @@
     cluster.await_version(&[0, 1, 2], 4);
 }
 
-// All replicas are cut off from an entry without a signal. The entry cannot know whether a newer
-// configuration was accepted, so within seconds it must tell the platform's balancer that it is
-// not ready, and callers that their requests were not run.
+// An entry silently loses contact with all replicas. It cannot know whether a newer configuration
+// was accepted. Within seconds it must report to the platform's balancer that it is not ready, and
+// to callers that their requests were not run.
 #[test]
 fn an_entry_cut_off_from_all_replicas_refuses_as_not_run() {
     let cluster = TestCluster::start(3, 1);
@@ -238,17 +238,16 @@
     cluster.await_version(&[0, 1, 2, 3], 1);
 }
 
-// Callers send refunds, lose answers and send them again through other hosts, while one host is
-// killed. A refund that ran twice takes money from a neighbour; one answered "not run" must not
-// have run.
+// Callers send refunds, lose answers and resend them through other hosts while one host is killed.
+// A refund that ran twice would pay out money twice; one answered "not run" must not have run.
 #[test]
 fn resent_refunds_run_at_most_once_over_a_killed_entry() {
     let outcome = refunds_while_a_host_is_killed(|_| 3);
     assert!(outcome.ran.len() > 100, "only {} of 200 ran", outcome.ran.len());
 }
 
-// The host that is killed leads the log in which claims are kept. Claims whose answers die with it
-// are asked again of its successor, so that few callers are told that a refund may have run.
+// The killed host leads the log that stores the claims. Claims whose answers are lost with it are
+// retried with its successor, so that few callers are told that a refund may have run.
 #[test]
 fn resent_refunds_run_at_most_once_over_a_killed_leader() {
     let outcome = refunds_while_a_host_is_killed(|cluster| {
@@ -257,7 +256,7 @@
     assert!(outcome.ran.len() > 100, "only {} of 200 ran", outcome.ran.len());
 }
 
-/// What callers were told of their refunds.
+/// The answers that callers got to their refunds.
 struct RefundOutcome {
     ran: BTreeSet<String>,
 }
@@ -296,8 +295,8 @@
     RefundOutcome { ran: told.into_iter().flat_map(|(ran, _)| ran).collect() }
 }
 
-/// Sends fifty refunds, each again through the next host until an answer says what became of it.
-/// Returns those answered with success and those whose every answer said "not run".
+/// Sends fifty refunds. Resends each through the next host, up to six times in all, until it
+/// succeeds. Returns the refunds that succeeded and those for which every answer said "not run".
 fn send_refunds(callers: &[HttpClient], thread: usize) -> (Vec<String>, Vec<String>) {
     let (mut ran, mut not_run) = (Vec::new(), Vec::new());
     for number in 0..50 {
@@ -329,8 +328,8 @@
     (ran, not_run)
 }
 
-// An upstream says through one host that it is leaving. Work that still reaches it from other
-// hosts seconds later is cut off when it goes.
+// An upstream announces to one host that it is draining. Requests that other hosts still send to it
+// seconds later would be cut off when it stops.
 #[test]
 fn a_draining_upstream_gets_no_new_work_from_any_host() {
     let cluster = TestCluster::start(3, 2);
@@ -356,8 +355,9 @@
     assert_eq!(leaving.total(), before);
 }
 
-// A host is told to stop while a long call is under way. Its caller gets the whole answer, the
-// platform's balancer learns at once that the host is leaving, and the process ends with success.
+// A host is asked to stop while a long call is in progress. The caller must get the complete
+// answer, the platform's balancer must see at once that the host is not ready, and the process must
+// exit with success.
 #[test]
 fn a_host_told_to_stop_finishes_what_is_under_way() {
     let mut cluster = TestCluster::start(1, 0);
@@ -381,8 +381,8 @@
     assert_eq!(cluster.hosts[0].wait(), Some(0));
 }
 
-// An operator's machine loses the connection after the change was sent. The resend, through another
-// host, must be known as the same change.
+// An operator's machine loses the connection after sending a change. The resend through another
+// host must be recognised as the same change.
 #[test]
 fn a_resend_after_a_lost_answer_is_the_same_change() {
     use std::io::Write;
@@ -418,9 +418,9 @@
         .collect()
 }
 
-// A replica's disk is lost and replaced by an empty one. Were it to vote as the member it was, a
-// change it had helped to accept could be lost. It returns under a new member id, and once it has
-// caught up, a second host may be lost and changes still go through.
+// A replica's disk is lost and replaced by an empty one. If it voted under its old member id, a
+// change that it had helped to accept could be lost. It returns under a new member id. Once it has
+// caught up, changes must still be accepted after the loss of a second host.
 #[test]
 fn a_wiped_replica_returns_as_a_new_member_and_a_second_loss_is_survived() {
     let mut cluster = TestCluster::start(3, 0);
@@ -445,9 +445,9 @@
     cluster.await_version(&[0, 1, 2], 21);
 }
 
-// A second host is lost right after the first one's repair began, before it has caught up. With no
-// majority left nothing may be accepted, and nothing accepted before may be missing when one of
-// them is back.
+// A second host is lost while the first one is being repaired and has not caught up. Without a
+// majority nothing may be accepted. Nothing accepted before may be missing once the second host is
+// back.
 #[test]
 fn a_second_loss_before_the_first_has_healed_loses_nothing() {
     let mut cluster = TestCluster::start(3, 0);
@@ -468,8 +468,9 @@
     assert_eq!(accepted(&again), 20);
 }
 
-// A fourth host with a disk is added while the system runs, and an operator lets it join. It learns
-// the log, then votes; were it to vote before it has the log, an accepted change could be lost.
+// A fourth host with a disk is started in a running system, and an operator adds it as a replica.
+// It fetches the log first and then votes. If it voted before it has the log, an accepted change
+// could be lost.
 #[test]
 fn a_new_replica_joins_and_votes_once_it_has_caught_up() {
     let mut cluster = TestCluster::start(3, 0);
@@ -485,7 +486,7 @@
     cluster.await_version(&[0, 1, 2, 3], 5);
 }
 
-/// A sheet of so many rows, each long.
+/// Returns a sheet with this many long rows.
 fn sheet_of(rows: usize) -> String {
     let mut sheet = KOLKHI.lines().next().unwrap_or_default().to_owned();
     for row in 0..rows {
@@ -498,9 +499,9 @@
     sheet
 }
 
-// Planners export a sheet as large as is allowed. An entry of the log that fits no frame between
-// hosts would never be accepted and hold up every later change; a plan too large to be passed on
-// would be accepted and never be in force at hosts without a disk.
+// Operators apply a sheet of the largest allowed size. A log entry that exceeds the frame limit
+// between hosts would never be accepted and would block every later change. A plan too large to be
+// forwarded would be accepted but never be in force on hosts without a disk.
 #[test]
 fn the_largest_sheet_is_in_force_everywhere_and_a_larger_one_is_refused() {
     let cluster = TestCluster::start(3, 2);
@@ -517,8 +518,9 @@
     cluster.await_version(&[0, 1, 2, 3, 4], 4);
 }
 
-// More refunds come within the retention than the ledger was set up for. Forgetting the oldest
-// would let its resend run twice; callers are told that theirs was not run, and when to come back.
+// More refunds arrive within the retention time than the ledger can hold. If it evicted the oldest,
+// a resend of that refund would run twice. Callers must instead be told that their refund was not
+// run and when to retry.
 #[test]
 fn a_full_ledger_refuses_as_not_run_and_forgets_nothing() {
     let mut cluster = TestCluster::start(1, 0);
@@ -544,9 +546,9 @@
     assert_eq!((runs.get("k0"), runs.get("k3")), (Some(&1), None));
 }
 
-// Whoever stops a host is impatient and sends the signal again while the platform's balancer still
-// has time to notice. The daemon panicked then: connections that were being served were cut without
-// a word in the log, and the audit trail's last writes were in doubt. Found by the soak, seed 126.
+// A second stop signal arrives while the daemon still waits for the platform's balancer to notice
+// the first. The daemon used to panic: it cut active connections without a log line, and the last
+// writes of the audit trail were uncertain. Found by the soak test, seed 126.
 #[test]
 fn a_second_signal_at_any_moment_ends_a_daemon_in_order() {
     for pause_ms in [0, 20, 200] {
@@ -561,8 +563,8 @@
     }
 }
 
-// An operator tells a daemon by the usual signal that its files have changed. It must read them
-// again; without a handler, the signal ends the process in the middle of its requests.
+// An operator sends the usual reload signal after changing the daemon's files. The daemon must
+// reread them. Without a handler, the signal would end the process with requests in progress.
 #[test]
 fn a_reload_signal_ends_nothing() {
     let mut cluster = TestCluster::start(1, 0);
--- a/crates/pulleyd/tests/process_failures/process_support/daemon_process.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/daemon_process.rs
@@ -18,19 +18,19 @@
 
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address that no other test process and no other daemon of this one has: at one that
-/// all share, the system would give a daemon's port away while it is down.
+/// Returns a loopback address that is unique to this test process and daemon. With a shared
+/// address, the system could give a daemon's port to another process while the daemon is down.
 fn own_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// One daemon process and what is needed to start it again.
+/// A daemon process and what is needed to restart it.
 #[derive(Debug)]
 pub(crate) struct DaemonProcess {
     /// Its host id.
     pub(crate) host: String,
-    /// Where it listens: callers, upstreams, operators, peers; kept over restarts.
+    /// Its listen addresses, kept across restarts: callers, upstreams, operators, peers.
     pub(crate) addresses: [SocketAddr; 4],
     folder: PathBuf,
     flags: Vec<String>,
@@ -39,7 +39,7 @@
 }
 
 impl DaemonProcess {
-    /// Starts a daemon; `flags` holds all that is not about its listeners and data folder.
+    /// Starts a daemon. `flags` holds all flags except those for its id, listeners and data folder.
     pub(crate) fn start(host: &str, folder: &Path, flags: Vec<String>) -> Self {
         let any = SocketAddr::new(own_address(), 0);
         let mut process = Self {
@@ -54,13 +54,13 @@
         process
     }
 
-    /// Starts it again where it listened before.
+    /// Kills the daemon and starts it again with the same listen addresses.
     pub(crate) fn restart(&mut self) {
         self.end(Signal::SIGKILL);
         self.launch();
     }
 
-    /// Adds flags for later starts; a flag given twice counts as given last.
+    /// Sets a flag for later starts, replacing its previous value.
     pub(crate) fn set_flag(&mut self, name: &str, value: &str) {
         if let Some(at) = self.flags.iter().position(|flag| flag == name) {
             self.flags[at + 1] = value.to_owned();
@@ -69,14 +69,15 @@
         }
     }
 
-    /// Sends a signal and goes on.
+    /// Sends a signal without waiting for its effect.
     pub(crate) fn signal(&self, signal: Signal) {
         let Some(child) = &self.child else { return };
         let pid = Pid::from_raw(i32::try_from(child.id()).expect("a process id"));
         kill(pid, signal).expect("the process is ours");
     }
 
-    /// Stops the process and waits until none of its threads runs: a moment later it still answers.
+    /// Stops the process and waits until all of its threads have stopped. Right after the signal it
+    /// may still answer.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
         let Some(child) = &self.child else { return };
@@ -85,30 +86,30 @@
         assert!(matches!(stopped, WaitStatus::Stopped(..)), "{} ended: {stopped:?}", self.host);
     }
 
-    /// Sends a signal and waits for the end; returns the exit code, if there is one.
+    /// Sends a signal and waits for the process to exit. Returns the exit code, if there is one.
     pub(crate) fn end(&mut self, signal: Signal) -> Option<i32> {
         self.signal(signal);
         self.wait()
     }
 
-    /// Waits for the end; returns the exit code, if there is one.
+    /// Waits for the process to exit. Returns the exit code, if there is one.
     pub(crate) fn wait(&mut self) -> Option<i32> {
         let mut child = self.child.take()?;
         child.wait().expect("a child").code()
     }
 
-    /// Removes the data folder of an ended daemon.
+    /// Removes the data folder of a daemon that has exited.
     pub(crate) fn wipe(&self) {
-        assert!(self.child.is_none(), "only an ended daemon's folder is removed");
+        assert!(self.child.is_none(), "the daemon must have exited");
         fs::remove_dir_all(self.data_folder()).expect("a folder");
     }
 
-    /// Where it keeps its data.
+    /// Returns the path of its data folder.
     pub(crate) fn data_folder(&self) -> PathBuf {
         self.folder.join(format!("{}-data", self.host))
     }
 
-    /// All it has logged since its last start.
+    /// Returns everything it has logged since its last start.
     pub(crate) fn log(&self) -> String {
         fs::read_to_string(self.log_path()).unwrap_or_default()
     }
--- a/crates/pulleyd/tests/process_failures/process_support/http_client.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/http_client.rs
@@ -1,4 +1,4 @@
-//! A client with a connection of its own for each request.
+//! An HTTP client that opens a new connection for each request.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,32 +6,32 @@
 
 use serde_json::Value;
 
-/// How long an answer may take.
+/// Read timeout for an answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(15);
 
-/// An answer, whole.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HttpAnswer {
     /// The status.
     pub(crate) status: u16,
-    /// The header lines, names in lower case.
+    /// The headers, with names in lower case.
     pub(crate) headers: Vec<(String, String)>,
     /// The body.
     pub(crate) body: Vec<u8>,
 }
 
 impl HttpAnswer {
-    /// The value of a header.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The body as JSON; `Null` if it is none.
+    /// Parses the body as JSON. Returns `Null` if it is invalid.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -45,7 +45,7 @@
 }
 
 impl HttpClient {
-    /// Makes a client.
+    /// Creates a client.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self { address, headers: Vec::new() }
     }
@@ -56,7 +56,7 @@
         self
     }
 
-    /// Sends a request and reads the whole answer; an answer that is cut short is an error.
+    /// Sends a request and reads the complete answer. A truncated answer is an error.
     pub(crate) fn send(&self, method: &str, path: &str, body: &[u8]) -> io::Result<HttpAnswer> {
         let mut stream = TcpStream::connect_timeout(&self.address, Duration::from_secs(2))?;
         stream.set_read_timeout(Some(ANSWER_LIMIT))?;
--- a/crates/pulleyd/tests/process_failures/process_support/mod.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/mod.rs
@@ -1,4 +1,5 @@
-//! Starts real daemons on loopback for tests, with ports from the system, and talks to them.
+//! Starts real daemons on loopback addresses with system-assigned ports, and sends requests to
+//! them.
 
 mod daemon_process;
 mod http_client;
--- a/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream inside the test process: announces itself, answers, counts what it ran.
+//! An upstream inside the test process that announces itself, answers requests and counts them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 use super::HttpClient;
 
-/// How often it announces itself: several times within a lease.
+/// Interval between announcements; several fit within a lease.
 const ANNOUNCE_PACE: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Default)]
@@ -23,12 +23,12 @@
     total: AtomicU64,
     delay_ms: AtomicU64,
     phase: Mutex<&'static str>,
-    /// The phase that a host has acknowledged last.
+    /// The phase that a host acknowledged last.
     acknowledged: Mutex<&'static str>,
     is_silent: AtomicBool,
 }
 
-/// A running stand-in; it ends when dropped.
+/// A running stand-in upstream; dropping it stops it.
 #[derive(Debug)]
 pub(crate) struct StandInUpstream {
     state: Arc<UpstreamState>,
@@ -36,12 +36,12 @@
 }
 
 impl StandInUpstream {
-    /// Starts one that announces itself to one of these hosts after the other.
+    /// Starts an upstream in zone `z1` that announces itself to these hosts in turn.
     pub(crate) fn start(id: &str, pool: &str, slots: u32, hosts: Vec<SocketAddr>) -> Self {
         Self::start_in("z1", id, pool, slots, hosts)
     }
 
-    /// The same in a zone.
+    /// Starts an upstream in a zone.
     pub(crate) fn start_in(
         zone: &str,
         id: &str,
@@ -91,33 +91,33 @@
         Self { state, _runtime: runtime }
     }
 
-    /// Makes every answer take this long.
+    /// Delays every answer by this time.
     pub(crate) fn set_delay(&self, delay: Duration) {
         let millis = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         self.state.delay_ms.store(millis, Ordering::SeqCst);
     }
 
-    /// Announces another phase from now on.
+    /// Sets the phase that is announced from now on.
     pub(crate) fn set_phase(&self, phase: &'static str) {
         *self.state.phase.lock().expect("no panic holds it") = phase;
     }
 
-    /// The phase that a host has acknowledged last; empty before the first.
+    /// Returns the phase that a host acknowledged last; empty before the first acknowledgement.
     pub(crate) fn acknowledged(&self) -> &'static str {
         *self.state.acknowledged.lock().expect("no panic holds it")
     }
 
-    /// Announces nothing more, and goes on answering.
+    /// Stops announcing but continues to answer requests.
     pub(crate) fn fall_silent(&self) {
         self.state.is_silent.store(true, Ordering::SeqCst);
     }
 
-    /// How many requests it ran.
+    /// Returns how many requests it has run.
     pub(crate) fn total(&self) -> u64 {
         self.state.total.load(Ordering::SeqCst)
     }
 
-    /// How often it ran each value of the header `x-work`.
+    /// Returns how often it has run each value of the `x-work` header.
     pub(crate) fn runs(&self) -> BTreeMap<String, u64> {
         self.state.runs.lock().expect("no panic holds it").clone()
     }
--- a/crates/pulleyd/tests/process_failures/process_support/test_cluster.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/test_cluster.rs
@@ -1,4 +1,4 @@
-//! Several daemons of one installation.
+//! A cluster of daemon processes.
 
 use std::fs;
 use std::io;
@@ -10,13 +10,13 @@
 
 use super::{DaemonProcess, HttpAnswer, HttpClient};
 
-/// The key of every test's installation.
+/// The secret key of all test clusters.
 pub(crate) const KEY: &str = "a-key-for-tests-only-0123456789abcdef";
 
-/// How long a condition may take on a busy machine; none is expected to.
+/// Timeout for conditions. It allows for a busy machine and is not normally reached.
 const PATIENCE: Duration = Duration::from_secs(40);
 
-/// Waits for a condition; returns whether it came true in time.
+/// Polls a condition. Returns whether it became true within the limit.
 pub(crate) fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let began = Instant::now();
     loop {
@@ -30,16 +30,16 @@
     }
 }
 
-/// Several daemons of one installation; their folder goes with them.
+/// A cluster of daemons. Dropping it stops them and removes their folder.
 #[derive(Debug)]
 pub(crate) struct TestCluster {
-    /// The daemons, in the order of their names h1, h2, ….
+    /// The daemons, in the order of their host ids h1, h2, ….
     pub(crate) hosts: Vec<DaemonProcess>,
     folder: TempDir,
 }
 
 impl TestCluster {
-    /// Starts `replicas` hosts that hold the log and `entries` that do not.
+    /// Starts `replicas` hosts that store the log and `entries` hosts that do not.
     pub(crate) fn start(replicas: usize, entries: usize) -> Self {
         let folder = TempDir::new().expect("a folder");
         fs::write(folder.path().join("secret"), format!("{KEY}\n")).expect("a secret file");
@@ -57,7 +57,7 @@
         cluster
     }
 
-    /// Starts one more host.
+    /// Starts another host.
     pub(crate) fn add(&mut self, host: &str, roles: &str, founders: &str) {
         let secret = self.folder.path().join("secret");
         let mut flags: Vec<String> = Vec::new();
@@ -78,24 +78,24 @@
         self.hosts.push(DaemonProcess::start(host, self.folder.path(), flags));
     }
 
-    /// A client that speaks to a host as operators do.
+    /// Returns a client for a host's operator API.
     pub(crate) fn operator(&self, host: usize) -> HttpClient {
         HttpClient::new(self.hosts[host].addresses[2])
             .with_header("authorization", &format!("Bearer {KEY}"))
             .with_header("content-type", "application/json")
     }
 
-    /// A client that speaks to a host as callers do.
+    /// Returns a client for a host's caller listener.
     pub(crate) fn caller(&self, host: usize) -> HttpClient {
         HttpClient::new(self.hosts[host].addresses[0])
     }
 
-    /// Where upstreams announce themselves.
+    /// Returns the addresses at which upstreams announce themselves.
     pub(crate) fn announce_addresses(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|host| host.addresses[1]).collect()
     }
 
-    /// Asks a host to apply a sheet; an error means that the answer was lost.
+    /// Asks a host to apply a sheet. An error means that the answer was lost.
     pub(crate) fn apply(
         &self,
         host: usize,
@@ -109,7 +109,7 @@
         self.operator(host).send("POST", "/v1/sheet", body.to_string().as_bytes())
     }
 
-    /// Applies a sheet through any of the hosts until the answer is neither lost nor unknown.
+    /// Applies a sheet, retrying through the hosts in turn until it is accepted or refused.
     pub(crate) fn apply_surely(
         &self,
         hosts: &[usize],
@@ -125,23 +125,24 @@
             last = answer.json();
             last.get("accepted").is_some() || last.get("refused").is_some()
         });
-        assert!(sure, "no sure answer to {change_id}: {last}");
+        assert!(sure, "no definite answer to {change_id}: {last}");
         last
     }
 
-    /// The version in force at a host and whether it serves, as the platform's balancer sees it.
+    /// Returns the version in force at a host and whether it is ready, as the platform's balancer
+    /// sees it.
     pub(crate) fn health(&self, host: usize) -> Option<(u64, bool)> {
         let answer = HttpClient::new(self.hosts[host].addresses[1]).get("/healthz").ok()?;
         let json = answer.json();
         Some((json.get("version")?.as_u64()?, json.get("ready")?.as_bool()?))
     }
 
-    /// A host's status.
+    /// Returns a host's status.
     pub(crate) fn status(&self, host: usize) -> Option<Value> {
         self.operator(host).get("/status").ok().map(|answer| answer.json())
     }
 
-    /// The host that leads, by the word of any of the hosts named.
+    /// Returns the first of these hosts that reports itself as the leader.
     pub(crate) fn leader(&self, hosts: &[usize]) -> Option<usize> {
         hosts.iter().find_map(|asked| {
             let status = self.status(*asked)?;
@@ -149,14 +150,15 @@
         })
     }
 
-    /// Waits until these hosts all serve this version; panics with their logs if they do not.
+    /// Waits until all of these hosts are ready with this version. Panics with their logs on
+    /// timeout.
     pub(crate) fn await_version(&self, hosts: &[usize], version: u64) {
         self.await_that("version in force", hosts, |cluster| {
             hosts.iter().all(|host| cluster.health(*host) == Some((version, true)))
         });
     }
 
-    /// Waits for a condition; panics with the hosts' logs if it does not come true.
+    /// Waits for a condition. Panics with the hosts' logs on timeout.
     pub(crate) fn await_that(
         &self,
         what: &str,
@@ -171,6 +173,6 @@
                 self.hosts[*host].log()
             });
         }
-        panic!("not in time: {what}");
+        panic!("timed out waiting for: {what}");
     }
 }
--- a/crates/pulleyd/tests/process_failures/zone_tests.rs
+++ b/crates/pulleyd/tests/process_failures/zone_tests.rs
@@ -1,4 +1,4 @@
-//! Zones that operators empty, while real processes are frozen, killed and started.
+//! Evacuation of zones while real processes are frozen, killed and started.
 
 use std::time::{Duration, Instant};
 
@@ -8,8 +8,8 @@
 use crate::process_support::{StandInUpstream, TestCluster, wait_until};
 use crate::{ABAY, IN_FORCE_LIMIT};
 
-/// Orders a use for a zone through any of the hosts until it is acknowledged; returns how long that
-/// took.
+/// Sends a zone order, retrying through the hosts in turn until it is acknowledged. Returns how
+/// long that took.
 fn order_zone(cluster: &TestCluster, hosts: &[usize], zone: &str, zone_use: &str) -> Duration {
     let began = Instant::now();
     let mut tries = hosts.iter().cycle();
@@ -25,9 +25,9 @@
     began.elapsed()
 }
 
-// An operator empties a zone while the leader is frozen, loses all hosts right after that is
-// acknowledged, and starts them again; an entry joins meanwhile. Machines of the zone are being
-// taken away: work that reaches them is cut off.
+// An operator evacuates a zone while the leader is frozen. Right after the acknowledgement all
+// hosts are killed and restarted, and a new entry joins. The machines of the zone are being
+// removed, so any request that still reached them would be cut off.
 #[test]
 fn an_evacuated_zone_gets_no_work_through_a_frozen_leader_and_a_restart_of_all_hosts() {
     let mut cluster = TestCluster::start(3, 1);
