--- a/crates/pulleyd/tests/process_failures/main.rs
+++ b/crates/pulleyd/tests/process_failures/main.rs
@@ -29,47 +29,48 @@
 // resends the change with the same id. If a resend were applied twice or an accepted change lost,
 // the system would run on the wrong sheet.
 #[test]
-fn a_leader_killed_under_changes_loses_and_doubles_none() {
+fn a_killed_leader_neither_loses_nor_repeats_a_change() {
     let mut cluster = TestCluster::start(3, 0);
     for number in 0..40 {
         let alive: Vec<usize> = match number {
             12.. => (0..3).filter(|host| cluster.health(*host).is_some()).collect(),
             _ => vec![0, 1, 2],
         };
-        let answer = cluster.apply_surely(&alive, &format!("change-{number}"), number, KOLKHI);
+        let answer =
+            cluster.apply_until_answered(&alive, &format!("change-{number}"), number, KOLKHI);
         assert_eq!(accepted(&answer), number + 1);
         if number == 12 {
             let leader = cluster.leader(&[0, 1, 2]).expect("a leader answers");
-            cluster.hosts[leader].end(Signal::SIGKILL);
+            cluster.hosts[leader].signal_and_wait(Signal::SIGKILL);
         }
     }
     let dead = (0..3).find(|host| cluster.health(*host).is_none()).expect("one was killed");
     cluster.hosts[dead].restart();
-    cluster.await_version(&[0, 1, 2], 40);
-    let again = cluster.apply_surely(&[dead], "change-5", 5, KOLKHI);
+    cluster.wait_for_version(&[0, 1, 2], 40);
+    let again = cluster.apply_until_answered(&[dead], "change-5", 5, KOLKHI);
     assert_eq!(accepted(&again), 6, "a resend gets its first answer");
 }
 
 // All hosts lose power at once after 500 changes. They must recover the newest configuration, and
 // a resend of the first change must still get its original answer.
 #[test]
-fn hundreds_of_changes_outlive_a_restart_of_all_hosts() {
+fn hundreds_of_changes_survive_a_restart_of_all_hosts() {
     let mut cluster = TestCluster::start(3, 1);
     for number in 0..500 {
         let sheet = if number % 2 == 0 { ABAY } else { KOLKHI };
-        let answer = cluster.apply_surely(&[0, 1, 2], &format!("c{number}"), number, sheet);
+        let answer = cluster.apply_until_answered(&[0, 1, 2], &format!("c{number}"), number, sheet);
         assert_eq!(accepted(&answer), number + 1);
     }
     for host in &mut cluster.hosts {
-        host.end(Signal::SIGKILL);
+        host.signal_and_wait(Signal::SIGKILL);
     }
     for host in &mut cluster.hosts {
         host.restart();
     }
-    cluster.await_version(&[0, 1, 2, 3], 500);
-    let again = cluster.apply_surely(&[3], "c0", 0, ABAY);
+    cluster.wait_for_version(&[0, 1, 2, 3], 500);
+    let again = cluster.apply_until_answered(&[3], "c0", 0, ABAY);
     assert_eq!(accepted(&again), 1);
-    let next = cluster.apply_surely(&[3], "c500", 500, ABAY);
+    let next = cluster.apply_until_answered(&[3], "c500", 500, ABAY);
     assert_eq!(accepted(&next), 501);
 }
 
@@ -84,19 +85,19 @@
 // directories that the replicas wrote just before still list it, and the upstreams announce nothing
 // for a while. Callers must be served by the remaining upstream, and none may be sent to the other.
 #[test]
-fn upstreams_outlive_a_restart_of_all_hosts_but_for_those_that_left() {
+fn upstreams_survive_a_restart_of_all_hosts_unless_they_drained() {
     let mut cluster = TestCluster::start(3, 2);
     let staying = StandInUpstream::start("u1", "balances", 6, cluster.announce_addresses());
     let leaving = StandInUpstream::start("u2", "balances", 6, cluster.announce_addresses());
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
     let hosts = [0, 1, 2, 3, 4];
-    cluster.await_version(&hosts, 1);
+    cluster.wait_for_version(&hosts, 1);
     let call_all = |cluster: &TestCluster| {
         hosts.iter().all(|host| {
             cluster.caller(*host).get("/balances/1").is_ok_and(|answer| answer.status == 200)
         })
     };
-    cluster.await_that("both upstreams run calls", &hosts, |cluster| {
+    cluster.wait_for("both upstreams run calls", &hosts, |cluster| {
         call_all(cluster) && staying.total() > 0 && leaving.total() > 0
     });
     // Gives every replica time to store both.
@@ -104,10 +105,11 @@
     let written = directory_files(&cluster);
     assert!(written.len() >= 3, "every replica has written: {written:?}");
     leaving.set_phase("draining");
-    let is_told = wait_until(Duration::from_secs(10), || leaving.acknowledged() == "draining");
-    assert!(is_told, "its leaving is acknowledged");
+    let is_acknowledged =
+        wait_until(Duration::from_secs(10), || leaving.acknowledged() == "draining");
+    assert!(is_acknowledged, "its leaving is acknowledged");
     for host in &mut cluster.hosts {
-        host.end(Signal::SIGKILL);
+        host.signal_and_wait(Signal::SIGKILL);
     }
     for (file, _) in directory_files(&cluster) {
         fs::remove_file(file).expect("just read");
@@ -115,15 +117,15 @@
     for (file, bytes) in written {
         fs::write(file, bytes).expect("the folder is there");
     }
-    staying.fall_silent();
-    leaving.fall_silent();
+    staying.stop_announcing();
+    leaving.stop_announcing();
     let before = leaving.total();
     for host in &mut cluster.hosts {
         // Starting five hosts in sequence can take long on a busy machine.
         host.set_flag("--upstream-lease", "30s");
         host.restart();
     }
-    cluster.await_that("every host serves callers", &hosts, call_all);
+    cluster.wait_for("every host serves callers", &hosts, call_all);
     for _ in 0..10 {
         assert!(call_all(&cluster));
     }
@@ -134,9 +136,9 @@
 // still restart. With one shared address and ports from the system, which gives them to any
 // process, a test that restarts hosts once failed with "address already in use".
 #[test]
-fn a_host_starts_again_though_its_port_number_is_in_use() {
+fn a_host_restarts_although_its_port_number_is_in_use() {
     let mut cluster = TestCluster::start(1, 0);
-    cluster.hosts[0].end(Signal::SIGKILL);
+    cluster.hosts[0].signal_and_wait(Signal::SIGKILL);
     let port = cluster.hosts[0].addresses[0].port();
     let _taken = std::net::TcpListener::bind(("127.0.0.1", port)).expect("the port is free");
     cluster.hosts[0].restart();
@@ -146,16 +148,16 @@
 // Operators concurrently change the same version through different hosts. If more than one change
 // were reported as accepted, an operator would rely on a sheet that is not in force.
 #[test]
-fn of_racing_changes_to_one_version_exactly_one_is_accepted() {
+fn exactly_one_of_concurrent_changes_to_a_version_is_accepted() {
     let cluster = TestCluster::start(3, 0);
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
     for round in 1..=10_u64 {
         let answers: Vec<serde_json::Value> = std::thread::scope(|scope| {
             let racers: Vec<_> = (0..3)
                 .map(|host| {
                     let id = format!("race-{round}-{host}");
                     let cluster = &cluster;
-                    scope.spawn(move || cluster.apply_surely(&[host], &id, round, KOLKHI))
+                    scope.spawn(move || cluster.apply_until_answered(&[host], &id, round, KOLKHI))
                 })
                 .collect();
             racers.into_iter().map(|racer| racer.join().expect("no panic")).collect()
@@ -163,7 +165,7 @@
         let won = answers.iter().filter(|answer| answer.get("accepted").is_some()).count();
         assert_eq!(won, 1, "round {round}: {answers:?}");
     }
-    cluster.await_version(&[0, 1, 2], 11);
+    cluster.wait_for_version(&[0, 1, 2], 11);
 }
 
 // A host is paused, as by other load on its machine, for longer than its configuration lease while
@@ -172,10 +174,10 @@
 #[test]
 fn a_host_frozen_past_its_lease_never_serves_the_old_version() {
     let cluster = TestCluster::start(3, 1);
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
-    cluster.await_version(&[0, 1, 2, 3], 1);
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
+    cluster.wait_for_version(&[0, 1, 2, 3], 1);
     cluster.hosts[3].signal(Signal::SIGSTOP);
-    accepted(&cluster.apply_surely(&[0, 1, 2], "second", 1, KOLKHI));
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "second", 1, KOLKHI));
     let frozen = Instant::now();
     assert!(wait_until(Duration::from_secs(20), || frozen.elapsed() > IN_FORCE_LIMIT));
     cluster.hosts[3].signal(Signal::SIGCONT);
@@ -186,28 +188,28 @@
             return;
         }
     }
-    cluster.await_version(&[3], 2);
+    cluster.wait_for_version(&[3], 2);
 }
 
 // The leader is frozen without warning, and the other replicas elect a new one and accept changes.
 // After resuming, the old leader briefly believes that it still leads. Nothing it does then may
 // revert an accepted change.
 #[test]
-fn a_leader_that_wakes_up_reverts_nothing() {
+fn a_resumed_leader_reverts_nothing() {
     let cluster = TestCluster::start(3, 0);
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
-    cluster.await_version(&[0, 1, 2], 1);
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
+    cluster.wait_for_version(&[0, 1, 2], 1);
     let old = cluster.leader(&[0, 1, 2]).expect("a leader");
     let others: Vec<usize> = (0..3).filter(|host| *host != old).collect();
     cluster.hosts[old].signal(Signal::SIGSTOP);
     for version in 1..4 {
         let id = format!("meanwhile-{version}");
-        accepted(&cluster.apply_surely(&others, &id, version, KOLKHI));
+        accepted(&cluster.apply_until_answered(&others, &id, version, KOLKHI));
     }
     cluster.hosts[old].signal(Signal::SIGCONT);
-    let late = cluster.apply_surely(&[old], "late", 1, ABAY);
+    let late = cluster.apply_until_answered(&[old], "late", 1, ABAY);
     assert!(late.get("refused").is_some(), "{late}");
-    cluster.await_version(&[0, 1, 2], 4);
+    cluster.wait_for_version(&[0, 1, 2], 4);
 }
 
 // An entry silently loses contact with all replicas. It cannot know whether a newer configuration
@@ -217,15 +219,15 @@
 fn an_entry_cut_off_from_all_replicas_refuses_as_not_run() {
     let cluster = TestCluster::start(3, 1);
     let upstream = StandInUpstream::start("u1", "balances", 2, cluster.announce_addresses());
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
-    cluster.await_version(&[0, 1, 2, 3], 1);
-    cluster.await_that("a call runs", &[3], |cluster| {
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
+    cluster.wait_for_version(&[0, 1, 2, 3], 1);
+    cluster.wait_for("a call runs", &[3], |cluster| {
         cluster.caller(3).get("/balances/7").is_ok_and(|answer| answer.status == 200)
     });
     for host in 0..3 {
         cluster.hosts[host].signal(Signal::SIGSTOP);
     }
-    cluster.await_that("not ready", &[3], |cluster| cluster.health(3) == Some((1, false)));
+    cluster.wait_for("not ready", &[3], |cluster| cluster.health(3) == Some((1, false)));
     let before = upstream.total();
     let answer = cluster.caller(3).get("/balances/7").expect("an answer");
     assert_eq!(answer.status, 503);
@@ -235,7 +237,7 @@
     for host in 0..3 {
         cluster.hosts[host].signal(Signal::SIGCONT);
     }
-    cluster.await_version(&[0, 1, 2, 3], 1);
+    cluster.wait_for_version(&[0, 1, 2, 3], 1);
 }
 
 // Callers send refunds, lose answers and resend them through other hosts while one host is killed.
@@ -264,9 +266,9 @@
 fn refunds_while_a_host_is_killed(choose: impl Fn(&TestCluster) -> usize) -> RefundOutcome {
     let mut cluster = TestCluster::start(3, 1);
     let upstream = StandInUpstream::start("r1", "refunds", 6, cluster.announce_addresses());
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
-    cluster.await_version(&[0, 1, 2, 3], 1);
-    cluster.await_that("refund upstream known", &[0, 1, 2, 3], |cluster| {
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
+    cluster.wait_for_version(&[0, 1, 2, 3], 1);
+    cluster.wait_for("refund upstream known", &[0, 1, 2, 3], |cluster| {
         (0..4).all(|host| {
             cluster.caller(host).get("/refunds/status").is_ok_and(|answer| answer.status == 200)
         })
@@ -274,25 +276,25 @@
     upstream.set_delay(Duration::from_millis(15));
     let victim = choose(&cluster);
     let callers: Vec<HttpClient> = (0..4).map(|host| cluster.caller(host)).collect();
-    let told: Vec<(Vec<String>, Vec<String>)> = std::thread::scope(|scope| {
+    let results: Vec<(Vec<String>, Vec<String>)> = std::thread::scope(|scope| {
         let callers = &callers;
         let threads: Vec<_> =
             (0..4).map(|thread| scope.spawn(move || send_refunds(callers, thread))).collect();
         std::thread::sleep(Duration::from_millis(300));
-        cluster.hosts[victim].end(Signal::SIGKILL);
+        cluster.hosts[victim].signal_and_wait(Signal::SIGKILL);
         threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
     });
     let runs = upstream.runs();
     for (work, count) in runs.iter().filter(|(work, _)| work.starts_with("refund-")) {
         assert_eq!(*count, 1, "{work} ran {count} times");
     }
-    for work in told.iter().flat_map(|(ran, _)| ran) {
+    for work in results.iter().flat_map(|(ran, _)| ran) {
         assert!(runs.contains_key(work), "{work} was answered and did not run");
     }
-    for work in told.iter().flat_map(|(_, not_run)| not_run) {
+    for work in results.iter().flat_map(|(_, not_run)| not_run) {
         assert!(!runs.contains_key(work), "{work} ran and was answered as not run");
     }
-    RefundOutcome { ran: told.into_iter().flat_map(|(ran, _)| ran).collect() }
+    RefundOutcome { ran: results.into_iter().flat_map(|(ran, _)| ran).collect() }
 }
 
 /// Sends fifty refunds. Resends each through the next host, up to six times in all, until it
@@ -301,27 +303,27 @@
     let (mut ran, mut not_run) = (Vec::new(), Vec::new());
     for number in 0..50 {
         let work = format!("refund-{thread}-{number}");
-        let mut certain = true;
+        let mut all_not_run = true;
         for attempt in 0..6 {
             let caller = callers[(thread + number + attempt) % callers.len()]
                 .clone()
                 .with_header("x-work", &work)
                 .with_header("idempotency-key", &work);
             let Ok(answer) = caller.send("POST", "/refunds/new", b"amount=5") else {
-                certain = false;
+                all_not_run = false;
                 continue;
             };
             match (answer.status, answer.header("jacinthpulley-verdict")) {
                 (200, _) => {
                     ran.push(work.clone());
-                    certain = false;
+                    all_not_run = false;
                     break;
                 }
                 (_, Some("not-run")) => std::thread::sleep(Duration::from_millis(50)),
-                _ => certain = false,
+                _ => all_not_run = false,
             }
         }
-        if certain {
+        if all_not_run {
             not_run.push(work);
         }
     }
@@ -335,9 +337,9 @@
     let cluster = TestCluster::start(3, 2);
     let leaving = StandInUpstream::start("u1", "balances", 6, cluster.announce_addresses());
     let staying = StandInUpstream::start("u2", "balances", 6, cluster.announce_addresses());
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
     let hosts = [0, 1, 2, 3, 4];
-    cluster.await_version(&hosts, 1);
+    cluster.wait_for_version(&hosts, 1);
     let call_all = || {
         hosts.iter().all(|host| {
             cluster.caller(*host).get("/balances/1").is_ok_and(|answer| answer.status == 200)
@@ -359,12 +361,12 @@
 // answer, the platform's balancer must see at once that the host is not ready, and the process must
 // exit with success.
 #[test]
-fn a_host_told_to_stop_finishes_what_is_under_way() {
+fn a_stopping_host_finishes_calls_in_progress() {
     let mut cluster = TestCluster::start(1, 0);
     let upstream = StandInUpstream::start("m1", "manifests", 6, cluster.announce_addresses());
-    accepted(&cluster.apply_surely(&[0], "first", 0, ABAY));
-    cluster.await_version(&[0], 1);
-    cluster.await_that("a call runs", &[0], |cluster| {
+    accepted(&cluster.apply_until_answered(&[0], "first", 0, ABAY));
+    cluster.wait_for_version(&[0], 1);
+    cluster.wait_for("a call runs", &[0], |cluster| {
         cluster.caller(0).get("/manifests/1").is_ok_and(|answer| answer.status == 200)
     });
     upstream.set_delay(Duration::from_millis(2_500));
@@ -387,7 +389,7 @@
 fn a_resend_after_a_lost_answer_is_the_same_change() {
     use std::io::Write;
     let cluster = TestCluster::start(3, 0);
-    accepted(&cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY));
+    accepted(&cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY));
     let body = json!({ "change_id": "lost", "actor": "tester", "expect": 1, "sheet": KOLKHI });
     let body = body.to_string();
     let mut stream = std::net::TcpStream::connect(cluster.hosts[0].addresses[2]).expect("a host");
@@ -399,9 +401,9 @@
     )
     .expect("sent");
     drop(stream);
-    let again = cluster.apply_surely(&[1], "lost", 1, KOLKHI);
+    let again = cluster.apply_until_answered(&[1], "lost", 1, KOLKHI);
     assert_eq!(accepted(&again), 2);
-    cluster.await_version(&[0, 1, 2], 2);
+    cluster.wait_for_version(&[0, 1, 2], 2);
 }
 
 fn voters(cluster: &TestCluster, asked: usize) -> Vec<(String, u64)> {
@@ -425,46 +427,46 @@
 fn a_wiped_replica_returns_as_a_new_member_and_a_second_loss_is_survived() {
     let mut cluster = TestCluster::start(3, 0);
     for number in 0..20 {
-        accepted(&cluster.apply_surely(&[0, 1, 2], &format!("c{number}"), number, KOLKHI));
+        accepted(&cluster.apply_until_answered(&[0, 1, 2], &format!("c{number}"), number, KOLKHI));
     }
-    cluster.hosts[1].end(Signal::SIGKILL);
+    cluster.hosts[1].signal_and_wait(Signal::SIGKILL);
     cluster.hosts[1].wipe();
     cluster.hosts[1].restart();
-    cluster.await_that("the wiped host votes under a new id", &[0, 1, 2], |cluster| {
+    cluster.wait_for("the wiped host votes under a new id", &[0, 1, 2], |cluster| {
         [0, 2].iter().any(|asked| {
             let voters = voters(cluster, *asked);
             voters.iter().any(|(host, member)| host == "h2" && *member > 3)
                 && !voters.iter().any(|(_, member)| *member == 2)
         })
     });
-    cluster.hosts[0].end(Signal::SIGKILL);
-    accepted(&cluster.apply_surely(&[1, 2], "after", 20, ABAY));
-    let again = cluster.apply_surely(&[1], "c7", 7, KOLKHI);
+    cluster.hosts[0].signal_and_wait(Signal::SIGKILL);
+    accepted(&cluster.apply_until_answered(&[1, 2], "after", 20, ABAY));
+    let again = cluster.apply_until_answered(&[1], "c7", 7, KOLKHI);
     assert_eq!(accepted(&again), 8);
     cluster.hosts[0].restart();
-    cluster.await_version(&[0, 1, 2], 21);
+    cluster.wait_for_version(&[0, 1, 2], 21);
 }
 
 // A second host is lost while the first one is being repaired and has not caught up. Without a
 // majority nothing may be accepted. Nothing accepted before may be missing once the second host is
 // back.
 #[test]
-fn a_second_loss_before_the_first_has_healed_loses_nothing() {
+fn a_second_host_lost_during_a_repair_loses_no_changes() {
     let mut cluster = TestCluster::start(3, 0);
     for number in 0..20 {
-        accepted(&cluster.apply_surely(&[0, 1, 2], &format!("c{number}"), number, KOLKHI));
+        accepted(&cluster.apply_until_answered(&[0, 1, 2], &format!("c{number}"), number, KOLKHI));
     }
-    cluster.hosts[1].end(Signal::SIGKILL);
+    cluster.hosts[1].signal_and_wait(Signal::SIGKILL);
     cluster.hosts[1].wipe();
-    cluster.hosts[2].end(Signal::SIGKILL);
+    cluster.hosts[2].signal_and_wait(Signal::SIGKILL);
     cluster.hosts[1].restart();
-    let lonely = cluster.apply(0, "too-early", 20, ABAY).expect("an answer").json();
-    assert!(lonely.get("accepted").is_none(), "{lonely}");
+    let without_majority = cluster.apply(0, "too-early", 20, ABAY).expect("an answer").json();
+    assert!(without_majority.get("accepted").is_none(), "{without_majority}");
     cluster.hosts[2].restart();
-    cluster.await_that("all serve again", &[0, 1, 2], |cluster| {
+    cluster.wait_for("all serve again", &[0, 1, 2], |cluster| {
         (0..3).all(|host| cluster.health(host).is_some_and(|(v, ready)| v >= 20 && ready))
     });
-    let again = cluster.apply_surely(&[1], "c19", 19, KOLKHI);
+    let again = cluster.apply_until_answered(&[1], "c19", 19, KOLKHI);
     assert_eq!(accepted(&again), 20);
 }
 
@@ -475,19 +477,19 @@
 fn a_new_replica_joins_and_votes_once_it_has_caught_up() {
     let mut cluster = TestCluster::start(3, 0);
     for number in 0..5 {
-        accepted(&cluster.apply_surely(&[0, 1, 2], &format!("c{number}"), number, KOLKHI));
+        accepted(&cluster.apply_until_answered(&[0, 1, 2], &format!("c{number}"), number, KOLKHI));
     }
     cluster.add("h4", "entry,replica", "h1=m1,h2=m2,h3=m3");
     let order = cluster.operator(1).send("POST", "/v1/replicas", br#"{"host":"h4"}"#);
     assert_eq!(order.expect("an answer").status, 200);
-    cluster.await_that("the new host votes", &[0, 3], |cluster| {
+    cluster.wait_for("the new host votes", &[0, 3], |cluster| {
         voters(cluster, 0).iter().any(|(host, member)| host == "h4" && *member > 3)
     });
-    cluster.await_version(&[0, 1, 2, 3], 5);
+    cluster.wait_for_version(&[0, 1, 2, 3], 5);
 }
 
 /// Returns a sheet with this many long rows.
-fn sheet_of(rows: usize) -> String {
+fn sheet_with_rows(rows: usize) -> String {
     let mut sheet = KOLKHI.lines().next().unwrap_or_default().to_owned();
     for row in 0..rows {
         sheet.push_str(&format!(
@@ -505,17 +507,17 @@
 #[test]
 fn the_largest_sheet_is_in_force_everywhere_and_a_larger_one_is_refused() {
     let cluster = TestCluster::start(3, 2);
-    let largest = sheet_of(4_000);
+    let largest = sheet_with_rows(4_000);
     assert!(largest.len() > 350 << 10 && largest.len() <= 400 << 10, "{}", largest.len());
     for round in 0..3 {
         let id = format!("large-{round}");
-        accepted(&cluster.apply_surely(&[0, 1, 2], &id, round, &largest));
+        accepted(&cluster.apply_until_answered(&[0, 1, 2], &id, round, &largest));
     }
-    cluster.await_version(&[0, 1, 2, 3, 4], 3);
-    let too_large = cluster.apply_surely(&[1], "too-large", 3, &sheet_of(5_000));
+    cluster.wait_for_version(&[0, 1, 2, 3, 4], 3);
+    let too_large = cluster.apply_until_answered(&[1], "too-large", 3, &sheet_with_rows(5_000));
     assert!(too_large.get("refused").is_some(), "{too_large}");
-    accepted(&cluster.apply_surely(&[2], "after", 3, ABAY));
-    cluster.await_version(&[0, 1, 2, 3, 4], 4);
+    accepted(&cluster.apply_until_answered(&[2], "after", 3, ABAY));
+    cluster.wait_for_version(&[0, 1, 2, 3, 4], 4);
 }
 
 // More refunds arrive within the retention time than the ledger can hold. If it evicted the oldest,
@@ -527,8 +529,8 @@
     cluster.hosts[0].set_flag("--ledger-capacity", "3");
     cluster.hosts[0].restart();
     let upstream = StandInUpstream::start("r1", "refunds", 6, cluster.announce_addresses());
-    accepted(&cluster.apply_surely(&[0], "first", 0, ABAY));
-    cluster.await_that("a refund upstream", &[0], |cluster| {
+    accepted(&cluster.apply_until_answered(&[0], "first", 0, ABAY));
+    cluster.wait_for("a refund upstream", &[0], |cluster| {
         cluster.caller(0).get("/refunds/status").is_ok_and(|answer| answer.status == 200)
     });
     let refund = |key: &str| {
@@ -550,12 +552,12 @@
 // the first. The daemon used to panic: it cut active connections without a log line, and the last
 // writes of the audit trail were uncertain. Found by the soak test, seed 126.
 #[test]
-fn a_second_signal_at_any_moment_ends_a_daemon_in_order() {
+fn a_second_stop_signal_at_any_time_ends_a_daemon_cleanly() {
     for pause_ms in [0, 20, 200] {
         let mut cluster = TestCluster::start(1, 0);
         cluster.hosts[0].signal(Signal::SIGTERM);
         std::thread::sleep(Duration::from_millis(pause_ms));
-        let code = cluster.hosts[0].end(Signal::SIGTERM);
+        let code = cluster.hosts[0].signal_and_wait(Signal::SIGTERM);
         let log = cluster.hosts[0].log();
         assert_eq!(code, Some(0), "{pause_ms} ms: {log}");
         assert!(log.contains("event=shutdown-ended"), "{pause_ms} ms: {log}");
@@ -566,14 +568,14 @@
 // An operator sends the usual reload signal after changing the daemon's files. The daemon must
 // reread them. Without a handler, the signal would end the process with requests in progress.
 #[test]
-fn a_reload_signal_ends_nothing() {
+fn a_reload_signal_does_not_end_the_daemon() {
     let mut cluster = TestCluster::start(1, 0);
-    accepted(&cluster.apply_surely(&[0], "first", 0, ABAY));
+    accepted(&cluster.apply_until_answered(&[0], "first", 0, ABAY));
     for _ in 0..3 {
         cluster.hosts[0].signal(Signal::SIGHUP);
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(cluster.health(0), Some((1, true)));
     assert!(cluster.hosts[0].log().contains("event=reload-requested"));
-    assert_eq!(cluster.hosts[0].end(Signal::SIGTERM), Some(0));
+    assert_eq!(cluster.hosts[0].signal_and_wait(Signal::SIGTERM), Some(0));
 }
--- a/crates/pulleyd/tests/process_failures/process_support/daemon_process.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/daemon_process.rs
@@ -20,7 +20,7 @@
 
 /// Returns a loopback address that is unique to this test process and daemon. With a shared
 /// address, the system could give a daemon's port to another process while the daemon is down.
-fn own_address() -> IpAddr {
+fn unique_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
 }
@@ -41,7 +41,7 @@
 impl DaemonProcess {
     /// Starts a daemon. `flags` holds all flags except those for its id, listeners and data folder.
     pub(crate) fn start(host: &str, folder: &Path, flags: Vec<String>) -> Self {
-        let any = SocketAddr::new(own_address(), 0);
+        let any = SocketAddr::new(unique_address(), 0);
         let mut process = Self {
             host: host.to_owned(),
             addresses: [any; 4],
@@ -56,7 +56,7 @@
 
     /// Kills the daemon and starts it again with the same listen addresses.
     pub(crate) fn restart(&mut self) {
-        self.end(Signal::SIGKILL);
+        self.signal_and_wait(Signal::SIGKILL);
         self.launch();
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Sends a signal and waits for the process to exit. Returns the exit code, if there is one.
-    pub(crate) fn end(&mut self, signal: Signal) -> Option<i32> {
+    pub(crate) fn signal_and_wait(&mut self, signal: Signal) -> Option<i32> {
         self.signal(signal);
         self.wait()
     }
@@ -129,11 +129,11 @@
         if self.flags.iter().any(|flag| flag.contains("replica,") || flag.ends_with("replica")) {
             command.arg("--data-folder").arg(self.data_folder());
         }
-        let faults = log.try_clone().expect("another handle");
-        command.env_clear().stdin(Stdio::null()).stdout(log).stderr(faults);
+        let stderr_log = log.try_clone().expect("another handle");
+        command.env_clear().stdin(Stdio::null()).stdout(log).stderr(stderr_log);
         self.child = Some(command.spawn().expect("the daemon starts"));
-        let listens = wait_until(Duration::from_secs(20), || self.read_addresses().is_some());
-        assert!(listens, "{} does not listen: {}", self.host, self.log());
+        let is_listening = wait_until(Duration::from_secs(20), || self.read_addresses().is_some());
+        assert!(is_listening, "{} does not listen: {}", self.host, self.log());
         self.addresses = self.read_addresses().expect("just read");
     }
 
@@ -143,8 +143,8 @@
         let mut addresses = self.addresses;
         for (name, address) in LISTENERS.iter().zip(&mut addresses) {
             let key = format!("{name}=");
-            let word = line.split(' ').find_map(|word| word.strip_prefix(key.as_str()))?;
-            *address = word.parse().ok()?;
+            let field = line.split(' ').find_map(|field| field.strip_prefix(key.as_str()))?;
+            *address = field.parse().ok()?;
         }
         Some(addresses)
     }
--- a/crates/pulleyd/tests/process_failures/process_support/http_client.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/http_client.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 /// Read timeout for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     /// Sends a request and reads the complete answer. A truncated answer is an error.
     pub(crate) fn send(&self, method: &str, path: &str, body: &[u8]) -> io::Result<HttpAnswer> {
         let mut stream = TcpStream::connect_timeout(&self.address, Duration::from_secs(2))?;
-        stream.set_read_timeout(Some(ANSWER_LIMIT))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.set_nodelay(true)?;
         let mut head = format!("{method} {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n");
         for (name, value) in &self.headers {
@@ -90,14 +90,14 @@
         .collect();
     let answer = HttpAnswer { status, headers, body: raw[end + 4..].to_vec() };
     if answer.header("transfer-encoding") == Some("chunked") {
-        let body = unchunk(&answer.body)?;
+        let body = decode_chunked(&answer.body)?;
         return Some(HttpAnswer { body, ..answer });
     }
     let length: Option<usize> = answer.header("content-length").and_then(|n| n.parse().ok());
     length.is_none_or(|length| length == answer.body.len()).then_some(answer)
 }
 
-fn unchunk(mut raw: &[u8]) -> Option<Vec<u8>> {
+fn decode_chunked(mut raw: &[u8]) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let end = raw.windows(2).position(|window| window == b"\r\n")?;
--- a/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
@@ -15,7 +15,7 @@
 use super::HttpClient;
 
 /// Interval between announcements; several fit within a lease.
-const ANNOUNCE_PACE: Duration = Duration::from_millis(400);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Default)]
 struct UpstreamState {
@@ -25,7 +25,7 @@
     phase: Mutex<&'static str>,
     /// The phase that a host acknowledged last.
     acknowledged: Mutex<&'static str>,
-    is_silent: AtomicBool,
+    announcing_stopped: AtomicBool,
 }
 
 /// A running stand-in upstream; dropping it stops it.
@@ -61,14 +61,14 @@
         let address = listener.local_addr().expect("an address");
         let router = Router::new().fallback(answer).with_state(Arc::clone(&state));
         runtime.spawn(async move { axum::serve(listener, router).await });
-        let told = Arc::clone(&state);
+        let announcer_state = Arc::clone(&state);
         let (id, pool, zone) = (id.to_owned(), pool.to_owned(), zone.to_owned());
         runtime.spawn(async move {
             for sequence in 1_u64.. {
-                while told.is_silent.load(Ordering::SeqCst) {
-                    tokio::time::sleep(ANNOUNCE_PACE).await;
+                while announcer_state.announcing_stopped.load(Ordering::SeqCst) {
+                    tokio::time::sleep(ANNOUNCE_INTERVAL).await;
                 }
-                let phase = *told.phase.lock().expect("no panic holds it");
+                let phase = *announcer_state.phase.lock().expect("no panic holds it");
                 let announcement = json!({
                     "id": id, "address": address, "zone": zone, "pool": pool, "slots": slots,
                     "connections": 300, "incarnation": 1, "sequence": sequence, "phase": phase,
@@ -83,9 +83,9 @@
                     })
                     .await;
                 if matches!(answer, Ok(Ok(answer)) if answer.status < 300) {
-                    *told.acknowledged.lock().expect("no panic holds it") = phase;
+                    *announcer_state.acknowledged.lock().expect("no panic holds it") = phase;
                 }
-                tokio::time::sleep(ANNOUNCE_PACE).await;
+                tokio::time::sleep(ANNOUNCE_INTERVAL).await;
             }
         });
         Self { state, _runtime: runtime }
@@ -108,8 +108,8 @@
     }
 
     /// Stops announcing but continues to answer requests.
-    pub(crate) fn fall_silent(&self) {
-        self.state.is_silent.store(true, Ordering::SeqCst);
+    pub(crate) fn stop_announcing(&self) {
+        self.state.announcing_stopped.store(true, Ordering::SeqCst);
     }
 
     /// Returns how many requests it has run.
--- a/crates/pulleyd/tests/process_failures/process_support/test_cluster.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/test_cluster.rs
@@ -14,16 +14,16 @@
 pub(crate) const KEY: &str = "a-key-for-tests-only-0123456789abcdef";
 
 /// Timeout for conditions. It allows for a busy machine and is not normally reached.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_LIMIT: Duration = Duration::from_secs(40);
 
 /// Polls a condition. Returns whether it became true within the limit.
 pub(crate) fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
-    let began = Instant::now();
+    let start_time = Instant::now();
     loop {
         if condition() {
             return true;
         }
-        if began.elapsed() >= limit {
+        if start_time.elapsed() >= limit {
             return false;
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -110,7 +110,7 @@
     }
 
     /// Applies a sheet, retrying through the hosts in turn until it is accepted or refused.
-    pub(crate) fn apply_surely(
+    pub(crate) fn apply_until_answered(
         &self,
         hosts: &[usize],
         change_id: &str,
@@ -118,14 +118,14 @@
         sheet: &str,
     ) -> Value {
         let mut last = Value::Null;
-        let mut tries = hosts.iter().cycle();
-        let sure = wait_until(PATIENCE, || {
-            let host = *tries.next().expect("at least one host");
+        let mut next_hosts = hosts.iter().cycle();
+        let is_answered = wait_until(WAIT_LIMIT, || {
+            let host = *next_hosts.next().expect("at least one host");
             let Ok(answer) = self.apply(host, change_id, expect, sheet) else { return false };
             last = answer.json();
             last.get("accepted").is_some() || last.get("refused").is_some()
         });
-        assert!(sure, "no definite answer to {change_id}: {last}");
+        assert!(is_answered, "no definite answer to {change_id}: {last}");
         last
     }
 
@@ -152,20 +152,15 @@
 
     /// Waits until all of these hosts are ready with this version. Panics with their logs on
     /// timeout.
-    pub(crate) fn await_version(&self, hosts: &[usize], version: u64) {
-        self.await_that("version in force", hosts, |cluster| {
+    pub(crate) fn wait_for_version(&self, hosts: &[usize], version: u64) {
+        self.wait_for("version in force", hosts, |cluster| {
             hosts.iter().all(|host| cluster.health(*host) == Some((version, true)))
         });
     }
 
     /// Waits for a condition. Panics with the hosts' logs on timeout.
-    pub(crate) fn await_that(
-        &self,
-        what: &str,
-        hosts: &[usize],
-        condition: impl Fn(&Self) -> bool,
-    ) {
-        if wait_until(PATIENCE, || condition(self)) {
+    pub(crate) fn wait_for(&self, what: &str, hosts: &[usize], condition: impl Fn(&Self) -> bool) {
+        if wait_until(WAIT_LIMIT, || condition(self)) {
             return;
         }
         for host in hosts {
--- a/crates/pulleyd/tests/process_failures/zone_tests.rs
+++ b/crates/pulleyd/tests/process_failures/zone_tests.rs
@@ -11,18 +11,18 @@
 /// Sends a zone order, retrying through the hosts in turn until it is acknowledged. Returns how
 /// long that took.
 fn order_zone(cluster: &TestCluster, hosts: &[usize], zone: &str, zone_use: &str) -> Duration {
-    let began = Instant::now();
-    let mut tries = hosts.iter().cycle();
-    let done = wait_until(Duration::from_secs(30), || {
-        let host = *tries.next().expect("at least one host");
-        let id = format!("{zone}-{zone_use}-{host}-{}", began.elapsed().as_millis());
+    let start_time = Instant::now();
+    let mut next_hosts = hosts.iter().cycle();
+    let is_acknowledged = wait_until(Duration::from_secs(30), || {
+        let host = *next_hosts.next().expect("at least one host");
+        let id = format!("{zone}-{zone_use}-{host}-{}", start_time.elapsed().as_millis());
         let body =
             json!({ "change_id": id, "actor": "tester", "zone": zone, "zone_use": zone_use });
         let answer = cluster.operator(host).send("POST", "/v1/zones", body.to_string().as_bytes());
         answer.is_ok_and(|answer| answer.status == 200)
     });
-    assert!(done, "{zone} {zone_use} was not acknowledged");
-    began.elapsed()
+    assert!(is_acknowledged, "{zone} {zone_use} was not acknowledged");
+    start_time.elapsed()
 }
 
 // An operator evacuates a zone while the leader is frozen. Right after the acknowledgement all
@@ -32,17 +32,17 @@
 fn an_evacuated_zone_gets_no_work_through_a_frozen_leader_and_a_restart_of_all_hosts() {
     let mut cluster = TestCluster::start(3, 1);
     let addresses = cluster.announce_addresses();
-    let emptied = StandInUpstream::start_in("z2", "u1", "balances", 6, addresses.clone());
+    let evacuated = StandInUpstream::start_in("z2", "u1", "balances", 6, addresses.clone());
     let staying = StandInUpstream::start("u2", "balances", 6, addresses);
-    cluster.apply_surely(&[0, 1, 2], "first", 0, ABAY);
-    cluster.await_version(&[0, 1, 2, 3], 1);
+    cluster.apply_until_answered(&[0, 1, 2], "first", 0, ABAY);
+    cluster.wait_for_version(&[0, 1, 2, 3], 1);
     let call_all = |cluster: &TestCluster, hosts: &[usize]| {
         hosts.iter().all(|host| {
             cluster.caller(*host).get("/balances/1").is_ok_and(|answer| answer.status == 200)
         })
     };
     assert!(wait_until(Duration::from_secs(30), || call_all(&cluster, &[0, 1, 2, 3])
-        && emptied.total() > 0
+        && evacuated.total() > 0
         && staying.total() > 0));
 
     let leader = cluster.leader(&[0, 1, 2]).expect("a leader answers");
@@ -51,7 +51,7 @@
     order_zone(&cluster, &others, "z2", "evacuated");
     cluster.hosts[leader].signal(Signal::SIGCONT);
     for host in &mut cluster.hosts {
-        host.end(Signal::SIGKILL);
+        host.signal_and_wait(Signal::SIGKILL);
     }
     for host in &mut cluster.hosts {
         host.restart();
@@ -59,19 +59,19 @@
     let founders = "h1=m1,h2=m2,h3=m3";
     cluster.add("h5", "entry", founders);
     let hosts = [0, 1, 2, 3, 4];
-    cluster.await_version(&hosts, 1);
+    cluster.wait_for_version(&hosts, 1);
     std::thread::sleep(IN_FORCE_LIMIT);
-    let before = emptied.total();
+    let before = evacuated.total();
     assert!(wait_until(Duration::from_secs(30), || call_all(&cluster, &hosts)));
     for _ in 0..20 {
         assert!(call_all(&cluster, &hosts));
     }
-    assert_eq!(emptied.total(), before, "work reached the evacuated zone");
+    assert_eq!(evacuated.total(), before, "work reached the evacuated zone");
     let status = cluster.status(4).expect("it answers");
     assert_eq!(status.pointer("/evacuated/0"), Some(&json!("z2")));
 
     order_zone(&cluster, &hosts, "z2", "in-use");
     assert!(wait_until(Duration::from_secs(30), || {
-        call_all(&cluster, &hosts) && emptied.total() > before
+        call_all(&cluster, &hosts) && evacuated.total() > before
     }));
 }
