--- a/crates/pulleyd/examples/stand_in_caller.rs
+++ b/crates/pulleyd/examples/stand_in_caller.rs
@@ -1,6 +1,6 @@
-//! A stand-in caller for a local deployment: one request, and its answer on one line.
+//! A stand-in caller for a local deployment. Sends one request and prints its answer on one line.
 
-#[expect(dead_code, reason = "the tests ask it for more than this program does")]
+#[expect(dead_code, reason = "the tests use functions that this program does not")]
 #[path = "../tests/sessions/http_caller.rs"]
 mod http_caller;
 
--- a/crates/pulleyd/examples/stand_in_upstream.rs
+++ b/crates/pulleyd/examples/stand_in_upstream.rs
@@ -1,6 +1,6 @@
-//! A stand-in upstream for a local deployment; it runs until it is ended.
+//! A stand-in upstream for a local deployment. Runs until it is killed.
 
-#[expect(dead_code, reason = "the tests ask it for more than this program does")]
+#[expect(dead_code, reason = "the tests use functions that this program does not")]
 #[path = "../tests/sessions/stand_in_upstream.rs"]
 mod stand_in_upstream;
 
--- a/crates/pulleyd/tests/sessions/http_caller.rs
+++ b/crates/pulleyd/tests/sessions/http_caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one request over one new connection.
+//! A caller that sends one request over a new connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Longest wait for an answer; only a fault ends there.
+/// Timeout of a call; reached only when there is a fault.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// What a caller gets.
+/// The answer that a caller gets.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerAnswer {
     /// The HTTP status.
     pub(crate) status: u16,
-    /// The headers, names in small letters.
+    /// The headers, with names in lower case.
     pub(crate) headers: Vec<(String, String)>,
     /// The body.
     pub(crate) body: String,
 }
 
 impl CallerAnswer {
-    /// The cause, if the answer is the system's own.
+    /// Returns the cause, if the answer is from the load balancer itself.
     pub(crate) fn cause(&self) -> Option<&str> {
         let header = self.headers.iter().find(|(name, _)| name == "jacinthpulley-cause");
         header.map(|(_, cause)| cause.as_str())
     }
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete answer.
 ///
 /// # Errors
-/// If no connection is made or the answer is cut short.
+/// If the connection fails, or the answer is truncated or times out.
 pub(crate) async fn call(
     address: SocketAddr,
     method: &str,
--- a/crates/pulleyd/tests/sessions/main.rs
+++ b/crates/pulleyd/tests/sessions/main.rs
@@ -1,9 +1,9 @@
-//! Golden files of whole sessions: three real daemons, `pulleyctl`, stand-in upstreams.
+//! Golden-file tests of whole sessions with three real daemons, `pulleyctl` and stand-in upstreams.
 //!
-//! Update the files with `INSTA_UPDATE=always cargo test -p pulleyd --test sessions`, then read
+//! Update the files with `INSTA_UPDATE=always cargo test -p pulleyd --test sessions`, then review
 //! the difference before committing it.
 
-#![allow(clippy::panic, reason = "a test may end there")]
+#![allow(clippy::panic, reason = "a test may panic to fail")]
 
 mod http_caller;
 mod session_record;
@@ -20,15 +20,15 @@
 
 const KOLKHI: &str = include_str!("../../../../examples/kolkhi.csv");
 
-/// Callers' connections of a host in the session about limits; its setting says the same.
+/// Limit of callers' connections in `refusals_at_limits`; must equal `PULLEYD_CALLERS_LIMIT` there.
 const CALLERS_LIMIT: usize = 16;
 
-/// How often a state that lasts for seconds only is brought about again.
+/// How often a test retries to observe a state that lasts for seconds only.
 const ATTEMPTS: u32 = 10;
 
 const APPLY: [&str; 5] = ["sheet", "apply", "kolkhi.csv", "--actor=ana", "--change-id=morning-1"];
 
-/// The Kolkhi sheet with deadlines that a call meets on a busy machine, too.
+/// Returns the Kolkhi sheet with deadlines that calls meet even on a busy machine.
 fn patient_sheet() -> String {
     let deadlines = [",400,", ",300,", ",800,", ",2000,"];
     deadlines.iter().fold(KOLKHI.to_owned(), |sheet, text| sheet.replace(text, ",20000,"))
@@ -39,7 +39,7 @@
     cluster_with(&[]).await
 }
 
-/// The same with further settings.
+/// Starts three daemons with these settings and the Kolkhi sheet in force as version 1.
 async fn cluster_with(settings: &[(&'static str, &'static str)]) -> TestCluster {
     let cluster = TestCluster::start_with(3, settings).await;
     fs::write(cluster.folder().join("kolkhi.csv"), patient_sheet()).expect("the sheet is written");
@@ -49,8 +49,8 @@
     cluster
 }
 
-/// A morning as operators have it: a faulty sheet, a good one, a race lost with an equal version,
-/// a resend after a lost answer, and a look at what is in force and who did it.
+/// Typical work of operators: a faulty sheet, a valid one, a change that loses a race for the same
+/// version, a resend after a lost answer, and queries of the sheet in force and the audit trail.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn operators_morning() {
     let cluster = TestCluster::start(3).await;
@@ -88,7 +88,7 @@
     record.check("operators_morning");
 }
 
-/// Who holds the log, as an operator changes it.
+/// An operator lists, adds and removes replicas of the log.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn replicas() {
     let cluster = TestCluster::start(3).await;
@@ -107,8 +107,8 @@
     record.check("replicas");
 }
 
-/// Waits until every host lists so many members; a host that does not lead learns of them a
-/// little later.
+/// Waits until every host lists `count` members. A host that is not the leader learns of changes
+/// slightly later.
 async fn wait_for_members(cluster: &TestCluster, count: usize) {
     cluster
         .wait_for(&format!("{count} members everywhere"), async |cluster| {
@@ -121,7 +121,7 @@
         .await;
 }
 
-/// One call of each kind of the sheet, each by another host in turn.
+/// One call of each kind of the sheet, through the hosts in turn.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn callers_day() {
     let cluster = cluster_with_sheet().await;
@@ -152,7 +152,7 @@
     assert_eq!(upstreams.iter().map(|upstream| upstream.runs()).sum::<u64>(), 7);
 }
 
-/// A refusal of each cause that callers meet, with its verdict: the request was not run.
+/// A refusal for each common cause, with its verdict: the request was not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refusals() {
     let mut cluster = cluster_with_sheet().await;
@@ -209,9 +209,9 @@
     record.check("refusals");
 }
 
-/// An operator is asked what became of a binding that came back as an error. From the request's id
-/// alone the logs of all hosts must say that it was sent once, where to, and that it may have run;
-/// and of one that was refused, that nothing was sent and by which configuration.
+/// An operator investigates a binding that failed with an error. Given only the request's id, the
+/// logs of all hosts must show that it was sent once, to which upstream, and that it may have run.
+/// For a refused request they must show that nothing was sent, and which configuration applied.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_failed_request_is_explained_from_its_id() {
     let cluster = cluster_with_sheet().await;
@@ -240,7 +240,7 @@
     binding.let_go();
 }
 
-/// What `pulleyctl explain` says of a request from all hosts' logs: its own lines only.
+/// Returns the lines that `pulleyctl explain` prints for a request from all hosts' logs.
 async fn explained(cluster: &TestCluster, id: &str) -> String {
     let files = (0..cluster.hosts.len()).map(|place| cluster.log_file(place));
     let files: Vec<String> = files.map(|file| file.display().to_string()).collect();
@@ -253,8 +253,8 @@
     lines.fold(String::new(), |text, line| text + line + "\n")
 }
 
-/// An upstream leaves by its own word, another by an operator's, and then a host of the system
-/// with a call in flight.
+/// One upstream announces that it drains, a host stops with a call in flight, and an operator
+/// drains another upstream.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drains() {
     let mut cluster = cluster_with_sheet().await;
@@ -299,7 +299,7 @@
     record.check("drains");
 }
 
-/// All hosts lose power at once after some changes, and come back to the newest configuration.
+/// All hosts are killed at once after some changes. They must recover the newest configuration.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restart() {
     let mut cluster = cluster_with_sheet().await;
@@ -331,8 +331,9 @@
     record.check("restart");
 }
 
-/// Refusals that need a host at its limit or a lost quorum, and a call to a host that leaves. The
-/// last two last for seconds only; if the machine was too busy to meet that time, the attempt is repeated.
+/// Refusals by a host at its connection limit or without a quorum, and a call to a host that is
+/// shutting down. The last two states last for seconds only; if a busy machine misses that time,
+/// the attempt is repeated.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refusals_at_limits() {
     let mut cluster = cluster_with(&[("PULLEYD_CALLERS_LIMIT", "16")]).await;
@@ -361,7 +362,7 @@
     let answer = refused_without_quorum(&cluster).await;
     record.write_request("POST", "/bindings", &[("idempotency-key", "policy-9")], "policy=9");
     record.write_answer(&answer);
-    assert_eq!(binding.runs(), 0, "not run means that it was not run: {answer:?}");
+    assert_eq!(binding.runs(), 0, "a request answered as not run has run: {answer:?}");
 
     record.note("host-2 is told to end, its health says so, and a call still comes");
     let answer = served_while_leaving(&mut cluster).await;
@@ -370,7 +371,7 @@
     record.check("refusals_at_limits");
 }
 
-/// Sends a keyed binding to host-1 while the other hosts stand still.
+/// Sends a binding with an idempotency key to host-1 while the other hosts are frozen.
 async fn refused_without_quorum(cluster: &TestCluster) -> CallerAnswer {
     let callers = cluster.hosts[0].callers();
     for attempt in 0..ATTEMPTS {
@@ -387,11 +388,11 @@
             return answer;
         }
     }
-    panic!("{ATTEMPTS} times the lease was over before the call came");
+    panic!("the lease expired before the call in all {ATTEMPTS} attempts");
 }
 
-/// Sends a call to host-2 after the platform's balancer could know that it leaves and before it
-/// stops accepting.
+/// Sends a call to host-2 after its health check reports the shutdown and before it stops accepting
+/// connections.
 async fn served_while_leaving(cluster: &mut TestCluster) -> CallerAnswer {
     let callers = cluster.hosts[1].callers();
     for _ in 0..ATTEMPTS {
@@ -411,5 +412,5 @@
         }
         cluster.start_host(1);
     }
-    panic!("{ATTEMPTS} times the host had left before a call came");
+    panic!("the host stopped before the call in all {ATTEMPTS} attempts");
 }
--- a/crates/pulleyd/tests/sessions/session_record.rs
+++ b/crates/pulleyd/tests/sessions/session_record.rs
@@ -1,14 +1,14 @@
-//! Writes a session down as its golden file has it.
+//! Records a session in the format of its golden file.
 
 use std::fmt::Write;
 
 use crate::http_caller::{self, CallerAnswer};
 use crate::test_cluster::{TestCluster, TestHost};
 
-/// Response headers that golden files show; the others depend on the machine or the time.
+/// Response headers included in golden files. The others depend on the machine or the time.
 const SHOWN_HEADERS: [&str; 3] = ["jacinthpulley-verdict", "jacinthpulley-cause", "retry-after"];
 
-/// Metrics that golden files show.
+/// Metrics included in golden files.
 const SHOWN_METRICS: [&str; 5] = [
     "pulley_answers_total",
     "pulley_refusals_total",
@@ -17,19 +17,19 @@
     "pulley_upstream_latency_seconds_count",
 ];
 
-/// The record of one session: what was typed or sent, and what came back.
+/// The record of one session: commands, requests and their output.
 #[derive(Debug, Default)]
 pub(crate) struct SessionRecord {
     text: String,
 }
 
 impl SessionRecord {
-    /// Notes what the test does itself.
+    /// Adds a note about what the test itself does.
     pub(crate) fn note(&mut self, text: &str) {
         let _ = writeln!(self.text, "# {text}\n");
     }
 
-    /// Runs `pulleyctl` against the cluster and writes down all of it.
+    /// Runs `pulleyctl` against the cluster and records its arguments, output and exit code.
     pub(crate) fn pulleyctl(&mut self, cluster: &TestCluster, args: &[&str]) {
         let output = cluster.pulleyctl(args);
         let _ = writeln!(self.text, "$ pulleyctl {}", args.join(" "));
@@ -38,7 +38,7 @@
         let _ = writeln!(self.text, "[exit code {}]\n", output.code);
     }
 
-    /// Sends a request to a host and writes down the answer.
+    /// Sends a request to a host and records the request and its answer.
     pub(crate) async fn call(
         &mut self,
         host: &TestHost,
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Writes down a host's counts of requests; times and gauges differ from run to run.
+    /// Records a host's request counters. Times and gauges are left out, because they differ
+    /// between runs.
     pub(crate) async fn metrics(&mut self, cluster: &TestCluster, place: usize) {
         let key = format!("Bearer {}", cluster.secret());
         let headers = [("authorization", key.as_str())];
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Writes down a request.
+    /// Records a request.
     pub(crate) fn write_request(
         &mut self,
         method: &str,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Writes down an answer.
+    /// Records an answer.
     pub(crate) fn write_answer(&mut self, answer: &CallerAnswer) {
         let _ = writeln!(self.text, "< {}", answer.status);
         for (name, value) in &answer.headers {
@@ -100,14 +101,15 @@
         let _ = writeln!(self.text, "< {}\n", answer.body.trim_end());
     }
 
-    /// Compares the record with its golden file, times and addresses left out.
+    /// Compares the record with its golden file. Times, addresses and other values that differ
+    /// between runs are replaced by placeholders.
     pub(crate) fn check(self, name: &str) {
         let mut settings = insta::Settings::clone_current();
         settings.set_snapshot_path("golden");
         settings.set_prepend_module_to_snapshot(false);
         settings.set_omit_expression(true);
         settings.add_filter(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z", "[time]");
-        // A leader's own entries take places in the log, one more for each election.
+        // Log indexes vary, because a new leader appends an entry after each election.
         settings.add_filter(r"(?m)^\d+ +\[time\]", "[index]  [time]");
         settings.add_filter(r"replica:host-\d", "[leader]      ");
         settings.add_filter(r"retry-after: \d+", "retry-after: [seconds]");
--- a/crates/pulleyd/tests/sessions/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/sessions/stand_in_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that answers by itself and announces itself, for tests and the local deployment.
+//! An upstream that announces itself and answers requests, for tests and the local deployment.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -19,17 +19,17 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How often it announces itself: several times within the lease of 3 s, so that one lost
+/// Interval between announcements. Several fit within the lease of 3 s, so that one lost
 /// announcement does no harm.
 const ANNOUNCE_EVERY: Duration = Duration::from_millis(500);
 
-/// Longest wait for a host's answer to an announcement.
+/// Timeout for a host's answer to an announcement.
 const ANNOUNCE_TIME: Duration = Duration::from_secs(1);
 
-/// Requests whose path holds this word are held until [`StandInUpstream::let_go`].
+/// Requests whose path contains this text are held until [`StandInUpstream::let_go`].
 const HELD: &str = "held";
 
-/// Which upstream to play.
+/// The properties of a stand-in upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct StandInRole {
     /// Its id.
@@ -38,17 +38,17 @@
     pub(crate) pool: String,
     /// Its availability zone.
     pub(crate) zone: String,
-    /// How many requests it works on at once.
+    /// The number of slots that it announces.
     pub(crate) slots: u32,
-    /// How long it works on each.
+    /// How long it works on each request.
     pub(crate) service_time: Duration,
-    /// Where it listens, on a port that the system chooses.
+    /// The address it listens on; the system chooses the port.
     pub(crate) address: IpAddr,
     /// The hosts that it announces itself to, in turn.
     pub(crate) hosts: Vec<SocketAddr>,
 }
 
-/// A running stand-in; it leaves without a word when dropped.
+/// A running stand-in upstream. Dropping it stops it without announcing that.
 #[derive(Debug)]
 pub(crate) struct StandInUpstream {
     state: Arc<StandInState>,
@@ -69,7 +69,7 @@
     /// Starts to listen and to announce itself.
     ///
     /// # Errors
-    /// If it cannot listen, or the role's names are no names.
+    /// If it cannot listen, or a name in the role is invalid.
     pub(crate) async fn start(role: StandInRole) -> Result<Self, Box<dyn std::error::Error>> {
         let listener = TcpListener::bind((role.address, 0)).await?;
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
@@ -100,24 +100,24 @@
         Ok(Self { state, tasks: vec![serve, announce] })
     }
 
-    /// How many requests it has run.
+    /// Returns how many requests it has run.
     #[must_use]
     pub(crate) fn runs(&self) -> u64 {
         self.state.runs.load(Ordering::SeqCst)
     }
 
-    /// Waits until so many held requests have arrived, in all.
+    /// Waits until `count` held requests have arrived in total.
     pub(crate) async fn until_held(&self, count: u64) {
         let mut held = self.state.held.subscribe();
         let _ = held.wait_for(|held| *held >= count).await;
     }
 
-    /// Answers all held requests, and later ones at once.
+    /// Releases all held requests; later ones are no longer held.
     pub(crate) fn let_go(&self) {
         self.state.let_go.send_replace(true);
     }
 
-    /// Says that it drains, from now on.
+    /// Announces the draining phase from now on.
     pub(crate) async fn drain(&self) {
         self.state.announcement.lock().phase = UpstreamPhase::Draining;
         self.state.announce_once(0).await;
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Announces itself to the first host that takes it, beginning with another one each time, as
-    /// a balancer in front of the hosts would.
+    /// Announces itself to the first host that accepts the announcement, starting with a different
+    /// host each round, as a balancer in front of the hosts would.
     async fn announce_once(&self, round: usize) {
         let body = {
             let mut announcement = self.announcement.lock();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Posts an announcement; gives the status, if there is one.
+/// Posts an announcement. Returns the status of the answer, if there is one.
 async fn tell(host: SocketAddr, body: Vec<u8>) -> Option<u16> {
     let stream = TcpStream::connect(host).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/pulleyd/tests/sessions/test_cluster.rs
+++ b/crates/pulleyd/tests/sessions/test_cluster.rs
@@ -1,4 +1,4 @@
-//! Real daemons on loopback, with stand-in upstreams in the test's own process.
+//! Real daemons on loopback addresses, with stand-in upstreams in the test process.
 
 use std::fs::{self, File};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,18 +15,18 @@
 use crate::http_caller::{self, CallerAnswer};
 use crate::stand_in_upstream::{StandInRole, StandInUpstream};
 
-/// Longest wait for a condition; only a fault ends there, also on a busy machine.
+/// Timeout for conditions. Even on a busy machine it is reached only when there is a fault.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at a condition.
+/// Interval between two checks of a condition.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// The key of all test clusters.
+/// The secret key of all test clusters.
 const SECRET: &str = "test-key-test-key-test-key-test-key\n";
 
-/// Ports of each daemon. The hosts have loopback addresses of their own, so that no other test
-/// can take a port while a daemon restarts; these ports lie outside the range that the system
-/// gives to outgoing connections.
+/// Ports of each daemon. Each host has its own loopback address, so that no other test can take a
+/// port while a daemon restarts. These ports are outside the range that the system uses for
+/// outgoing connections.
 const CALLERS_PORT: u16 = 8080;
 const UPSTREAMS_PORT: u16 = 8081;
 const OPERATORS_PORT: u16 = 8082;
@@ -34,13 +34,13 @@
 
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address that no other test process and no other host of this one has.
+/// Returns a loopback address that is unique to this test process and host.
 fn own_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// One daemon.
+/// A host that runs one daemon.
 #[derive(Debug)]
 pub(crate) struct TestHost {
     name: String,
@@ -49,17 +49,17 @@
 }
 
 impl TestHost {
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub(crate) fn callers(&self) -> SocketAddr {
         SocketAddr::new(self.address, CALLERS_PORT)
     }
 
-    /// Where upstreams announce themselves.
+    /// Returns the address at which upstreams announce themselves.
     pub(crate) fn upstreams(&self) -> SocketAddr {
         SocketAddr::new(self.address, UPSTREAMS_PORT)
     }
 
-    /// Where operators connect.
+    /// Returns the address for operators.
     pub(crate) fn operators(&self) -> SocketAddr {
         SocketAddr::new(self.address, OPERATORS_PORT)
     }
@@ -68,7 +68,7 @@
         SocketAddr::new(self.address, PEERS_PORT)
     }
 
-    /// What `/healthz` says; nothing if it does not answer.
+    /// Returns the answer of `/healthz`, or `None` if there is none.
     pub(crate) async fn health(&self) -> Option<CallerAnswer> {
         http_caller::call(self.upstreams(), "GET", "/healthz", &[], "").await.ok()
     }
@@ -78,8 +78,8 @@
         kill(self.process_id(), signal).expect("the daemon is there");
     }
 
-    /// Freezes the daemon. A signal is only on its way when it has been sent: until the system
-    /// reports the stop, a thread of the daemon may still answer.
+    /// Freezes the daemon. Waits until the system reports the stop, because the signal is delivered
+    /// asynchronously and a thread of the daemon may still answer until then.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
         let stopped = waitpid(self.process_id(), Some(WaitPidFlag::WUNTRACED));
@@ -91,7 +91,7 @@
         Pid::from_raw(i32::try_from(child.id()).expect("process ids are small"))
     }
 
-    /// Waits until the daemon has ended by itself.
+    /// Waits until the daemon has exited by itself.
     pub(crate) async fn ended(&mut self) -> ExitStatus {
         let mut child = self.child.take().expect("the daemon runs");
         let begin = Instant::now();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Ends the daemon at once, as a power loss would.
+    /// Kills the daemon, as a power loss would.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -119,7 +119,7 @@
     }
 }
 
-/// Some daemons that hold the log, each also an entry.
+/// A cluster of daemons, each with the roles entry and replica.
 #[derive(Debug)]
 pub(crate) struct TestCluster {
     /// The daemons.
@@ -134,7 +134,7 @@
         Self::start_with(count, &[]).await
     }
 
-    /// The same with further settings, by their variables.
+    /// The same as [`Self::start`], with additional settings as environment variables.
     pub(crate) async fn start_with(
         count: usize,
         settings: &[(&'static str, &'static str)],
@@ -156,7 +156,7 @@
         cluster
     }
 
-    /// Starts one daemon, again or for the first time.
+    /// Starts or restarts one daemon.
     pub(crate) fn start_host(&mut self, place: usize) {
         let seeds: Vec<String> = self.hosts.iter().map(|host| host.peers().to_string()).collect();
         let replicas: Vec<String> = (0..self.hosts.len())
@@ -202,17 +202,17 @@
         StandInUpstream::start(role).await.expect("the upstream starts")
     }
 
-    /// The file of one daemon's log.
+    /// Returns the path of one daemon's log.
     pub(crate) fn log_file(&self, place: usize) -> PathBuf {
         self.folder.path().join(format!("{}.log", self.hosts[place].name))
     }
 
-    /// The key that operators send.
+    /// Returns the key that operators send.
     pub(crate) fn secret(&self) -> &'static str {
         SECRET.trim_end()
     }
 
-    /// The test's own folder.
+    /// Returns the folder of this test.
     pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -220,18 +220,18 @@
     // -------------------------------------------------------------------------------------
     // Waiting
 
-    /// Waits until a condition holds; fails the test with the daemons' logs when it never does.
+    /// Waits until a condition holds. Fails the test with the daemons' logs on timeout.
     pub(crate) async fn wait_for(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) {
         let begin = Instant::now();
         while !holds(self).await {
             if begin.elapsed() > PATIENCE {
-                panic!("waited in vain for {what}\n{}", self.logs());
+                panic!("timed out waiting for {what}\n{}", self.logs());
             }
             tokio::time::sleep(LOOK_EVERY).await;
         }
     }
 
-    /// Waits until every running host is ready with a version, or a later one.
+    /// Waits until every running host is ready with this version or a later one.
     pub(crate) async fn wait_for_version(&self, version: u64) {
         self.wait_for(&format!("version {version} everywhere"), async |cluster| {
             for host in cluster.running() {
@@ -247,7 +247,7 @@
         .await;
     }
 
-    /// Waits until every running host knows so many upstreams that take work.
+    /// Waits until every running host knows exactly `count` upstreams that take work.
     pub(crate) async fn wait_for_upstreams(&self, count: usize) {
         self.wait_for(&format!("{count} upstreams everywhere"), async |cluster| {
             cluster.running().all(|host| {
@@ -296,7 +296,7 @@
     }
 }
 
-/// What a run of `pulleyctl` printed.
+/// The result of a run of `pulleyctl`.
 #[derive(Debug)]
 pub(crate) struct ClientOutput {
     /// Its exit code.
@@ -307,8 +307,8 @@
     pub(crate) err: String,
 }
 
-/// The `pulleyctl` of this build. Cargo builds the binaries of a test's own package only, so that
-/// one of another package could be an old one.
+/// Builds `pulleyctl` and returns its path. Cargo builds only the binaries of a test's own package,
+/// so an existing binary of another package could be stale.
 fn client_binary() -> &'static Path {
     static BINARY: std::sync::OnceLock<PathBuf> = std::sync::OnceLock::new();
     BINARY.get_or_init(|| {
