--- a/crates/pulleyd/tests/sessions/http_caller.rs
+++ b/crates/pulleyd/tests/sessions/http_caller.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// Timeout of a call; reached only when there is a fault.
-const PATIENCE: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The answer that a caller gets.
 #[derive(Clone, Debug)]
@@ -63,5 +63,5 @@
             body: String::from_utf8_lossy(&body).into_owned(),
         })
     };
-    tokio::time::timeout(PATIENCE, exchange).await?
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await?
 }
--- a/crates/pulleyd/tests/sessions/main.rs
+++ b/crates/pulleyd/tests/sessions/main.rs
@@ -29,20 +29,21 @@
 const APPLY: [&str; 5] = ["sheet", "apply", "kolkhi.csv", "--actor=ana", "--change-id=morning-1"];
 
 /// Returns the Kolkhi sheet with deadlines that calls meet even on a busy machine.
-fn patient_sheet() -> String {
+fn sheet_with_long_deadlines() -> String {
     let deadlines = [",400,", ",300,", ",800,", ",2000,"];
     deadlines.iter().fold(KOLKHI.to_owned(), |sheet, text| sheet.replace(text, ",20000,"))
 }
 
 /// Starts three daemons with the Kolkhi sheet in force as version 1.
 async fn cluster_with_sheet() -> TestCluster {
-    cluster_with(&[]).await
+    cluster_with_settings(&[]).await
 }
 
 /// Starts three daemons with these settings and the Kolkhi sheet in force as version 1.
-async fn cluster_with(settings: &[(&'static str, &'static str)]) -> TestCluster {
+async fn cluster_with_settings(settings: &[(&'static str, &'static str)]) -> TestCluster {
     let cluster = TestCluster::start_with(3, settings).await;
-    fs::write(cluster.folder().join("kolkhi.csv"), patient_sheet()).expect("the sheet is written");
+    fs::write(cluster.folder().join("kolkhi.csv"), sheet_with_long_deadlines())
+        .expect("the sheet is written");
     let applied = cluster.pulleyctl(&[&APPLY[..], &["--expect=0"]].concat());
     assert_eq!(applied.code, 0, "{}{}", applied.out, applied.err);
     cluster.wait_for_version(1).await;
@@ -114,7 +115,7 @@
         .wait_for(&format!("{count} members everywhere"), async |cluster| {
             cluster.hosts.iter().all(|host| {
                 let server = format!("--server={}", host.operators());
-                let out = cluster.pulleyctl_alone(&[&server, "replica", "list"]).out;
+                let out = cluster.pulleyctl_with_args(&[&server, "replica", "list"]).out;
                 out.lines().count() == count + 1
             })
         })
@@ -142,8 +143,8 @@
         ("GET", "/loss-files/3", ""),
         ("GET", "/surveys/3", ""),
     ];
-    for (place, (method, path, body)) in calls.into_iter().enumerate() {
-        record.call(&cluster.hosts[place % 3], method, path, &[], body).await;
+    for (index, (method, path, body)) in calls.into_iter().enumerate() {
+        record.call(&cluster.hosts[index % 3], method, path, &[], body).await;
     }
     record.call(&cluster.hosts[0], "GET", "/nowhere", &[], "").await;
     record.note("what host-1 has counted");
@@ -189,10 +190,10 @@
     let held = tokio::spawn(async move {
         http_caller::call(callers, "GET", "/loss-files/held", &[], "").await
     });
-    loss_files.until_held(1).await;
+    loss_files.wait_until_held(1).await;
     let short = [("jacinthpulley-deadline-ms", "200")];
     record.call(&cluster.hosts[0], "GET", "/loss-files/1", &short, "").await;
-    loss_files.let_go();
+    loss_files.release_held();
     let held = held.await.expect("the caller ends").expect("a whole answer");
     record.write_request("GET", "/loss-files/held", &[], "");
     record.write_answer(&held);
@@ -225,31 +226,32 @@
     let refused = [("x-request-id", "weather-of-ana")];
     let answer = http_caller::call(callers, "GET", "/weather", &refused, "").await;
     assert_eq!(answer.expect("a whole answer").status, 404);
-    binding.until_held(1).await;
+    binding.wait_until_held(1).await;
 
-    let story = explained(&cluster, "binding-of-ana").await;
+    let explanation = explain(&cluster, "binding-of-ana").await;
     let expected =
         ["host-2", "verdict=may-have-run", "cause=no-answer-in-time", "attempts=1", "binding-1"];
     for part in expected {
-        assert!(story.contains(part), "{part} is missing:\n{story}");
+        assert!(explanation.contains(part), "{part} is missing:\n{explanation}");
     }
-    let story = explained(&cluster, "weather-of-ana").await;
+    let explanation = explain(&cluster, "weather-of-ana").await;
     for part in ["verdict=not-run", "cause=no-such-kind", "attempts=0", "config=1"] {
-        assert!(story.contains(part), "{part} is missing:\n{story}");
+        assert!(explanation.contains(part), "{part} is missing:\n{explanation}");
     }
-    binding.let_go();
+    binding.release_held();
 }
 
 /// Returns the lines that `pulleyctl explain` prints for a request from all hosts' logs.
-async fn explained(cluster: &TestCluster, id: &str) -> String {
-    let files = (0..cluster.hosts.len()).map(|place| cluster.log_file(place));
+async fn explain(cluster: &TestCluster, id: &str) -> String {
+    let files = (0..cluster.hosts.len()).map(|index| cluster.log_file(index));
     let files: Vec<String> = files.map(|file| file.display().to_string()).collect();
     let args: Vec<&str> = ["explain", id].into_iter().chain(files.iter().map(|f| &**f)).collect();
-    let written = async |cluster: &TestCluster| cluster.pulleyctl_alone(&args).out.contains(id);
-    cluster.wait_for("the request's line in a log", written).await;
-    let story = cluster.pulleyctl_alone(&args);
-    assert_eq!(story.code, 0, "{}", story.err);
-    let lines = story.out.lines().filter(|line| line.contains(id));
+    let is_logged =
+        async |cluster: &TestCluster| cluster.pulleyctl_with_args(&args).out.contains(id);
+    cluster.wait_for("the request's line in a log", is_logged).await;
+    let explanation = cluster.pulleyctl_with_args(&args);
+    assert_eq!(explanation.code, 0, "{}", explanation.err);
+    let lines = explanation.out.lines().filter(|line| line.contains(id));
     lines.fold(String::new(), |text, line| text + line + "\n")
 }
 
@@ -267,8 +269,8 @@
     first.drain().await;
     cluster.wait_for_upstreams(2).await;
     let before = first.runs();
-    for place in 0..3 {
-        record.call(&cluster.hosts[place], "GET", "/cover/check", &[], "").await;
+    for index in 0..3 {
+        record.call(&cluster.hosts[index], "GET", "/cover/check", &[], "").await;
     }
     assert_eq!((first.runs(), second.runs()), (before, 3));
 
@@ -277,18 +279,18 @@
     let held = tokio::spawn(async move {
         http_caller::call(callers, "GET", "/loss-files/held", &[], "").await
     });
-    loss_files.until_held(1).await;
+    loss_files.wait_until_held(1).await;
     cluster.hosts[0].signal(Signal::SIGTERM);
     cluster
         .wait_for("host-1 to be not ready", async |cluster| {
             cluster.hosts[0].health().await.is_none_or(|health| health.status == 503)
         })
         .await;
-    loss_files.let_go();
+    loss_files.release_held();
     let held = held.await.expect("the caller ends").expect("a whole answer");
     record.write_request("GET", "/loss-files/held", &[], "");
     record.write_answer(&held);
-    let status = cluster.hosts[0].ended().await;
+    let status = cluster.hosts[0].wait_for_exit().await;
     let code = status.code().expect("it ends by itself");
     record.note(&format!("host-1 ended with exit code {code}"));
 
@@ -305,7 +307,7 @@
     let mut cluster = cluster_with_sheet().await;
     for version in 1..=5 {
         let file = format!("sheet-{version}.csv");
-        let sheet = patient_sheet().replacen("50%", &format!("{}%", 40 + version), 1);
+        let sheet = sheet_with_long_deadlines().replacen("50%", &format!("{}%", 40 + version), 1);
         fs::write(cluster.folder().join(&file), sheet).expect("the sheet is written");
         let expect = format!("--expect={version}");
         let applied = cluster.pulleyctl(&["sheet", "apply", &file, "--actor=ana", &expect]);
@@ -315,8 +317,8 @@
     for host in &mut cluster.hosts {
         host.kill();
     }
-    for place in 0..3 {
-        cluster.start_host(place);
+    for index in 0..3 {
+        cluster.start_host(index);
     }
     cluster.wait_for_version(6).await;
     let upstream = cluster.start_upstream("cover-1", "cover", 2).await;
@@ -336,7 +338,7 @@
 /// the attempt is repeated.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refusals_at_limits() {
-    let mut cluster = cluster_with(&[("PULLEYD_CALLERS_LIMIT", "16")]).await;
+    let mut cluster = cluster_with_settings(&[("PULLEYD_CALLERS_LIMIT", "16")]).await;
     let _loss_files = cluster.start_upstream("loss-files-1", "loss-files", 2).await;
     let binding = cluster.start_upstream("binding-1", "binding", 2).await;
     cluster.wait_for_upstreams(2).await;
@@ -359,20 +361,20 @@
         .await;
 
     record.note("the other replicas are frozen: the key cannot be claimed");
-    let answer = refused_without_quorum(&cluster).await;
+    let answer = call_without_quorum(&cluster).await;
     record.write_request("POST", "/bindings", &[("idempotency-key", "policy-9")], "policy=9");
     record.write_answer(&answer);
     assert_eq!(binding.runs(), 0, "a request answered as not run has run: {answer:?}");
 
     record.note("host-2 is told to end, its health says so, and a call still comes");
-    let answer = served_while_leaving(&mut cluster).await;
+    let answer = call_during_shutdown(&mut cluster).await;
     record.write_request("GET", "/loss-files/1", &[], "");
     record.write_answer(&answer);
     record.check("refusals_at_limits");
 }
 
 /// Sends a binding with an idempotency key to host-1 while the other hosts are frozen.
-async fn refused_without_quorum(cluster: &TestCluster) -> CallerAnswer {
+async fn call_without_quorum(cluster: &TestCluster) -> CallerAnswer {
     let callers = cluster.hosts[0].callers();
     for attempt in 0..ATTEMPTS {
         cluster.wait_for_version(1).await;
@@ -393,21 +395,21 @@
 
 /// Sends a call to host-2 after its health check reports the shutdown and before it stops accepting
 /// connections.
-async fn served_while_leaving(cluster: &mut TestCluster) -> CallerAnswer {
+async fn call_during_shutdown(cluster: &mut TestCluster) -> CallerAnswer {
     let callers = cluster.hosts[1].callers();
     for _ in 0..ATTEMPTS {
         cluster.wait_for_version(1).await;
         cluster.wait_for_upstreams(2).await;
         cluster.hosts[1].signal(Signal::SIGTERM);
         let health = cluster.hosts[1].upstreams();
-        let mut told = http_caller::call(health, "GET", "/healthz", &[], "").await;
-        while told.as_ref().is_ok_and(|answer| answer.status == 200) {
-            told = http_caller::call(health, "GET", "/healthz", &[], "").await;
+        let mut health_answer = http_caller::call(health, "GET", "/healthz", &[], "").await;
+        while health_answer.as_ref().is_ok_and(|answer| answer.status == 200) {
+            health_answer = http_caller::call(health, "GET", "/healthz", &[], "").await;
         }
         let answer = http_caller::call(callers, "GET", "/loss-files/1", &[], "").await;
-        cluster.hosts[1].ended().await;
-        if let (Ok(told), Ok(answer)) = (told, answer) {
-            assert_eq!(told.status, 503, "{told:?}");
+        cluster.hosts[1].wait_for_exit().await;
+        if let (Ok(health_answer), Ok(answer)) = (health_answer, answer) {
+            assert_eq!(health_answer.status, 503, "{health_answer:?}");
             return answer;
         }
         cluster.start_host(1);
--- a/crates/pulleyd/tests/sessions/session_record.rs
+++ b/crates/pulleyd/tests/sessions/session_record.rs
@@ -59,10 +59,10 @@
 
     /// Records a host's request counters. Times and gauges are left out, because they differ
     /// between runs.
-    pub(crate) async fn metrics(&mut self, cluster: &TestCluster, place: usize) {
+    pub(crate) async fn metrics(&mut self, cluster: &TestCluster, index: usize) {
         let key = format!("Bearer {}", cluster.secret());
         let headers = [("authorization", key.as_str())];
-        let operators = cluster.hosts[place].operators();
+        let operators = cluster.hosts[index].operators();
         let answer = http_caller::call(operators, "GET", "/metrics", &headers, "").await;
         let body = answer.map(|answer| answer.body).unwrap_or_default();
         let counted = body.lines().filter(|line| {
--- a/crates/pulleyd/tests/sessions/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/sessions/stand_in_upstream.rs
@@ -21,13 +21,13 @@
 
 /// Interval between announcements. Several fit within the lease of 3 s, so that one lost
 /// announcement does no harm.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Timeout for a host's answer to an announcement.
-const ANNOUNCE_TIME: Duration = Duration::from_secs(1);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Requests whose path contains this text are held until [`StandInUpstream::let_go`].
-const HELD: &str = "held";
+/// Requests whose path contains this text are held until [`StandInUpstream::release_held`].
+const HELD_PATH: &str = "held";
 
 /// The properties of a stand-in upstream.
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
     service_time: Duration,
     runs: AtomicU64,
     held: watch::Sender<u64>,
-    let_go: watch::Sender<bool>,
+    released: watch::Sender<bool>,
     announcement: Mutex<Announcement>,
     hosts: Vec<SocketAddr>,
 }
@@ -88,7 +88,7 @@
             service_time: role.service_time,
             runs: AtomicU64::new(0),
             held: watch::Sender::new(0),
-            let_go: watch::Sender::new(false),
+            released: watch::Sender::new(false),
             announcement: Mutex::new(announcement),
             hosts: role.hosts,
         });
@@ -96,7 +96,7 @@
         let serve = tokio::spawn(async move {
             let _ = axum::serve(listener, router).await;
         });
-        let announce = tokio::spawn(Arc::clone(&state).announce_for_ever());
+        let announce = tokio::spawn(Arc::clone(&state).announce_repeatedly());
         Ok(Self { state, tasks: vec![serve, announce] })
     }
 
@@ -107,14 +107,14 @@
     }
 
     /// Waits until `count` held requests have arrived in total.
-    pub(crate) async fn until_held(&self, count: u64) {
+    pub(crate) async fn wait_until_held(&self, count: u64) {
         let mut held = self.state.held.subscribe();
         let _ = held.wait_for(|held| *held >= count).await;
     }
 
     /// Releases all held requests; later ones are no longer held.
-    pub(crate) fn let_go(&self) {
-        self.state.let_go.send_replace(true);
+    pub(crate) fn release_held(&self) {
+        self.state.released.send_replace(true);
     }
 
     /// Announces the draining phase from now on.
@@ -133,10 +133,10 @@
 }
 
 impl StandInState {
-    async fn announce_for_ever(self: Arc<Self>) {
+    async fn announce_repeatedly(self: Arc<Self>) {
         for round in 0.. {
             self.announce_once(round).await;
-            tokio::time::sleep(ANNOUNCE_EVERY).await;
+            tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         }
     }
 
@@ -148,10 +148,11 @@
             announcement.sequence.0 += 1;
             serde_json::to_vec(&*announcement).unwrap_or_default()
         };
-        for place in 0..self.hosts.len() {
-            let host = self.hosts[(round + place) % self.hosts.len()];
-            let told = tokio::time::timeout(ANNOUNCE_TIME, tell(host, body.clone())).await;
-            if matches!(told, Ok(Some(200))) {
+        for index in 0..self.hosts.len() {
+            let host = self.hosts[(round + index) % self.hosts.len()];
+            let status =
+                tokio::time::timeout(ANNOUNCE_TIMEOUT, post_announcement(host, body.clone())).await;
+            if matches!(status, Ok(Some(200))) {
                 return;
             }
         }
@@ -159,7 +160,7 @@
 }
 
 /// Posts an announcement. Returns the status of the answer, if there is one.
-async fn tell(host: SocketAddr, body: Vec<u8>) -> Option<u16> {
+async fn post_announcement(host: SocketAddr, body: Vec<u8>) -> Option<u16> {
     let stream = TcpStream::connect(host).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
@@ -174,9 +175,9 @@
 async fn answer(State(state): State<Arc<StandInState>>, request: Request<Body>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-    if parts.uri.path().contains(HELD) {
+    if parts.uri.path().contains(HELD_PATH) {
         state.held.send_modify(|held| *held += 1);
-        let _ = state.let_go.subscribe().wait_for(|let_go| *let_go).await;
+        let _ = state.released.subscribe().wait_for(|released| *released).await;
     }
     tokio::time::sleep(state.service_time).await;
     state.runs.fetch_add(1, Ordering::SeqCst);
--- a/crates/pulleyd/tests/sessions/test_cluster.rs
+++ b/crates/pulleyd/tests/sessions/test_cluster.rs
@@ -16,10 +16,10 @@
 use crate::stand_in_upstream::{StandInRole, StandInUpstream};
 
 /// Timeout for conditions. Even on a busy machine it is reached only when there is a fault.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Interval between two checks of a condition.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The secret key of all test clusters.
 const SECRET: &str = "test-key-test-key-test-key-test-key\n";
@@ -35,7 +35,7 @@
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
 /// Returns a loopback address that is unique to this test process and host.
-fn own_address() -> IpAddr {
+fn unique_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
 }
@@ -92,15 +92,15 @@
     }
 
     /// Waits until the daemon has exited by itself.
-    pub(crate) async fn ended(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut child = self.child.take().expect("the daemon runs");
-        let begin = Instant::now();
+        let start_time = Instant::now();
         loop {
             if let Some(status) = child.try_wait().expect("a child can be waited for") {
                 return status;
             }
-            assert!(begin.elapsed() < PATIENCE, "{} does not end", self.name);
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(start_time.elapsed() < WAIT_TIMEOUT, "{} does not end", self.name);
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -141,14 +141,14 @@
     ) -> Self {
         let folder = TempDir::new().expect("a folder for the test");
         fs::write(folder.path().join("secret"), SECRET).expect("the secret is written");
-        let hosts = (0..count).map(|place| TestHost {
-            name: format!("host-{}", place + 1),
-            address: own_address(),
+        let hosts = (0..count).map(|index| TestHost {
+            name: format!("host-{}", index + 1),
+            address: unique_address(),
             child: None,
         });
         let mut cluster = Self { hosts: hosts.collect(), folder, settings: settings.to_vec() };
-        for place in 0..count {
-            cluster.start_host(place);
+        for index in 0..count {
+            cluster.start_host(index);
         }
         cluster
             .wait_for("a leader", async |cluster| cluster.pulleyctl(&["sheet", "show"]).code == 0)
@@ -157,15 +157,15 @@
     }
 
     /// Starts or restarts one daemon.
-    pub(crate) fn start_host(&mut self, place: usize) {
+    pub(crate) fn start_host(&mut self, index: usize) {
         let seeds: Vec<String> = self.hosts.iter().map(|host| host.peers().to_string()).collect();
         let replicas: Vec<String> = (0..self.hosts.len())
-            .map(|place| format!("{}=m{}", self.hosts[place].name, place + 1))
+            .map(|index| format!("{}=m{}", self.hosts[index].name, index + 1))
             .collect();
-        let host = &self.hosts[place];
-        let log = File::options().create(true).append(true).open(self.log_file(place));
+        let host = &self.hosts[index];
+        let log = File::options().create(true).append(true).open(self.log_file(index));
         let log = log.expect("the log can be opened");
-        let faults = log.try_clone().expect("another handle");
+        let stderr_log = log.try_clone().expect("another handle");
         let child = Command::new(env!("CARGO_BIN_EXE_pulleyd"))
             .env_clear()
             .envs(self.settings.iter().copied())
@@ -183,9 +183,9 @@
             .env("PULLEYD_PEERS_LISTEN", host.peers().to_string())
             .stdin(Stdio::null())
             .stdout(log)
-            .stderr(faults)
+            .stderr(stderr_log)
             .spawn();
-        self.hosts[place].child = Some(child.expect("pulleyd starts"));
+        self.hosts[index].child = Some(child.expect("pulleyd starts"));
     }
 
     /// Starts a stand-in upstream that announces itself to all hosts in turn.
@@ -196,15 +196,15 @@
             zone: "zone-1".to_owned(),
             slots,
             service_time: Duration::ZERO,
-            address: own_address(),
+            address: unique_address(),
             hosts: self.hosts.iter().map(TestHost::upstreams).collect(),
         };
         StandInUpstream::start(role).await.expect("the upstream starts")
     }
 
     /// Returns the path of one daemon's log.
-    pub(crate) fn log_file(&self, place: usize) -> PathBuf {
-        self.folder.path().join(format!("{}.log", self.hosts[place].name))
+    pub(crate) fn log_file(&self, index: usize) -> PathBuf {
+        self.folder.path().join(format!("{}.log", self.hosts[index].name))
     }
 
     /// Returns the key that operators send.
@@ -221,13 +221,13 @@
     // Waiting
 
     /// Waits until a condition holds. Fails the test with the daemons' logs on timeout.
-    pub(crate) async fn wait_for(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) {
-        let begin = Instant::now();
-        while !holds(self).await {
-            if begin.elapsed() > PATIENCE {
+    pub(crate) async fn wait_for(&self, what: &str, condition: impl AsyncFn(&Self) -> bool) {
+        let start_time = Instant::now();
+        while !condition(self).await {
+            if start_time.elapsed() > WAIT_TIMEOUT {
                 panic!("timed out waiting for {what}\n{}", self.logs());
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -252,7 +252,7 @@
         self.wait_for(&format!("{count} upstreams everywhere"), async |cluster| {
             cluster.running().all(|host| {
                 let server = format!("--server={}", host.operators());
-                let out = cluster.pulleyctl_alone(&[&server, "--json", "upstreams"]).out;
+                let out = cluster.pulleyctl_with_args(&[&server, "--json", "upstreams"]).out;
                 out.matches("\"takes_work\":true").count() == count
             })
         })
@@ -264,7 +264,7 @@
     }
 
     fn logs(&self) -> String {
-        let log = |place| fs::read_to_string(self.log_file(place)).unwrap_or_default();
+        let log = |index| fs::read_to_string(self.log_file(index)).unwrap_or_default();
         (0..self.hosts.len()).map(log).collect::<Vec<_>>().join("\n")
     }
 
@@ -272,23 +272,23 @@
     // Operators
 
     /// Runs `pulleyctl` against all hosts in turn.
-    pub(crate) fn pulleyctl(&self, args: &[&str]) -> ClientOutput {
+    pub(crate) fn pulleyctl(&self, args: &[&str]) -> PulleyctlOutput {
         let servers: Vec<String> =
             self.hosts.iter().map(|host| format!("--server={}", host.operators())).collect();
         let servers = servers.iter().map(String::as_str);
-        self.pulleyctl_alone(&servers.chain(args.iter().copied()).collect::<Vec<_>>())
+        self.pulleyctl_with_args(&servers.chain(args.iter().copied()).collect::<Vec<_>>())
     }
 
     /// Runs `pulleyctl` with exactly these arguments.
-    pub(crate) fn pulleyctl_alone(&self, args: &[&str]) -> ClientOutput {
-        let output = Command::new(client_binary())
+    pub(crate) fn pulleyctl_with_args(&self, args: &[&str]) -> PulleyctlOutput {
+        let output = Command::new(pulleyctl_binary())
             .env_clear()
             .env("PULLEYCTL_SECRET_FILE", self.folder.path().join("secret"))
             .current_dir(self.folder.path())
             .args(args)
             .output()
             .expect("pulleyctl runs");
-        ClientOutput {
+        PulleyctlOutput {
             code: output.status.code().expect("pulleyctl ends by itself"),
             out: String::from_utf8_lossy(&output.stdout).into_owned(),
             err: String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -298,7 +298,7 @@
 
 /// The result of a run of `pulleyctl`.
 #[derive(Debug)]
-pub(crate) struct ClientOutput {
+pub(crate) struct PulleyctlOutput {
     /// Its exit code.
     pub(crate) code: i32,
     /// What it printed on standard output.
@@ -309,7 +309,7 @@
 
 /// Builds `pulleyctl` and returns its path. Cargo builds only the binaries of a test's own package,
 /// so an existing binary of another package could be stale.
-fn client_binary() -> &'static Path {
+fn pulleyctl_binary() -> &'static Path {
     static BINARY: std::sync::OnceLock<PathBuf> = std::sync::OnceLock::new();
     BINARY.get_or_init(|| {
         let mut build = Command::new(env!("CARGO"));
