--- a/crates/pulleyd/tests/process_failures/behind_tests.rs
+++ b/crates/pulleyd/tests/process_failures/behind_tests.rs
@@ -49,7 +49,7 @@
         let metrics = cluster.operator(3).get("/metrics").map(|answer| answer.text());
         metrics.is_ok_and(|metrics| metrics.contains("\npulley_config_version_awaited 2\n"))
     };
-    assert!(wait_until(WAIT_LIMIT, metric_is_shown), "the metric");
+    assert!(wait_until(WAIT_LIMIT, metric_is_shown), "the metric shows no awaited version 2");
 
     cluster.hosts[..3].iter().for_each(|host| host.signal(Signal::SIGCONT));
     cluster.wait_for_version(&[3], 2);
--- a/crates/pulleyd/tests/process_failures/main.rs
+++ b/crates/pulleyd/tests/process_failures/main.rs
@@ -107,7 +107,7 @@
     leaving.set_phase("draining");
     let is_acknowledged =
         wait_until(Duration::from_secs(10), || leaving.acknowledged() == "draining");
-    assert!(is_acknowledged, "its leaving is acknowledged");
+    assert!(is_acknowledged, "the draining is acknowledged");
     for host in &mut cluster.hosts {
         host.signal_and_wait(Signal::SIGKILL);
     }
--- a/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
@@ -68,7 +68,7 @@
                 while announcer_state.announcing_stopped.load(Ordering::SeqCst) {
                     tokio::time::sleep(ANNOUNCE_INTERVAL).await;
                 }
-                let phase = *announcer_state.phase.lock().expect("no panic holds it");
+                let phase = *announcer_state.phase.lock().expect("the lock is not poisoned");
                 let announcement = json!({
                     "id": id, "address": address, "zone": zone, "pool": pool, "slots": slots,
                     "connections": 300, "incarnation": 1, "sequence": sequence, "phase": phase,
@@ -83,7 +83,7 @@
                     })
                     .await;
                 if matches!(answer, Ok(Ok(answer)) if answer.status < 300) {
-                    *announcer_state.acknowledged.lock().expect("no panic holds it") = phase;
+                    *announcer_state.acknowledged.lock().expect("the lock is not poisoned") = phase;
                 }
                 tokio::time::sleep(ANNOUNCE_INTERVAL).await;
             }
@@ -99,12 +99,12 @@
 
     /// Sets the phase that is announced from now on.
     pub(crate) fn set_phase(&self, phase: &'static str) {
-        *self.state.phase.lock().expect("no panic holds it") = phase;
+        *self.state.phase.lock().expect("the lock is not poisoned") = phase;
     }
 
     /// Returns the phase that a host acknowledged last; empty before the first acknowledgement.
     pub(crate) fn acknowledged(&self) -> &'static str {
-        *self.state.acknowledged.lock().expect("no panic holds it")
+        *self.state.acknowledged.lock().expect("the lock is not poisoned")
     }
 
     /// Stops announcing but continues to answer requests.
@@ -119,14 +119,14 @@
 
     /// Returns how often it has run each value of the `x-work` header.
     pub(crate) fn runs(&self) -> BTreeMap<String, u64> {
-        self.state.runs.lock().expect("no panic holds it").clone()
+        self.state.runs.lock().expect("the lock is not poisoned").clone()
     }
 }
 
 async fn answer(State(state): State<Arc<UpstreamState>>, request: Request) -> impl IntoResponse {
     let work = request.headers().get("x-work").and_then(|value| value.to_str().ok());
     let work = work.unwrap_or("none").to_owned();
-    *state.runs.lock().expect("no panic holds it").entry(work.clone()).or_default() += 1;
+    *state.runs.lock().expect("the lock is not poisoned").entry(work.clone()).or_default() += 1;
     state.total.fetch_add(1, Ordering::SeqCst);
     let delay = state.delay_ms.load(Ordering::SeqCst);
     if delay > 0 {
