--- a/crates/pulleyd/src/version/log_recovery.rs
+++ b/crates/pulleyd/src/version/log_recovery.rs
@@ -1,4 +1,5 @@
-//! Reads a data folder after a start: torn tails are cut, damage is refused.
+//! Reads a data folder at startup. A torn write at the end of the log is discarded; any other
+//! damage is an error.
 
 use std::sync::Arc;
 
@@ -22,29 +23,29 @@
 /// One record of a segment.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum LogRecord {
-    /// The election state from here on.
+    /// The election state from this record on.
     Vote(VoteRecord),
-    /// Entries from here on are no longer part of the log.
-    Cut(LogIndex),
+    /// Entries from this index on are no longer part of the log.
+    Truncate(LogIndex),
     /// The founding membership that this disk has agreed to.
     Promise(ReplicaMembership),
     /// The next entry.
     Entry(Arc<LogEntry>),
 }
 
-/// The beginning of a snapshot file; the state follows as it is, so that a large one is not copied.
+/// The header of a snapshot file. The state follows unframed, so that a large one is not copied.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct SnapshotHead {
+pub(crate) struct SnapshotHeader {
     pub(crate) place: SnapshotPlace,
     pub(crate) size: u64,
     pub(crate) checksum: u32,
 }
 
-/// A segment that is on disk.
+/// A log segment on disk.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentFile {
     pub(crate) number: u64,
-    /// The highest entry in it.
+    /// The highest entry index in it.
     pub(crate) highest: LogIndex,
     pub(crate) length: u64,
 }
@@ -55,14 +56,14 @@
     }
 }
 
-/// What was found in a folder.
+/// The contents of a data folder.
 #[derive(Debug, Default)]
 pub(crate) struct FolderContents {
     pub(crate) recovered: RecoveredState,
     pub(crate) segments: Vec<SegmentFile>,
-    pub(crate) group: WriteGroup,
-    /// Bytes of a torn write that were left out.
-    pub(crate) torn: u64,
+    pub(crate) last_group: WriteGroup,
+    /// How many bytes of a torn write were discarded.
+    pub(crate) torn_bytes: u64,
 }
 
 pub(crate) fn segment_name(number: u64) -> String {
@@ -81,7 +82,7 @@
     name.strip_prefix(SNAPSHOT_PREFIX)?.strip_suffix(SNAPSHOT_SUFFIX)?.parse().ok()
 }
 
-/// Reads all that a folder holds.
+/// Reads the newest snapshot, the audit chunk numbers and all segments of a folder.
 pub(crate) fn read_folder<D: DiskFolder>(folder: &D) -> Result<FolderContents> {
     let names = folder.names().map_err(StorageFault::disk("data folder"))?;
     let mut contents = FolderContents::default();
@@ -103,19 +104,19 @@
     let Some(number) = newest else { return Ok(None) };
     let name = snapshot_name(LogIndex(number));
     let bytes = read_file(folder, &name)?;
-    // It was synced before it got its name, so any fault in it is damage, not a torn write.
+    // The file was synced before it was renamed, so any fault in it is damage, not a torn write.
     let Some(frame) = read_frame(&bytes, 0) else {
-        return Err(StorageFault::damaged(&name, 0, "the snapshot's checksum does not fit"));
+        return Err(StorageFault::damaged(&name, 0, "the snapshot checksum does not match"));
     };
-    let head = frame
-        .decode::<SnapshotHead>()
+    let header = frame
+        .decode::<SnapshotHeader>()
         .map_err(|error| StorageFault::damaged(&name, 0, error.to_string()))?;
     let begin = frame.end;
     let state = Bytes::from(bytes).slice(begin..);
-    if state.len() as u64 != head.size || crc32c::crc32c(&state) != head.checksum {
-        return Err(StorageFault::damaged(&name, begin, "the state's checksum does not fit"));
+    if state.len() as u64 != header.size || crc32c::crc32c(&state) != header.checksum {
+        return Err(StorageFault::damaged(&name, begin, "the state checksum does not match"));
     }
-    Ok(Some(Arc::new(ReplicaSnapshot { place: head.place, state })))
+    Ok(Some(Arc::new(ReplicaSnapshot { place: header.place, state })))
 }
 
 fn read_segment<D: DiskFolder>(
@@ -130,17 +131,21 @@
     let mut offset = 0;
     while offset < bytes.len() {
         let Some(frame) = read_frame(&bytes, offset) else {
-            if !is_last || was_synced(&bytes, offset, contents.group) {
-                return Err(StorageFault::damaged(&name, offset, "a record's checksum is wrong"));
+            if !is_last || was_synced(&bytes, offset, contents.last_group) {
+                return Err(StorageFault::damaged(
+                    &name,
+                    offset,
+                    "a record checksum does not match",
+                ));
             }
-            contents.torn = (bytes.len() - offset) as u64;
+            contents.torn_bytes = (bytes.len() - offset) as u64;
             break;
         };
         let record = frame
             .decode::<LogRecord>()
             .map_err(|error| StorageFault::damaged(&name, offset, error.to_string()))?;
         replay(&name, offset, record, &mut segment, &mut contents.recovered)?;
-        contents.group = contents.group.max(frame.group);
+        contents.last_group = contents.last_group.max(frame.group);
         offset = frame.end;
     }
     segment.length = offset as u64;
@@ -159,7 +164,7 @@
     match record {
         LogRecord::Vote(vote) => recovered.vote = vote,
         LogRecord::Promise(members) => recovered.promise = Some(members),
-        LogRecord::Cut(index) => recovered.entries.retain(|entry| entry.index < index),
+        LogRecord::Truncate(index) => recovered.entries.retain(|entry| entry.index < index),
         LogRecord::Entry(entry) => {
             segment.highest = segment.highest.max(entry.index);
             if entry.index <= base {
@@ -178,5 +183,5 @@
 
 fn read_file<D: DiskFolder>(folder: &D, name: &str) -> Result<Vec<u8>> {
     let bytes = folder.read(name).map_err(StorageFault::disk(name))?;
-    bytes.ok_or_else(|| StorageFault::damaged(name, 0, "the file is gone"))
+    bytes.ok_or_else(|| StorageFault::damaged(name, 0, "the file is missing"))
 }
--- a/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/process_failures/process_support/stand_in_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream inside the test process: announces itself, answers, counts what it ran.
+//! An upstream inside the test process that announces itself, answers requests and counts them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 
 use super::HttpClient;
 
-/// How often it announces itself: several times within a lease.
-const ANNOUNCE_PACE: Duration = Duration::from_millis(400);
+/// Interval between announcements; several fit within a lease.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Default)]
 struct UpstreamState {
@@ -23,12 +23,12 @@
     total: AtomicU64,
     delay_ms: AtomicU64,
     phase: Mutex<&'static str>,
-    /// The phase that a host has acknowledged last.
+    /// The phase that a host acknowledged last.
     acknowledged: Mutex<&'static str>,
-    is_silent: AtomicBool,
+    announcing_stopped: AtomicBool,
 }
 
-/// A running stand-in; it ends when dropped.
+/// A running stand-in upstream; dropping it stops it.
 #[derive(Debug)]
 pub(crate) struct StandInUpstream {
     state: Arc<UpstreamState>,
@@ -36,12 +36,12 @@
 }
 
 impl StandInUpstream {
-    /// Starts one that announces itself to one of these hosts after the other.
+    /// Starts an upstream in zone `z1` that announces itself to these hosts in turn.
     pub(crate) fn start(id: &str, pool: &str, slots: u32, hosts: Vec<SocketAddr>) -> Self {
         Self::start_in("z1", id, pool, slots, hosts)
     }
 
-    /// The same in a zone.
+    /// Starts an upstream in a zone.
     pub(crate) fn start_in(
         zone: &str,
         id: &str,
@@ -61,14 +61,14 @@
         let address = listener.local_addr().expect("an address");
         let router = Router::new().fallback(answer).with_state(Arc::clone(&state));
         runtime.spawn(async move { axum::serve(listener, router).await });
-        let told = Arc::clone(&state);
+        let announcer_state = Arc::clone(&state);
         let (id, pool, zone) = (id.to_owned(), pool.to_owned(), zone.to_owned());
         runtime.spawn(async move {
             for sequence in 1_u64.. {
-                while told.is_silent.load(Ordering::SeqCst) {
-                    tokio::time::sleep(ANNOUNCE_PACE).await;
+                while announcer_state.announcing_stopped.load(Ordering::SeqCst) {
+                    tokio::time::sleep(ANNOUNCE_INTERVAL).await;
                 }
-                let phase = *told.phase.lock().expect("no panic holds it");
+                let phase = *announcer_state.phase.lock().expect("the lock is not poisoned");
                 let announcement = json!({
                     "id": id, "address": address, "zone": zone, "pool": pool, "slots": slots,
                     "connections": 300, "incarnation": 1, "sequence": sequence, "phase": phase,
@@ -83,50 +83,50 @@
                     })
                     .await;
                 if matches!(answer, Ok(Ok(answer)) if answer.status < 300) {
-                    *told.acknowledged.lock().expect("no panic holds it") = phase;
+                    *announcer_state.acknowledged.lock().expect("the lock is not poisoned") = phase;
                 }
-                tokio::time::sleep(ANNOUNCE_PACE).await;
+                tokio::time::sleep(ANNOUNCE_INTERVAL).await;
             }
         });
         Self { state, _runtime: runtime }
     }
 
-    /// Makes every answer take this long.
+    /// Delays every answer by this time.
     pub(crate) fn set_delay(&self, delay: Duration) {
         let millis = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         self.state.delay_ms.store(millis, Ordering::SeqCst);
     }
 
-    /// Announces another phase from now on.
+    /// Sets the phase that is announced from now on.
     pub(crate) fn set_phase(&self, phase: &'static str) {
-        *self.state.phase.lock().expect("no panic holds it") = phase;
+        *self.state.phase.lock().expect("the lock is not poisoned") = phase;
     }
 
-    /// The phase that a host has acknowledged last; empty before the first.
+    /// Returns the phase that a host acknowledged last; empty before the first acknowledgement.
     pub(crate) fn acknowledged(&self) -> &'static str {
-        *self.state.acknowledged.lock().expect("no panic holds it")
+        *self.state.acknowledged.lock().expect("the lock is not poisoned")
     }
 
-    /// Announces nothing more, and goes on answering.
-    pub(crate) fn fall_silent(&self) {
-        self.state.is_silent.store(true, Ordering::SeqCst);
+    /// Stops announcing but continues to answer requests.
+    pub(crate) fn stop_announcing(&self) {
+        self.state.announcing_stopped.store(true, Ordering::SeqCst);
     }
 
-    /// How many requests it ran.
+    /// Returns how many requests it has run.
     pub(crate) fn total(&self) -> u64 {
         self.state.total.load(Ordering::SeqCst)
     }
 
-    /// How often it ran each value of the header `x-work`.
+    /// Returns how often it has run each value of the `x-work` header.
     pub(crate) fn runs(&self) -> BTreeMap<String, u64> {
-        self.state.runs.lock().expect("no panic holds it").clone()
+        self.state.runs.lock().expect("the lock is not poisoned").clone()
     }
 }
 
 async fn answer(State(state): State<Arc<UpstreamState>>, request: Request) -> impl IntoResponse {
     let work = request.headers().get("x-work").and_then(|value| value.to_str().ok());
     let work = work.unwrap_or("none").to_owned();
-    *state.runs.lock().expect("no panic holds it").entry(work.clone()).or_default() += 1;
+    *state.runs.lock().expect("the lock is not poisoned").entry(work.clone()).or_default() += 1;
     state.total.fetch_add(1, Ordering::SeqCst);
     let delay = state.delay_ms.load(Ordering::SeqCst);
     if delay > 0 {
--- a/crates/pulleyd/tests/sessions/main.rs
+++ b/crates/pulleyd/tests/sessions/main.rs
@@ -1,9 +1,9 @@
-//! Golden files of whole sessions: three real daemons, `pulleyctl`, stand-in upstreams.
+//! Golden-file tests of whole sessions with three real daemons, `pulleyctl` and stand-in upstreams.
 //!
-//! Update the files with `INSTA_UPDATE=always cargo test -p pulleyd --test sessions`, then read
+//! Update the files with `INSTA_UPDATE=always cargo test -p pulleyd --test sessions`, then review
 //! the difference before committing it.
 
-#![allow(clippy::panic, reason = "a test may end there")]
+#![allow(clippy::panic, reason = "a test may panic to fail")]
 
 mod http_caller;
 mod session_record;
@@ -20,37 +20,38 @@
 
 const KOLKHI: &str = include_str!("../../../../examples/kolkhi.csv");
 
-/// Callers' connections of a host in the session about limits; its setting says the same.
+/// Limit of callers' connections in `refusals_at_limits`; must equal `PULLEYD_CALLERS_LIMIT` there.
 const CALLERS_LIMIT: usize = 16;
 
-/// How often a state that lasts for seconds only is brought about again.
+/// How often a test retries to observe a state that lasts for seconds only.
 const ATTEMPTS: u32 = 10;
 
 const APPLY: [&str; 5] = ["sheet", "apply", "kolkhi.csv", "--actor=ana", "--change-id=morning-1"];
 
-/// The Kolkhi sheet with deadlines that a call meets on a busy machine, too.
-fn patient_sheet() -> String {
+/// Returns the Kolkhi sheet with deadlines that calls meet even on a busy machine.
+fn sheet_with_long_deadlines() -> String {
     let deadlines = [",400,", ",300,", ",800,", ",2000,"];
     deadlines.iter().fold(KOLKHI.to_owned(), |sheet, text| sheet.replace(text, ",20000,"))
 }
 
 /// Starts three daemons with the Kolkhi sheet in force as version 1.
 async fn cluster_with_sheet() -> TestCluster {
-    cluster_with(&[]).await
+    cluster_with_settings(&[]).await
 }
 
-/// The same with further settings.
-async fn cluster_with(settings: &[(&'static str, &'static str)]) -> TestCluster {
+/// Starts three daemons with these settings and the Kolkhi sheet in force as version 1.
+async fn cluster_with_settings(settings: &[(&'static str, &'static str)]) -> TestCluster {
     let cluster = TestCluster::start_with(3, settings).await;
-    fs::write(cluster.folder().join("kolkhi.csv"), patient_sheet()).expect("the sheet is written");
+    fs::write(cluster.folder().join("kolkhi.csv"), sheet_with_long_deadlines())
+        .expect("the sheet is written");
     let applied = cluster.pulleyctl(&[&APPLY[..], &["--expect=0"]].concat());
     assert_eq!(applied.code, 0, "{}{}", applied.out, applied.err);
     cluster.wait_for_version(1).await;
     cluster
 }
 
-/// A morning as operators have it: a faulty sheet, a good one, a race lost with an equal version,
-/// a resend after a lost answer, and a look at what is in force and who did it.
+/// Typical work of operators: a faulty sheet, a valid one, a change that loses a race for the same
+/// version, a resend after a lost answer, and queries of the sheet in force and the audit trail.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn operators_morning() {
     let cluster = TestCluster::start(3).await;
@@ -88,7 +89,7 @@
     record.check("operators_morning");
 }
 
-/// Who holds the log, as an operator changes it.
+/// An operator lists, adds and removes replicas of the log.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn replicas() {
     let cluster = TestCluster::start(3).await;
@@ -107,21 +108,21 @@
     record.check("replicas");
 }
 
-/// Waits until every host lists so many members; a host that does not lead learns of them a
-/// little later.
+/// Waits until every host lists `count` members. A host that is not the leader learns of changes
+/// slightly later.
 async fn wait_for_members(cluster: &TestCluster, count: usize) {
     cluster
         .wait_for(&format!("{count} members everywhere"), async |cluster| {
             cluster.hosts.iter().all(|host| {
                 let server = format!("--server={}", host.operators());
-                let out = cluster.pulleyctl_alone(&[&server, "replica", "list"]).out;
+                let out = cluster.pulleyctl_with_args(&[&server, "replica", "list"]).out;
                 out.lines().count() == count + 1
             })
         })
         .await;
 }
 
-/// One call of each kind of the sheet, each by another host in turn.
+/// One call of each kind of the sheet, through the hosts in turn.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn callers_day() {
     let cluster = cluster_with_sheet().await;
@@ -142,8 +143,8 @@
         ("GET", "/loss-files/3", ""),
         ("GET", "/surveys/3", ""),
     ];
-    for (place, (method, path, body)) in calls.into_iter().enumerate() {
-        record.call(&cluster.hosts[place % 3], method, path, &[], body).await;
+    for (index, (method, path, body)) in calls.into_iter().enumerate() {
+        record.call(&cluster.hosts[index % 3], method, path, &[], body).await;
     }
     record.call(&cluster.hosts[0], "GET", "/nowhere", &[], "").await;
     record.note("what host-1 has counted");
@@ -152,7 +153,7 @@
     assert_eq!(upstreams.iter().map(|upstream| upstream.runs()).sum::<u64>(), 7);
 }
 
-/// A refusal of each cause that callers meet, with its verdict: the request was not run.
+/// A refusal for each common cause, with its verdict: the request was not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refusals() {
     let mut cluster = cluster_with_sheet().await;
@@ -189,10 +190,10 @@
     let held = tokio::spawn(async move {
         http_caller::call(callers, "GET", "/loss-files/held", &[], "").await
     });
-    loss_files.until_held(1).await;
+    loss_files.wait_until_held(1).await;
     let short = [("jacinthpulley-deadline-ms", "200")];
     record.call(&cluster.hosts[0], "GET", "/loss-files/1", &short, "").await;
-    loss_files.let_go();
+    loss_files.release_held();
     let held = held.await.expect("the caller ends").expect("a whole answer");
     record.write_request("GET", "/loss-files/held", &[], "");
     record.write_answer(&held);
@@ -209,9 +210,9 @@
     record.check("refusals");
 }
 
-/// An operator is asked what became of a binding that came back as an error. From the request's id
-/// alone the logs of all hosts must say that it was sent once, where to, and that it may have run;
-/// and of one that was refused, that nothing was sent and by which configuration.
+/// An operator investigates a binding that failed with an error. Given only the request's id, the
+/// logs of all hosts must show that it was sent once, to which upstream, and that it may have run.
+/// For a refused request they must show that nothing was sent, and which configuration applied.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_failed_request_is_explained_from_its_id() {
     let cluster = cluster_with_sheet().await;
@@ -225,36 +226,37 @@
     let refused = [("x-request-id", "weather-of-ana")];
     let answer = http_caller::call(callers, "GET", "/weather", &refused, "").await;
     assert_eq!(answer.expect("a whole answer").status, 404);
-    binding.until_held(1).await;
+    binding.wait_until_held(1).await;
 
-    let story = explained(&cluster, "binding-of-ana").await;
+    let explanation = explain(&cluster, "binding-of-ana").await;
     let expected =
         ["host-2", "verdict=may-have-run", "cause=no-answer-in-time", "attempts=1", "binding-1"];
     for part in expected {
-        assert!(story.contains(part), "{part} is missing:\n{story}");
+        assert!(explanation.contains(part), "{part} is missing:\n{explanation}");
     }
-    let story = explained(&cluster, "weather-of-ana").await;
+    let explanation = explain(&cluster, "weather-of-ana").await;
     for part in ["verdict=not-run", "cause=no-such-kind", "attempts=0", "config=1"] {
-        assert!(story.contains(part), "{part} is missing:\n{story}");
+        assert!(explanation.contains(part), "{part} is missing:\n{explanation}");
     }
-    binding.let_go();
+    binding.release_held();
 }
 
-/// What `pulleyctl explain` says of a request from all hosts' logs: its own lines only.
-async fn explained(cluster: &TestCluster, id: &str) -> String {
-    let files = (0..cluster.hosts.len()).map(|place| cluster.log_file(place));
+/// Returns the lines that `pulleyctl explain` prints for a request from all hosts' logs.
+async fn explain(cluster: &TestCluster, id: &str) -> String {
+    let files = (0..cluster.hosts.len()).map(|index| cluster.log_file(index));
     let files: Vec<String> = files.map(|file| file.display().to_string()).collect();
     let args: Vec<&str> = ["explain", id].into_iter().chain(files.iter().map(|f| &**f)).collect();
-    let written = async |cluster: &TestCluster| cluster.pulleyctl_alone(&args).out.contains(id);
-    cluster.wait_for("the request's line in a log", written).await;
-    let story = cluster.pulleyctl_alone(&args);
-    assert_eq!(story.code, 0, "{}", story.err);
-    let lines = story.out.lines().filter(|line| line.contains(id));
+    let is_logged =
+        async |cluster: &TestCluster| cluster.pulleyctl_with_args(&args).out.contains(id);
+    cluster.wait_for("the request's line in a log", is_logged).await;
+    let explanation = cluster.pulleyctl_with_args(&args);
+    assert_eq!(explanation.code, 0, "{}", explanation.err);
+    let lines = explanation.out.lines().filter(|line| line.contains(id));
     lines.fold(String::new(), |text, line| text + line + "\n")
 }
 
-/// An upstream leaves by its own word, another by an operator's, and then a host of the system
-/// with a call in flight.
+/// One upstream announces that it drains, a host stops with a call in flight, and an operator
+/// drains another upstream.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drains() {
     let mut cluster = cluster_with_sheet().await;
@@ -267,8 +269,8 @@
     first.drain().await;
     cluster.wait_for_upstreams(2).await;
     let before = first.runs();
-    for place in 0..3 {
-        record.call(&cluster.hosts[place], "GET", "/cover/check", &[], "").await;
+    for index in 0..3 {
+        record.call(&cluster.hosts[index], "GET", "/cover/check", &[], "").await;
     }
     assert_eq!((first.runs(), second.runs()), (before, 3));
 
@@ -277,18 +279,18 @@
     let held = tokio::spawn(async move {
         http_caller::call(callers, "GET", "/loss-files/held", &[], "").await
     });
-    loss_files.until_held(1).await;
+    loss_files.wait_until_held(1).await;
     cluster.hosts[0].signal(Signal::SIGTERM);
     cluster
         .wait_for("host-1 to be not ready", async |cluster| {
             cluster.hosts[0].health().await.is_none_or(|health| health.status == 503)
         })
         .await;
-    loss_files.let_go();
+    loss_files.release_held();
     let held = held.await.expect("the caller ends").expect("a whole answer");
     record.write_request("GET", "/loss-files/held", &[], "");
     record.write_answer(&held);
-    let status = cluster.hosts[0].ended().await;
+    let status = cluster.hosts[0].wait_for_exit().await;
     let code = status.code().expect("it ends by itself");
     record.note(&format!("host-1 ended with exit code {code}"));
 
@@ -299,13 +301,13 @@
     record.check("drains");
 }
 
-/// All hosts lose power at once after some changes, and come back to the newest configuration.
+/// All hosts are killed at once after some changes. They must recover the newest configuration.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restart() {
     let mut cluster = cluster_with_sheet().await;
     for version in 1..=5 {
         let file = format!("sheet-{version}.csv");
-        let sheet = patient_sheet().replacen("50%", &format!("{}%", 40 + version), 1);
+        let sheet = sheet_with_long_deadlines().replacen("50%", &format!("{}%", 40 + version), 1);
         fs::write(cluster.folder().join(&file), sheet).expect("the sheet is written");
         let expect = format!("--expect={version}");
         let applied = cluster.pulleyctl(&["sheet", "apply", &file, "--actor=ana", &expect]);
@@ -315,8 +317,8 @@
     for host in &mut cluster.hosts {
         host.kill();
     }
-    for place in 0..3 {
-        cluster.start_host(place);
+    for index in 0..3 {
+        cluster.start_host(index);
     }
     cluster.wait_for_version(6).await;
     let upstream = cluster.start_upstream("cover-1", "cover", 2).await;
@@ -331,11 +333,12 @@
     record.check("restart");
 }
 
-/// Refusals that need a host at its limit or a lost quorum, and a call to a host that leaves. The
-/// last two last for seconds only; if the machine was too busy to meet that time, the attempt is repeated.
+/// Refusals by a host at its connection limit or without a quorum, and a call to a host that is
+/// shutting down. The last two states last for seconds only; if a busy machine misses that time,
+/// the attempt is repeated.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refusals_at_limits() {
-    let mut cluster = cluster_with(&[("PULLEYD_CALLERS_LIMIT", "16")]).await;
+    let mut cluster = cluster_with_settings(&[("PULLEYD_CALLERS_LIMIT", "16")]).await;
     let _loss_files = cluster.start_upstream("loss-files-1", "loss-files", 2).await;
     let binding = cluster.start_upstream("binding-1", "binding", 2).await;
     cluster.wait_for_upstreams(2).await;
@@ -358,20 +361,20 @@
         .await;
 
     record.note("the other replicas are frozen: the key cannot be claimed");
-    let answer = refused_without_quorum(&cluster).await;
+    let answer = call_without_quorum(&cluster).await;
     record.write_request("POST", "/bindings", &[("idempotency-key", "policy-9")], "policy=9");
     record.write_answer(&answer);
-    assert_eq!(binding.runs(), 0, "not run means that it was not run: {answer:?}");
+    assert_eq!(binding.runs(), 0, "a request answered as not run has run: {answer:?}");
 
     record.note("host-2 is told to end, its health says so, and a call still comes");
-    let answer = served_while_leaving(&mut cluster).await;
+    let answer = call_during_shutdown(&mut cluster).await;
     record.write_request("GET", "/loss-files/1", &[], "");
     record.write_answer(&answer);
     record.check("refusals_at_limits");
 }
 
-/// Sends a keyed binding to host-1 while the other hosts stand still.
-async fn refused_without_quorum(cluster: &TestCluster) -> CallerAnswer {
+/// Sends a binding with an idempotency key to host-1 while the other hosts are frozen.
+async fn call_without_quorum(cluster: &TestCluster) -> CallerAnswer {
     let callers = cluster.hosts[0].callers();
     for attempt in 0..ATTEMPTS {
         cluster.wait_for_version(1).await;
@@ -387,29 +390,29 @@
             return answer;
         }
     }
-    panic!("{ATTEMPTS} times the lease was over before the call came");
+    panic!("the lease expired before the call in all {ATTEMPTS} attempts");
 }
 
-/// Sends a call to host-2 after the platform's balancer could know that it leaves and before it
-/// stops accepting.
-async fn served_while_leaving(cluster: &mut TestCluster) -> CallerAnswer {
+/// Sends a call to host-2 after its health check reports the shutdown and before it stops accepting
+/// connections.
+async fn call_during_shutdown(cluster: &mut TestCluster) -> CallerAnswer {
     let callers = cluster.hosts[1].callers();
     for _ in 0..ATTEMPTS {
         cluster.wait_for_version(1).await;
         cluster.wait_for_upstreams(2).await;
         cluster.hosts[1].signal(Signal::SIGTERM);
         let health = cluster.hosts[1].upstreams();
-        let mut told = http_caller::call(health, "GET", "/healthz", &[], "").await;
-        while told.as_ref().is_ok_and(|answer| answer.status == 200) {
-            told = http_caller::call(health, "GET", "/healthz", &[], "").await;
+        let mut health_answer = http_caller::call(health, "GET", "/healthz", &[], "").await;
+        while health_answer.as_ref().is_ok_and(|answer| answer.status == 200) {
+            health_answer = http_caller::call(health, "GET", "/healthz", &[], "").await;
         }
         let answer = http_caller::call(callers, "GET", "/loss-files/1", &[], "").await;
-        cluster.hosts[1].ended().await;
-        if let (Ok(told), Ok(answer)) = (told, answer) {
-            assert_eq!(told.status, 503, "{told:?}");
+        cluster.hosts[1].wait_for_exit().await;
+        if let (Ok(health_answer), Ok(answer)) = (health_answer, answer) {
+            assert_eq!(health_answer.status, 503, "{health_answer:?}");
             return answer;
         }
         cluster.start_host(1);
     }
-    panic!("{ATTEMPTS} times the host had left before a call came");
+    panic!("the host stopped before the call in all {ATTEMPTS} attempts");
 }
--- a/crates/pulleyd/tests/sessions/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/sessions/stand_in_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that answers by itself and announces itself, for tests and the local deployment.
+//! An upstream that announces itself and answers requests, for tests and the local deployment.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -19,17 +19,17 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How often it announces itself: several times within the lease of 3 s, so that one lost
+/// Interval between announcements. Several fit within the lease of 3 s, so that one lost
 /// announcement does no harm.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for a host's answer to an announcement.
-const ANNOUNCE_TIME: Duration = Duration::from_secs(1);
+/// Timeout for a host's answer to an announcement.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Requests whose path holds this word are held until [`StandInUpstream::let_go`].
-const HELD: &str = "held";
+/// Requests whose path contains this text are held until [`StandInUpstream::release_held`].
+const HELD_PATH: &str = "held";
 
-/// Which upstream to play.
+/// The properties of a stand-in upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct StandInRole {
     /// Its id.
@@ -38,17 +38,17 @@
     pub(crate) pool: String,
     /// Its availability zone.
     pub(crate) zone: String,
-    /// How many requests it works on at once.
+    /// The number of slots that it announces.
     pub(crate) slots: u32,
-    /// How long it works on each.
+    /// How long it works on each request.
     pub(crate) service_time: Duration,
-    /// Where it listens, on a port that the system chooses.
+    /// The address it listens on; the system chooses the port.
     pub(crate) address: IpAddr,
     /// The hosts that it announces itself to, in turn.
     pub(crate) hosts: Vec<SocketAddr>,
 }
 
-/// A running stand-in; it leaves without a word when dropped.
+/// A running stand-in upstream. Dropping it stops it without announcing that.
 #[derive(Debug)]
 pub(crate) struct StandInUpstream {
     state: Arc<StandInState>,
@@ -60,7 +60,7 @@
     service_time: Duration,
     runs: AtomicU64,
     held: watch::Sender<u64>,
-    let_go: watch::Sender<bool>,
+    released: watch::Sender<bool>,
     announcement: Mutex<Announcement>,
     hosts: Vec<SocketAddr>,
 }
@@ -69,7 +69,7 @@
     /// Starts to listen and to announce itself.
     ///
     /// # Errors
-    /// If it cannot listen, or the role's names are no names.
+    /// If it cannot listen, or a name in the role is invalid.
     pub(crate) async fn start(role: StandInRole) -> Result<Self, Box<dyn std::error::Error>> {
         let listener = TcpListener::bind((role.address, 0)).await?;
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
@@ -88,7 +88,7 @@
             service_time: role.service_time,
             runs: AtomicU64::new(0),
             held: watch::Sender::new(0),
-            let_go: watch::Sender::new(false),
+            released: watch::Sender::new(false),
             announcement: Mutex::new(announcement),
             hosts: role.hosts,
         });
@@ -96,28 +96,28 @@
         let serve = tokio::spawn(async move {
             let _ = axum::serve(listener, router).await;
         });
-        let announce = tokio::spawn(Arc::clone(&state).announce_for_ever());
+        let announce = tokio::spawn(Arc::clone(&state).announce_repeatedly());
         Ok(Self { state, tasks: vec![serve, announce] })
     }
 
-    /// How many requests it has run.
+    /// Returns how many requests it has run.
     #[must_use]
     pub(crate) fn runs(&self) -> u64 {
         self.state.runs.load(Ordering::SeqCst)
     }
 
-    /// Waits until so many held requests have arrived, in all.
-    pub(crate) async fn until_held(&self, count: u64) {
+    /// Waits until `count` held requests have arrived in total.
+    pub(crate) async fn wait_until_held(&self, count: u64) {
         let mut held = self.state.held.subscribe();
         let _ = held.wait_for(|held| *held >= count).await;
     }
 
-    /// Answers all held requests, and later ones at once.
-    pub(crate) fn let_go(&self) {
-        self.state.let_go.send_replace(true);
+    /// Releases all held requests; later ones are no longer held.
+    pub(crate) fn release_held(&self) {
+        self.state.released.send_replace(true);
     }
 
-    /// Says that it drains, from now on.
+    /// Announces the draining phase from now on.
     pub(crate) async fn drain(&self) {
         self.state.announcement.lock().phase = UpstreamPhase::Draining;
         self.state.announce_once(0).await;
@@ -133,33 +133,34 @@
 }
 
 impl StandInState {
-    async fn announce_for_ever(self: Arc<Self>) {
+    async fn announce_repeatedly(self: Arc<Self>) {
         for round in 0.. {
             self.announce_once(round).await;
-            tokio::time::sleep(ANNOUNCE_EVERY).await;
+            tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         }
     }
 
-    /// Announces itself to the first host that takes it, beginning with another one each time, as
-    /// a balancer in front of the hosts would.
+    /// Announces itself to the first host that accepts the announcement, starting with a different
+    /// host each round, as a balancer in front of the hosts would.
     async fn announce_once(&self, round: usize) {
         let body = {
             let mut announcement = self.announcement.lock();
             announcement.sequence.0 += 1;
             serde_json::to_vec(&*announcement).unwrap_or_default()
         };
-        for place in 0..self.hosts.len() {
-            let host = self.hosts[(round + place) % self.hosts.len()];
-            let told = tokio::time::timeout(ANNOUNCE_TIME, tell(host, body.clone())).await;
-            if matches!(told, Ok(Some(200))) {
+        for index in 0..self.hosts.len() {
+            let host = self.hosts[(round + index) % self.hosts.len()];
+            let status =
+                tokio::time::timeout(ANNOUNCE_TIMEOUT, post_announcement(host, body.clone())).await;
+            if matches!(status, Ok(Some(200))) {
                 return;
             }
         }
     }
 }
 
-/// Posts an announcement; gives the status, if there is one.
-async fn tell(host: SocketAddr, body: Vec<u8>) -> Option<u16> {
+/// Posts an announcement. Returns the status of the answer, if there is one.
+async fn post_announcement(host: SocketAddr, body: Vec<u8>) -> Option<u16> {
     let stream = TcpStream::connect(host).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
@@ -174,9 +175,9 @@
 async fn answer(State(state): State<Arc<StandInState>>, request: Request<Body>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-    if parts.uri.path().contains(HELD) {
+    if parts.uri.path().contains(HELD_PATH) {
         state.held.send_modify(|held| *held += 1);
-        let _ = state.let_go.subscribe().wait_for(|let_go| *let_go).await;
+        let _ = state.released.subscribe().wait_for(|released| *released).await;
     }
     tokio::time::sleep(state.service_time).await;
     state.runs.fetch_add(1, Ordering::SeqCst);
--- a/crates/pulleyd/tests/sessions/test_cluster.rs
+++ b/crates/pulleyd/tests/sessions/test_cluster.rs
@@ -1,4 +1,4 @@
-//! Real daemons on loopback, with stand-in upstreams in the test's own process.
+//! Real daemons on loopback addresses, with stand-in upstreams in the test process.
 
 use std::fs::{self, File};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,18 +15,18 @@
 use crate::http_caller::{self, CallerAnswer};
 use crate::stand_in_upstream::{StandInRole, StandInUpstream};
 
-/// Longest wait for a condition; only a fault ends there, also on a busy machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for conditions. Even on a busy machine it is reached only when there is a fault.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at a condition.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The key of all test clusters.
+/// The secret key of all test clusters.
 const SECRET: &str = "test-key-test-key-test-key-test-key\n";
 
-/// Ports of each daemon. The hosts have loopback addresses of their own, so that no other test
-/// can take a port while a daemon restarts; these ports lie outside the range that the system
-/// gives to outgoing connections.
+/// Ports of each daemon. Each host has its own loopback address, so that no other test can take a
+/// port while a daemon restarts. These ports are outside the range that the system uses for
+/// outgoing connections.
 const CALLERS_PORT: u16 = 8080;
 const UPSTREAMS_PORT: u16 = 8081;
 const OPERATORS_PORT: u16 = 8082;
@@ -34,13 +34,13 @@
 
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address that no other test process and no other host of this one has.
-fn own_address() -> IpAddr {
+/// Returns a loopback address that is unique to this test process and host.
+fn unique_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// One daemon.
+/// A host that runs one daemon.
 #[derive(Debug)]
 pub(crate) struct TestHost {
     name: String,
@@ -49,17 +49,17 @@
 }
 
 impl TestHost {
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub(crate) fn callers(&self) -> SocketAddr {
         SocketAddr::new(self.address, CALLERS_PORT)
     }
 
-    /// Where upstreams announce themselves.
+    /// Returns the address at which upstreams announce themselves.
     pub(crate) fn upstreams(&self) -> SocketAddr {
         SocketAddr::new(self.address, UPSTREAMS_PORT)
     }
 
-    /// Where operators connect.
+    /// Returns the address for operators.
     pub(crate) fn operators(&self) -> SocketAddr {
         SocketAddr::new(self.address, OPERATORS_PORT)
     }
@@ -68,7 +68,7 @@
         SocketAddr::new(self.address, PEERS_PORT)
     }
 
-    /// What `/healthz` says; nothing if it does not answer.
+    /// Returns the answer of `/healthz`, or `None` if there is none.
     pub(crate) async fn health(&self) -> Option<CallerAnswer> {
         http_caller::call(self.upstreams(), "GET", "/healthz", &[], "").await.ok()
     }
@@ -78,8 +78,8 @@
         kill(self.process_id(), signal).expect("the daemon is there");
     }
 
-    /// Freezes the daemon. A signal is only on its way when it has been sent: until the system
-    /// reports the stop, a thread of the daemon may still answer.
+    /// Freezes the daemon. Waits until the system reports the stop, because the signal is delivered
+    /// asynchronously and a thread of the daemon may still answer until then.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
         let stopped = waitpid(self.process_id(), Some(WaitPidFlag::WUNTRACED));
@@ -91,20 +91,20 @@
         Pid::from_raw(i32::try_from(child.id()).expect("process ids are small"))
     }
 
-    /// Waits until the daemon has ended by itself.
-    pub(crate) async fn ended(&mut self) -> ExitStatus {
+    /// Waits until the daemon has exited by itself.
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut child = self.child.take().expect("the daemon runs");
-        let begin = Instant::now();
+        let start_time = Instant::now();
         loop {
             if let Some(status) = child.try_wait().expect("a child can be waited for") {
                 return status;
             }
-            assert!(begin.elapsed() < PATIENCE, "{} does not end", self.name);
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(start_time.elapsed() < WAIT_TIMEOUT, "{} does not end", self.name);
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Ends the daemon at once, as a power loss would.
+    /// Kills the daemon, as a power loss would.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -119,7 +119,7 @@
     }
 }
 
-/// Some daemons that hold the log, each also an entry.
+/// A cluster of daemons, each with the roles entry and replica.
 #[derive(Debug)]
 pub(crate) struct TestCluster {
     /// The daemons.
@@ -134,21 +134,21 @@
         Self::start_with(count, &[]).await
     }
 
-    /// The same with further settings, by their variables.
+    /// The same as [`Self::start`], with additional settings as environment variables.
     pub(crate) async fn start_with(
         count: usize,
         settings: &[(&'static str, &'static str)],
     ) -> Self {
         let folder = TempDir::new().expect("a folder for the test");
         fs::write(folder.path().join("secret"), SECRET).expect("the secret is written");
-        let hosts = (0..count).map(|place| TestHost {
-            name: format!("host-{}", place + 1),
-            address: own_address(),
+        let hosts = (0..count).map(|index| TestHost {
+            name: format!("host-{}", index + 1),
+            address: unique_address(),
             child: None,
         });
         let mut cluster = Self { hosts: hosts.collect(), folder, settings: settings.to_vec() };
-        for place in 0..count {
-            cluster.start_host(place);
+        for index in 0..count {
+            cluster.start_host(index);
         }
         cluster
             .wait_for("a leader", async |cluster| cluster.pulleyctl(&["sheet", "show"]).code == 0)
@@ -156,16 +156,16 @@
         cluster
     }
 
-    /// Starts one daemon, again or for the first time.
-    pub(crate) fn start_host(&mut self, place: usize) {
+    /// Starts or restarts one daemon.
+    pub(crate) fn start_host(&mut self, index: usize) {
         let seeds: Vec<String> = self.hosts.iter().map(|host| host.peers().to_string()).collect();
         let replicas: Vec<String> = (0..self.hosts.len())
-            .map(|place| format!("{}=m{}", self.hosts[place].name, place + 1))
+            .map(|index| format!("{}=m{}", self.hosts[index].name, index + 1))
             .collect();
-        let host = &self.hosts[place];
-        let log = File::options().create(true).append(true).open(self.log_file(place));
+        let host = &self.hosts[index];
+        let log = File::options().create(true).append(true).open(self.log_file(index));
         let log = log.expect("the log can be opened");
-        let faults = log.try_clone().expect("another handle");
+        let stderr_log = log.try_clone().expect("another handle");
         let child = Command::new(env!("CARGO_BIN_EXE_pulleyd"))
             .env_clear()
             .envs(self.settings.iter().copied())
@@ -183,9 +183,9 @@
             .env("PULLEYD_PEERS_LISTEN", host.peers().to_string())
             .stdin(Stdio::null())
             .stdout(log)
-            .stderr(faults)
+            .stderr(stderr_log)
             .spawn();
-        self.hosts[place].child = Some(child.expect("pulleyd starts"));
+        self.hosts[index].child = Some(child.expect("pulleyd starts"));
     }
 
     /// Starts a stand-in upstream that announces itself to all hosts in turn.
@@ -196,23 +196,23 @@
             zone: "zone-1".to_owned(),
             slots,
             service_time: Duration::ZERO,
-            address: own_address(),
+            address: unique_address(),
             hosts: self.hosts.iter().map(TestHost::upstreams).collect(),
         };
         StandInUpstream::start(role).await.expect("the upstream starts")
     }
 
-    /// The file of one daemon's log.
-    pub(crate) fn log_file(&self, place: usize) -> PathBuf {
-        self.folder.path().join(format!("{}.log", self.hosts[place].name))
+    /// Returns the path of one daemon's log.
+    pub(crate) fn log_file(&self, index: usize) -> PathBuf {
+        self.folder.path().join(format!("{}.log", self.hosts[index].name))
     }
 
-    /// The key that operators send.
+    /// Returns the key that operators send.
     pub(crate) fn secret(&self) -> &'static str {
         SECRET.trim_end()
     }
 
-    /// The test's own folder.
+    /// Returns the folder of this test.
     pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -220,18 +220,18 @@
     // -------------------------------------------------------------------------------------
     // Waiting
 
-    /// Waits until a condition holds; fails the test with the daemons' logs when it never does.
-    pub(crate) async fn wait_for(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) {
-        let begin = Instant::now();
-        while !holds(self).await {
-            if begin.elapsed() > PATIENCE {
-                panic!("waited in vain for {what}\n{}", self.logs());
+    /// Waits until a condition holds. Fails the test with the daemons' logs on timeout.
+    pub(crate) async fn wait_for(&self, what: &str, condition: impl AsyncFn(&Self) -> bool) {
+        let start_time = Instant::now();
+        while !condition(self).await {
+            if start_time.elapsed() > WAIT_TIMEOUT {
+                panic!("timed out waiting for {what}\n{}", self.logs());
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until every running host is ready with a version, or a later one.
+    /// Waits until every running host is ready with this version or a later one.
     pub(crate) async fn wait_for_version(&self, version: u64) {
         self.wait_for(&format!("version {version} everywhere"), async |cluster| {
             for host in cluster.running() {
@@ -247,12 +247,12 @@
         .await;
     }
 
-    /// Waits until every running host knows so many upstreams that take work.
+    /// Waits until every running host knows exactly `count` upstreams that take work.
     pub(crate) async fn wait_for_upstreams(&self, count: usize) {
         self.wait_for(&format!("{count} upstreams everywhere"), async |cluster| {
             cluster.running().all(|host| {
                 let server = format!("--server={}", host.operators());
-                let out = cluster.pulleyctl_alone(&[&server, "--json", "upstreams"]).out;
+                let out = cluster.pulleyctl_with_args(&[&server, "--json", "upstreams"]).out;
                 out.matches("\"takes_work\":true").count() == count
             })
         })
@@ -264,7 +264,7 @@
     }
 
     fn logs(&self) -> String {
-        let log = |place| fs::read_to_string(self.log_file(place)).unwrap_or_default();
+        let log = |index| fs::read_to_string(self.log_file(index)).unwrap_or_default();
         (0..self.hosts.len()).map(log).collect::<Vec<_>>().join("\n")
     }
 
@@ -272,23 +272,23 @@
     // Operators
 
     /// Runs `pulleyctl` against all hosts in turn.
-    pub(crate) fn pulleyctl(&self, args: &[&str]) -> ClientOutput {
+    pub(crate) fn pulleyctl(&self, args: &[&str]) -> PulleyctlOutput {
         let servers: Vec<String> =
             self.hosts.iter().map(|host| format!("--server={}", host.operators())).collect();
         let servers = servers.iter().map(String::as_str);
-        self.pulleyctl_alone(&servers.chain(args.iter().copied()).collect::<Vec<_>>())
+        self.pulleyctl_with_args(&servers.chain(args.iter().copied()).collect::<Vec<_>>())
     }
 
     /// Runs `pulleyctl` with exactly these arguments.
-    pub(crate) fn pulleyctl_alone(&self, args: &[&str]) -> ClientOutput {
-        let output = Command::new(client_binary())
+    pub(crate) fn pulleyctl_with_args(&self, args: &[&str]) -> PulleyctlOutput {
+        let output = Command::new(pulleyctl_binary())
             .env_clear()
             .env("PULLEYCTL_SECRET_FILE", self.folder.path().join("secret"))
             .current_dir(self.folder.path())
             .args(args)
             .output()
             .expect("pulleyctl runs");
-        ClientOutput {
+        PulleyctlOutput {
             code: output.status.code().expect("pulleyctl ends by itself"),
             out: String::from_utf8_lossy(&output.stdout).into_owned(),
             err: String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -296,9 +296,9 @@
     }
 }
 
-/// What a run of `pulleyctl` printed.
+/// The result of a run of `pulleyctl`.
 #[derive(Debug)]
-pub(crate) struct ClientOutput {
+pub(crate) struct PulleyctlOutput {
     /// Its exit code.
     pub(crate) code: i32,
     /// What it printed on standard output.
@@ -307,9 +307,9 @@
     pub(crate) err: String,
 }
 
-/// The `pulleyctl` of this build. Cargo builds the binaries of a test's own package only, so that
-/// one of another package could be an old one.
-fn client_binary() -> &'static Path {
+/// Builds `pulleyctl` and returns its path. Cargo builds only the binaries of a test's own package,
+/// so an existing binary of another package could be stale.
+fn pulleyctl_binary() -> &'static Path {
     static BINARY: std::sync::OnceLock<PathBuf> = std::sync::OnceLock::new();
     BINARY.get_or_init(|| {
         let mut build = Command::new(env!("CARGO"));
