--- a/crates/pulleyd/src/connection/caller_listener.rs
+++ b/crates/pulleyd/src/connection/caller_listener.rs
@@ -23,33 +23,35 @@
 use crate::process::TimerSubscription;
 use crate::request::{FirstArrival, RequestForwarder, TrafficContext, TrafficCounters};
 
-/// What binding returns.
+/// The result of binding the listener.
 type Result<T> = std::result::Result<T, io::Error>;
 
-/// How long accepting pauses after it failed, so that a lack of descriptors is no busy loop.
+/// Delay after a failed accept, so that a lack of file descriptors causes no busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a caller's connection is quiet before the system asks whether it is still there.
+/// How long a caller's connection is idle before the operating system sends keepalive probes.
 const KEEPALIVE_QUIET: Duration = Duration::from_secs(30);
 
-/// How long sent bytes may stay unacknowledged by a caller.
+/// How long sent bytes may stay unacknowledged by a caller before the connection is closed.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(30);
 
-/// How often an HTTP/2 caller is asked whether it is still there, and how long it may take.
+/// Interval of HTTP/2 keepalive pings to a caller, and the timeout for each answer.
 const PING_PERIOD: Duration = Duration::from_secs(20);
 
-/// Requests at once on one HTTP/2 connection; a caller with more opens another one.
+/// Maximum concurrent requests on one HTTP/2 connection. A caller with more opens another one.
 const STREAM_LIMIT: u32 = 256;
 
-/// Connections beyond the limit that still get an answer, as a part of the limit: an eighth.
+/// Divides the connection limit to give the number of connections beyond it that still get a
+/// refusal as their answer: one eighth.
 const REFUSED_PART: usize = 8;
 
-/// How a drain has ended.
+/// The result of draining the callers' connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Callers' connections that were cut off.
+    /// Number of callers' connections that were closed by force.
     pub connections: usize,
-    /// Requests in progress that were cut off; above 0 the process should end with a failure.
+    /// Number of requests in progress that were aborted. If it is above 0, the process should exit
+    /// with a failure.
     pub requests: usize,
 }
 
@@ -63,8 +65,8 @@
 /// let report = listener.serve(first_signal, grace).await;
 /// ```
 ///
-/// Before the shutdown signal the host should already be not ready for long enough that the
-/// platform's balancer has taken notice; [`Self::serve_until`] also ends early on a second signal.
+/// Before the shutdown signal, the host should report not ready for long enough that the platform's
+/// balancer has noticed. [`Self::serve_until`] also ends early on a second signal.
 #[derive(Debug)]
 pub struct CallerListener {
     listener: TcpListener,
@@ -72,34 +74,34 @@
 }
 
 impl CallerListener {
-    /// Binds to an address; port 0 lets the system choose.
+    /// Binds to an address. With port 0 the operating system chooses the port.
     ///
     /// # Errors
-    /// The operating system's, if the address cannot be bound.
+    /// The operating system's error if the address cannot be bound.
     pub async fn bind(address: SocketAddr, context: Arc<TrafficContext>) -> Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener, context })
     }
 
-    /// The address it listens on.
+    /// Returns the address it listens on.
     ///
     /// # Errors
-    /// The operating system's.
+    /// The operating system's error if it cannot report the address.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves callers until `shutdown` is ready, then finishes what is in flight for at most
+    /// Serves callers until `shutdown` is ready, then finishes requests in flight for at most
     /// `grace`.
     pub async fn serve(self, shutdown: impl Future<Output = ()>, grace: Duration) -> DrainReport {
         self.serve_until(shutdown, grace, std::future::pending()).await
     }
 
-    /// Serves callers until `shutdown` is ready, then finishes what is in flight for at most
-    /// `grace` and only until `cut` is ready.
+    /// Serves callers until `shutdown` is ready, then finishes requests in flight until `grace` has
+    /// passed or `cut` is ready.
     ///
-    /// After the signal nothing new is accepted, HTTP/2 callers get GOAWAY and HTTP/1.1 ones
-    /// `Connection: close`. What is left in the end is cut off, counted and logged.
+    /// After the signal no new connection is accepted. HTTP/2 callers get GOAWAY and HTTP/1.1
+    /// callers `Connection: close`. Whatever remains at the end is aborted, counted and logged.
     pub async fn serve_until(
         self,
         shutdown: impl Future<Output = ()>,
@@ -119,7 +121,7 @@
                 () = &mut shutdown => break,
             }
         }
-        // What the system has accepted on our behalf would be reset if the listener just closed.
+        // Connections in the accept backlog would be reset if the listener just closed.
         while let Some(Ok((stream, peer))) = listener.accept().now_or_never() {
             callers.serve(stream, peer);
         }
@@ -137,7 +139,7 @@
     tasks: Arc<CallerTasks>,
 }
 
-/// The tasks of the callers' connections, for cutting them off.
+/// The tasks of the callers' connections, kept so that they can be aborted.
 #[derive(Default)]
 struct CallerTasks {
     running: Mutex<FastMap<u64, AbortHandle>>,
@@ -149,7 +151,8 @@
     fn spawn(self: &Arc<Self>, work: impl Future<Output = ()> + Send + 'static) {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let tasks = Arc::clone(self);
-        // Held while spawning, so that a task that ends at once does not end before it is noted.
+        // The lock is held while spawning, so that a task that ends at once cannot remove its
+        // handle before it was inserted.
         let mut running = self.running.lock();
         let task = tokio::spawn(async move {
             work.await;
@@ -168,12 +171,13 @@
         Self { context, graceful: GracefulShutdown::new(), tasks: Arc::default() }
     }
 
-    /// Serves one connection, or refuses its first request if the process is at its limit.
+    /// Serves one connection, or refuses its requests if the process is at its connection limit.
     ///
-    /// Load it is for: callers that reconnect all at once after a network fault. Each connection
-    /// costs memory; past the limit a refusal as not run costs the caller one round trip, where
-    /// accepting it could cost all callers their process. Far past it even that is too much, and
-    /// the connection is closed unanswered.
+    /// Load: callers that all reconnect at once after a network fault. Each connection costs
+    /// memory. Beyond the limit, a refusal with the verdict "not run" costs the caller one round
+    /// trip, while serving it could exhaust the memory of the process that all callers use. Far
+    /// beyond the limit even a refusal costs too much, and the connection is closed without an
+    /// answer.
     fn serve(&self, stream: TcpStream, peer: SocketAddr) {
         let limit = self.context.limits.caller_connections;
         let seat = ConnectionSeat::take(&self.context.counters);
@@ -226,7 +230,8 @@
         if !ended {
             report.connections = context.counters.caller_connections.load(Ordering::Relaxed);
         }
-        // A keyed request goes on after its caller has left, so it is waited for as well.
+        // A request with an idempotency key continues after its caller has disconnected, so the
+        // drain waits for it as well.
         report.requests = remaining_requests(&context, deadline, ended).await;
         tasks.cut_off();
         info!(context.logger, "callers-drained";
@@ -235,10 +240,10 @@
     }
 }
 
-/// Runs a connection; `None` if its caller connected and then sent no request in time.
+/// Runs a connection. Returns `None` if its caller sent no request before the timeout.
 ///
-/// Without this a caller that says nothing would hold its connection for good: the library's limit
-/// on headers begins with their first byte.
+/// Without this timeout a caller that sends nothing would hold its connection forever, because the
+/// HTTP library's header timeout starts with the first byte of the headers.
 async fn until_first_limit<C: Future>(
     connection: C,
     first_limit: TimerSubscription,
@@ -259,13 +264,13 @@
     .await
 }
 
-/// Waits for requests that go on without their callers; counts what is left in the end.
+/// Waits for requests that continue without their callers. Returns how many remain in the end.
 async fn remaining_requests(
     context: &TrafficContext,
     deadline: pulley_core::Moment,
     may_wait: bool,
 ) -> usize {
-    /// How often the count is looked at.
+    /// How often the number of requests is read.
     const LOOK_PERIOD: Duration = Duration::from_millis(10);
 
     loop {
@@ -277,7 +282,7 @@
     }
 }
 
-/// A caller's connection among those counted.
+/// Counts one caller's connection for as long as it is held.
 struct ConnectionSeat {
     counters: Arc<TrafficCounters>,
     before: usize,
@@ -296,8 +301,10 @@
     }
 }
 
-/// The library's limit on headers is the process's own. It holds for as long as the connection, and
-/// the plan in force, which may allow less, is another by then: that is looked at with each request.
+/// Builds the HTTP server with the process's limit on headers.
+///
+/// This limit applies for the whole life of a connection. The plan in force may allow less and can
+/// change during that time, so its limit is checked with each request.
 fn server_builder(header_bytes: u64, header_timeout: Duration) -> auto::Builder<TokioExecutor> {
     let header_list = u32::try_from(header_bytes).unwrap_or(u32::MAX);
     let header_bytes = usize::try_from(header_bytes).unwrap_or(usize::MAX);
@@ -306,7 +313,8 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
-        // Up to the limit the answer is our own with its verdict; beyond twice it, the library's.
+        // Between the limit and twice the limit, this process refuses with a verdict. Beyond that,
+        // the HTTP library answers.
         .max_buf_size(header_bytes.saturating_mul(2).max(16 * 1024));
     builder
         .http2()
@@ -318,7 +326,7 @@
     builder
 }
 
-/// Lets the system notice callers that are gone without a word.
+/// Makes the operating system detect callers that vanished without closing the connection.
 fn set_options(stream: &TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/pulleyd/src/connection/link_meter.rs
+++ b/crates/pulleyd/src/connection/link_meter.rs
@@ -1,4 +1,4 @@
-//! Knows exactly whether any byte of a request has left.
+//! Tracks exactly whether any byte of a request was written to its connection.
 
 use std::io;
 use std::sync::Arc;
@@ -12,12 +12,12 @@
     sealed: bool,
 }
 
-/// Counts what is written to one connection and can stop it for good.
+/// Counts the bytes written to one connection and can forbid further writes permanently.
 ///
-/// A request whose connection fails, or whose time is up while it is being sent, may say "not run"
-/// only if no byte of it has left. Asking the counter alone would race with the task that writes;
-/// [`Self::seal`] first forbids any further write, under the lock that each write holds, so its
-/// answer stays true.
+/// A request whose connection fails, or whose deadline passes while it is being sent, may be
+/// reported as "not run" only if no byte of it was written. Reading the counter alone would race
+/// with the task that writes. [`Self::seal`] first forbids further writes, under the lock that each
+/// write holds, so its result stays true.
 #[derive(Clone, Debug, Default)]
 pub struct LinkMeter {
     state: Arc<Mutex<MeterState>>,
@@ -30,7 +30,7 @@
         state.request_start = state.written;
     }
 
-    /// Forbids further writes and says whether any byte of the current request has left.
+    /// Forbids further writes. Returns whether any byte of the current request was written.
     #[must_use]
     pub fn seal(&self) -> bool {
         let mut state = self.state.lock();
@@ -41,7 +41,7 @@
     /// Runs one write and counts it, unless the meter is sealed.
     ///
     /// # Errors
-    /// The write's, or `BrokenPipe` once sealed.
+    /// The error of the write, or `BrokenPipe` once sealed.
     pub(super) fn write<P>(
         &self,
         sealed: impl FnOnce(io::Error) -> P,
--- a/crates/pulleyd/src/connection/metered_stream.rs
+++ b/crates/pulleyd/src/connection/metered_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream whose writes are counted.
+//! A TCP stream whose written bytes are counted.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 use super::LinkMeter;
 
-/// A TCP stream whose writes go through a [`LinkMeter`].
+/// A TCP stream that counts its written bytes in a [`LinkMeter`], which can also forbid writes.
 #[derive(Debug)]
 pub(crate) struct MeteredStream {
     stream: TcpStream,
--- a/crates/pulleyd/src/connection/mod.rs
+++ b/crates/pulleyd/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! State that lives as long as one connection.
+//! Connections to callers, upstreams and other hosts, and the state that lives as long as one.
 
 mod peer_datagrams;
 mod peer_frame;
--- a/crates/pulleyd/src/connection/peer_datagrams.rs
+++ b/crates/pulleyd/src/connection/peer_datagrams.rs
@@ -1,4 +1,4 @@
-//! Authenticated datagrams between hosts, for messages of which only the latest matters.
+//! Authenticated UDP datagrams between hosts, for messages of which only the latest matters.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,37 +16,38 @@
 use super::peer_frame::{DATAGRAM_LIMIT, FrameClass, InboundDatagram};
 use super::peer_key_ring::KeyRing;
 
-/// The first byte of every datagram; a later format gets another.
+/// The first byte of a datagram that carries one message. A later format would use another value.
 const FORMAT: u8 = 1;
 /// The first byte of a datagram that carries several messages.
 const BUNDLE_FORMAT: u8 = 2;
-/// Class and length before each message of a bundle.
+/// Bytes of the class and length that precede each message of a bundle.
 const PART_HEADER: usize = 3;
-/// The tag's length: HMAC-SHA256 cut to half, as RFC 2104 section 5 allows.
+/// Length of the tag: HMAC-SHA256 truncated to half, as RFC 2104 section 5 allows.
 const TAG_LENGTH: usize = 16;
-/// What tells a datagram's tag from a link's proof under the same key.
+/// Domain separator between the tags of datagrams and the proofs of links under the same key.
 const CONTEXT: &[u8] = b"datagram";
-/// Format, class, length of the sender's name, the longest name, and the tag.
+/// Maximum bytes around a body: format, class, length of the sender's name, the longest name, and
+/// the tag.
 const OVERHEAD: usize = 3 + 64 + TAG_LENGTH;
-/// How many datagrams are read before other tasks of the control thread get their turn.
+/// Number of datagrams to read before yielding to other tasks of the control thread.
 const READ_BURST: usize = 64;
 
-/// How many datagrams went which way.
+/// Numbers of datagrams sent, received and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DatagramCounts {
-    /// Sent.
+    /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent, without the headers of UDP and IP.
     pub sent_bytes: u64,
-    /// Not sent: too large, or the socket's buffer was full.
+    /// Datagrams not sent, because they were too large or the socket's buffer was full.
     pub unsent: u64,
-    /// Received and genuine.
+    /// Datagrams received with a valid tag.
     pub received: u64,
-    /// Bytes received in genuine datagrams, without the headers of UDP and IP.
+    /// Bytes received in datagrams with a valid tag, without the headers of UDP and IP.
     pub received_bytes: u64,
-    /// Received, but malformed or with a wrong tag.
+    /// Datagrams received that were malformed or had a wrong tag.
     pub refused: u64,
-    /// Genuine, but dropped as the control thread was behind.
+    /// Messages with a valid tag that were dropped because the control thread's queue was full.
     pub dropped: u64,
 }
 
@@ -63,8 +64,8 @@
 
 /// The UDP socket of one host.
 ///
-/// Gossip and counts go this way: the latest message replaces earlier ones, so nothing is gained by
-/// waiting for a lost one behind a connection that has gone silent.
+/// Gossip and counts use datagrams. The latest message replaces earlier ones, so retransmitting a
+/// lost one over a connection that has gone silent would gain nothing.
 #[derive(Debug)]
 pub struct PeerDatagrams {
     socket: Arc<UdpSocket>,
@@ -74,7 +75,8 @@
 }
 
 impl PeerDatagrams {
-    /// Binds the socket and passes on what comes in; must be called within a tokio runtime.
+    /// Binds the socket and forwards received messages to `inbound`. Must be called within a tokio
+    /// runtime.
     ///
     /// # Errors
     /// If the address can't be bound.
@@ -84,7 +86,7 @@
         inbound: mpsc::Sender<InboundDatagram>,
     ) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind(listen).await?);
-        // Until the socket is known to take datagrams, every send would drop its own.
+        // Until the runtime knows that the socket is writable, every send would drop its datagram.
         socket.writable().await?;
         let counters = Arc::new(Counters::default());
         let reader = read_all(Arc::clone(&socket), seal.clone(), Arc::clone(&counters), inbound);
@@ -92,19 +94,19 @@
         Ok(Self { socket, seal, counters, reader })
     }
 
-    /// The address bound.
+    /// Returns the bound address.
     ///
     /// # Errors
-    /// If the operating system can't tell.
+    /// If the operating system cannot report it.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     #[expect(
         clippy::must_use_candidate,
-        reason = "a lost datagram is no error: a later one follows"
+        reason = "a lost datagram is no error, as a later one follows"
     )]
-    /// Sends a message, or drops it if the socket takes none now; returns whether it was sent.
+    /// Sends a message, or drops it if the socket's buffer is full. Returns whether it was sent.
     pub fn send(&self, to: SocketAddr, class: FrameClass, body: &[u8]) -> bool {
         let sealed = (body.len() <= DATAGRAM_LIMIT).then(|| self.seal.seal(class, body));
         let sent = sealed.and_then(|datagram| self.socket.try_send_to(&datagram, to).ok());
@@ -113,8 +115,8 @@
 
     /// Sends messages to one host, in one datagram if they fit.
     ///
-    /// Each datagram wakes both hosts and carries headers, a name and a tag of its own, which is
-    /// more than what is in it where little happens.
+    /// Each datagram wakes up both hosts and carries its own headers, name and tag. On a mostly
+    /// idle system that overhead is larger than the messages themselves.
     pub fn send_all(&self, to: SocketAddr, parts: &[(FrameClass, Bytes)]) {
         let length: usize = parts.iter().map(|(_, body)| PART_HEADER + body.len()).sum();
         if parts.len() < 2 || length > DATAGRAM_LIMIT {
@@ -137,7 +139,7 @@
         true
     }
 
-    /// How many datagrams went which way so far.
+    /// Returns the numbers of datagrams so far.
     #[must_use]
     pub fn counts(&self) -> DatagramCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -159,7 +161,7 @@
     }
 }
 
-/// Puts the sender's name and a tag on datagrams, and takes them off.
+/// Adds the sender's name and an authentication tag to datagrams, and verifies and removes them.
 #[derive(Clone, Debug)]
 pub struct DatagramSeal {
     host: HostId,
@@ -168,20 +170,20 @@
 }
 
 impl DatagramSeal {
-    /// Makes the seal of one host.
+    /// Creates the seal of one host.
     #[must_use]
     pub fn new(host: HostId, cluster: ClusterId, key_ring: KeyRing) -> Self {
         Self { host, cluster, key_ring }
     }
 
-    /// Makes a datagram: format, class, the sender's name, the body, and a tag over all of it and
-    /// the installation's name.
+    /// Encodes a datagram of one message: format, class, the sender's name, the body, and a tag
+    /// over all of these and the name of the installation.
     #[must_use]
     pub fn seal(&self, class: FrameClass, body: &[u8]) -> Vec<u8> {
         self.sealed([FORMAT, class as u8], body)
     }
 
-    /// Makes a datagram of several messages; each has its class and length before it.
+    /// Encodes a datagram of several messages, each preceded by its class and length.
     #[must_use]
     pub fn seal_all(&self, parts: &[(FrameClass, Bytes)]) -> Vec<u8> {
         let mut bundle = Vec::new();
@@ -204,8 +206,8 @@
         datagram
     }
 
-    /// Checks a datagram and takes it apart into its messages; nothing of it is looked at before
-    /// its tag. One message that cannot be read makes all of them unreadable.
+    /// Verifies a datagram and splits it into its messages. The tag is verified before anything
+    /// else is parsed. If one message cannot be read, the whole datagram is rejected.
     #[must_use]
     pub fn open(&self, datagram: &[u8]) -> Option<(HostId, Vec<(FrameClass, Bytes)>)> {
         let length = datagram.len().checked_sub(TAG_LENGTH)?;
@@ -252,11 +254,12 @@
     counters: Arc<Counters>,
     inbound: mpsc::Sender<InboundDatagram>,
 ) {
-    // One byte more than the largest, so that a larger one shows instead of being cut to size.
+    // One byte more than the largest datagram, so that a larger one is detected instead of being
+    // truncated to a valid size.
     let mut buffer = vec![0_u8; DATAGRAM_LIMIT + OVERHEAD + 1];
     let mut burst = 0;
     while !inbound.is_closed() {
-        // An error here is a peer's refused port, reported by ICMP: it concerns no other peer.
+        // An error here is a peer's closed port, reported by ICMP. It does not affect other peers.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             tokio::task::yield_now().await;
             continue;
--- a/crates/pulleyd/src/connection/peer_frame.rs
+++ b/crates/pulleyd/src/connection/peer_frame.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts, as links and datagrams carry them.
+//! Messages between hosts, as received over links and in datagrams.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 use pulley_core::version::CHANGE_BYTES_LIMIT;
 pub use pulley_wire::peer_capnp::FrameClass;
 
-/// The largest body of one frame on a link, in bytes; larger things go in chunks.
+/// The largest body of one frame on a link, in bytes. Larger data is sent in chunks.
 ///
-/// A frame over it is never sent, so it holds the largest change that is accepted, and the other
-/// entries that may travel with it. An entry that fits no frame would be proposed, never committed,
-/// and hold up the log for good.
+/// A larger frame is never sent, so the limit leaves room for the largest accepted change plus the
+/// other log entries that may be sent with it. A log entry that fits in no frame would be proposed
+/// but never committed, and would block the log forever.
 pub const FRAME_LIMIT: usize = CHANGE_BYTES_LIMIT + OTHER_ENTRIES_BYTES;
 
-/// Room for the entries that may travel with a change.
+/// Bytes reserved for the log entries that may be sent in the same frame as a change.
 const OTHER_ENTRIES_BYTES: usize = 128 << 10;
 
-/// The largest body of a datagram, in bytes, so that with its header it fits an Ethernet frame.
+/// The largest body of a datagram, in bytes. With its headers it fits in one Ethernet frame.
 pub const DATAGRAM_LIMIT: usize = 1_200;
 
 /// A frame that an authenticated host sent over a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InboundFrame {
-    /// Who sent it.
+    /// The host that sent it.
     pub from: HostId,
-    /// What it is about.
+    /// The kind of message.
     pub class: FrameClass,
     /// The encoded message.
     pub body: Bytes,
@@ -34,11 +34,11 @@
 /// A datagram whose tag proves that a host of this installation sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InboundDatagram {
-    /// Who sent it.
+    /// The host that sent it.
     pub sender: HostId,
-    /// Where it came from.
+    /// The address it came from.
     pub from: SocketAddr,
-    /// What it is about.
+    /// The kind of message.
     pub class: FrameClass,
     /// The encoded message.
     pub body: Bytes,
--- a/crates/pulleyd/src/connection/peer_gate.rs
+++ b/crates/pulleyd/src/connection/peer_gate.rs
@@ -1,4 +1,4 @@
-//! The side of a link that was called: proves, asks for proof, then takes frames.
+//! The accepting side of a link: authenticates both hosts, then receives frames.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,24 +14,25 @@
 use super::peer_frame::{FRAME_LIMIT, InboundFrame};
 use super::peer_key_ring::KeyRing;
 
-/// The length of the random numbers that make each proof good for one link only.
+/// Length of the nonces that make each proof valid for one link only.
 pub(crate) const NONCE_LENGTH: usize = 32;
 
-/// Who proves what to whom; part of what is signed, so that no proof can be sent back as another.
+/// The side that a proof is from. It is part of the signed data, so that a proof cannot be
+/// reflected to its sender as the proof of the other side.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ProofSide {
     Caller,
     Called,
 }
 
-/// Both nonces of a link, the caller's first.
+/// Both nonces of a link, first that of the side that opened it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkNonces {
     pub(crate) caller: [u8; NONCE_LENGTH],
     pub(crate) called: [u8; NONCE_LENGTH],
 }
 
-/// What a proof is over.
+/// The data that a proof signs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkProof<'a> {
     pub(crate) side: ProofSide,
@@ -61,7 +62,7 @@
     }
 }
 
-/// What every link that was accepted shares.
+/// State shared by all accepted links.
 #[derive(Debug)]
 pub(crate) struct GateContext {
     pub(crate) host: HostId,
@@ -71,7 +72,8 @@
     pub(crate) inbound: mpsc::Sender<InboundFrame>,
 }
 
-/// What the owner of an accepted connection watches, to close it when its caller has gone.
+/// Activity of the peer on an accepted connection, so that the connection's owner can close it when
+/// the peer is gone.
 #[derive(Debug)]
 pub(crate) struct CallerActivity {
     entered: Cell<bool>,
@@ -83,18 +85,18 @@
         Self { entered: Cell::new(false), last: Cell::new(Instant::now()) }
     }
 
-    /// Whether the caller has proved itself.
+    /// Whether the peer has authenticated itself.
     pub(crate) fn has_entered(&self) -> bool {
         self.entered.get()
     }
 
-    /// When the caller last sent something.
+    /// Returns when the peer last sent a call.
     pub(crate) fn last(&self) -> Instant {
         self.last.get()
     }
 }
 
-/// What a caller meets first on a new connection.
+/// Authenticates the peer on a new connection.
 #[derive(Debug)]
 pub(crate) struct LinkGate {
     context: Rc<GateContext>,
@@ -128,7 +130,7 @@
         let refused = || capnp::Error::failed("refused".to_owned());
         let context = &self.context;
         let hello = params.get()?.get_hello()?;
-        // A nonce is good for one attempt: a wrong proof ends the link's chance.
+        // A nonce is valid for one attempt, so a wrong proof cannot be followed by another guess.
         let called = self.nonce.take().ok_or_else(refused)?;
         let caller = hello.get_nonce()?.try_into().map_err(|_| refused())?;
         let nonces = LinkNonces { caller, called };
@@ -157,13 +159,13 @@
     }
 }
 
-/// Takes an authenticated caller's frames.
+/// Receives the frames of an authenticated peer.
 #[derive(Debug)]
 struct LinkSession {
     from: HostId,
     inbound: mpsc::Sender<InboundFrame>,
     activity: Rc<CallerActivity>,
-    /// Keeps frames in order while several calls wait for room in the queue.
+    /// Keeps frames in order while several calls wait for space in the queue.
     order: Mutex<()>,
 }
 
@@ -178,8 +180,9 @@
         Ok(())
     }
 
-    /// Answered once the frames are in the control thread's queue: a caller that is ahead of it
-    /// waits, with a bounded number of frames under way.
+    /// Answers once the frames are in the control thread's queue. This is the backpressure: a peer
+    /// that sends faster than the thread reads has to wait, with a bounded number of frames in
+    /// flight.
     async fn deliver(
         self: Rc<Self>,
         params: session::DeliverParams,
@@ -193,7 +196,7 @@
                 return Err(capnp::Error::failed("frame too large".to_owned()));
             }
             let body = Bytes::copy_from_slice(body);
-            // A class that a later version has added: whoever speaks it resends to those who know.
+            // A class added by a later version. Its sender retries with hosts that know it.
             let Ok(class) = frame.get_class() else {
                 continue;
             };
--- a/crates/pulleyd/src/connection/peer_key_ring.rs
+++ b/crates/pulleyd/src/connection/peer_key_ring.rs
@@ -1,4 +1,4 @@
-//! The secret keys by which hosts of one installation know each other.
+//! The secret keys with which hosts of one installation authenticate each other.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -9,45 +9,45 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The shortest key accepted, in characters.
+/// Minimum length of a key, in characters.
 const KEY_FLOOR: usize = 32;
-/// How many keys a file may hold: the one that signs, and those of a rotation under way.
+/// Maximum number of keys in a file: the one that signs, and those of a rotation in progress.
 const KEY_LIMIT: usize = 4;
-/// The shortest tag accepted; half of SHA-256's, as RFC 2104 section 5 allows.
+/// Minimum length of a tag, in bytes: half of a SHA-256 tag, as RFC 2104 section 5 allows.
 const TAG_FLOOR: usize = 16;
 
-/// What the key ring's methods return.
+/// The result of the key ring's methods.
 pub type KeyResult<T> = Result<T, KeyFault>;
 
-/// Why a secret file can't be used; the text never holds a key.
+/// Why a secret file can't be used. The message never contains a key.
 #[derive(Debug, Error)]
 pub enum KeyFault {
     /// The file can't be read.
     #[error("can't read the secret file {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// The file holds no key.
+    /// The file contains no key.
     #[error("the secret file holds no key")]
     Empty,
-    /// The file holds too many keys.
+    /// The file contains too many keys.
     #[error("the secret file holds more than {KEY_LIMIT} keys")]
     TooMany,
     /// A key is too short to be safe.
     #[error("the key on line {line} of the secret file has fewer than {KEY_FLOOR} characters")]
     TooShort {
-        /// The line, from 1.
+        /// The line number, counted from 1.
         line: usize,
     },
 }
 
-/// The installation's keys: the first signs, every one verifies.
+/// The installation's keys: the first signs, and all of them verify.
 ///
-/// To rotate, add the new key as a second line everywhere, then put it first everywhere, then drop
-/// the old one; each step is taken over by [`Self::reload`] without a restart.
+/// To rotate, add the new key as a second line on every host, then move it to the first line on
+/// every host, then remove the old key. [`Self::reload`] applies each step without a restart.
 #[derive(Clone)]
 pub struct KeyRing {
     path: Option<Arc<Path>>,
@@ -56,7 +56,8 @@
 }
 
 impl KeyRing {
-    /// Reads a secret file: a key a line; blank lines and lines that begin with `#` are skipped.
+    /// Reads a secret file with one key per line. Blank lines and lines that begin with `#` are
+    /// skipped.
     ///
     /// # Errors
     /// [`KeyFault`] if the file can't be read or holds no usable key.
@@ -67,7 +68,7 @@
         Ok(Self { path: Some(Arc::from(path)), ..ring })
     }
 
-    /// Makes a ring from the text of a secret file.
+    /// Creates a key ring from the text of a secret file.
     ///
     /// # Errors
     /// [`KeyFault`] if the text holds no usable key.
@@ -80,8 +81,8 @@
         })
     }
 
-    /// Reads the file again; every clone of the ring then uses the new keys. Returns whether they
-    /// have changed. On an error the keys stay as they were.
+    /// Reads the file again. All clones of the key ring then use the new keys. Returns whether the
+    /// file has changed. On an error the keys stay as they were.
     ///
     /// # Errors
     /// [`KeyFault`] if the file can't be read or holds no usable key.
@@ -99,19 +100,20 @@
         Ok(true)
     }
 
-    /// Signs some parts with the first key.
+    /// Signs a list of parts with the first key.
     ///
     /// # Panics
-    /// Never: a ring is only made with a key.
+    /// Never, as a key ring always has at least one key.
     #[must_use]
     pub fn sign(&self, parts: &[&[u8]]) -> [u8; 32] {
         let keys = self.keys.load();
-        let first = keys.first().expect("a ring is only made with a key");
+        let first = keys.first().expect("a key ring has at least one key");
         digest(first, parts).finalize().into_bytes().into()
     }
 
-    /// Whether a tag, whole or cut to 16 bytes at least, is one of the keys' for some parts. Takes
-    /// the same time wherever a wrong tag differs, so that no tag can be found byte by byte.
+    /// Whether a tag over a list of parts was made with one of the keys. The tag may be truncated
+    /// to 16 bytes or more. The comparison takes constant time, so that an attacker cannot find a
+    /// tag byte by byte.
     #[must_use]
     pub fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         if tag.len() < TAG_FLOOR {
@@ -121,8 +123,8 @@
         keys.iter().any(|key| digest(key, parts).verify_truncated_left(tag).is_ok())
     }
 
-    /// Whether a text is one of the keys. Takes the same time wherever a wrong one differs: what
-    /// is compared are digests under the presented key and under the ring's.
+    /// Whether a text is one of the keys. The comparison takes constant time, as it compares a
+    /// digest under the presented key with digests under the ring's keys.
     #[must_use]
     pub fn accepts(&self, presented: &[u8]) -> bool {
         const CONTEXT: &[u8] = b"operator";
@@ -162,7 +164,8 @@
     }
 }
 
-/// Each part goes in with its length, so that no two lists of parts give the same bytes.
+/// Digests a list of parts. The length of each part is included, so that no two different lists
+/// give the same input.
 fn digest(key: &Hmac<Sha256>, parts: &[&[u8]]) -> Hmac<Sha256> {
     let mut mac = key.clone();
     for part in parts {
--- a/crates/pulleyd/src/connection/peer_link_caller.rs
+++ b/crates/pulleyd/src/connection/peer_link_caller.rs
@@ -1,4 +1,4 @@
-//! The side of a link that calls: connects, proves, delivers frames and watches for silence.
+//! The opening side of a link: connects, authenticates, delivers frames and detects silent links.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -25,35 +25,36 @@
 use super::peer_link_queue::{BATCH_BYTES, LinkQueue, QueuedFrame};
 use super::peer_link_settings::LinkSettings;
 
-/// How many calls may be unanswered before frames wait in the queue instead.
+/// Maximum number of unanswered calls. Beyond it, frames wait in the queue.
 const CALL_WINDOW: usize = 16;
-/// How many heartbeats may go unanswered until the link is replaced.
+/// Number of heartbeats that may stay unanswered before the link is replaced.
 const MISSED_LIMIT: u32 = 2;
-/// The slowest that a link is taken to be, in bytes a second: heartbeats wait behind what is on it.
+/// The lowest assumed rate of a link, in bytes per second. Heartbeats are delayed by the bytes sent
+/// ahead of them.
 const SLOWEST_LINK: usize = 128 << 10;
-/// The longest that heartbeats may wait for what is on the link, before they count as unanswered.
+/// Maximum time that heartbeats may be delayed by bytes in flight before they count as unanswered.
 const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// How long connecting and proving may take together.
+/// Timeout for connecting and authenticating together.
 const ENTRY_LIMIT: Duration = Duration::from_secs(2);
-/// The first pause after a failure to connect; it doubles up to the last.
+/// Delay after the first failure to connect. It doubles up to [`LAST_PAUSE`].
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause: a host that is back is found again within a second.
+/// Maximum delay, so that a host that is back is reached within a second.
 const LAST_PAUSE: Duration = Duration::from_millis(800);
 
 /// Why a link ended.
 #[derive(Debug, Error)]
 pub(crate) enum LinkEnd {
-    /// Nothing was sent for long.
+    /// No frame was sent for longer than the idle limit.
     #[error("idle")]
     Idle,
-    /// Heartbeats went unanswered, though the connection is open.
+    /// Heartbeats stayed unanswered although the connection is open.
     #[error("silent")]
     Silent,
-    /// No connection within the limit.
-    #[error("no entry in time")]
+    /// Connecting and authenticating took too long.
+    #[error("connecting or authenticating took too long")]
     Timeout,
-    /// The other side's proof is wrong, or it is another host.
-    #[error("the other side is not who it should be")]
+    /// The peer's proof is wrong, or the peer is another host.
+    #[error("the peer could not be authenticated as the expected host")]
     Impostor,
     /// The connection failed.
     #[error("{0}")]
@@ -80,7 +81,7 @@
     counter.set(counter.get() + count as u64);
 }
 
-/// What calling one host needs.
+/// The link that this host opens to one peer.
 #[derive(Debug)]
 pub(crate) struct LinkCaller {
     pub(crate) settings: Rc<LinkSettings>,
@@ -91,16 +92,17 @@
     pub(crate) counters: Rc<LinkCounters>,
 }
 
-/// Options for messages read from a connection: bounded, as they are read before any proof.
+/// Options for messages read from a connection. Their size is bounded, as they are read before the
+/// peer is authenticated.
 pub(crate) fn reader_options() -> ReaderOptions {
     const WORD: usize = 8;
     let mut options = ReaderOptions::new();
-    // A batch is at most its byte limit and one frame more; the rest is room for pointers.
+    // A batch is at most its byte limit plus one frame. The rest leaves room for pointers.
     options.traversal_limit_in_words(Some((FRAME_LIMIT + 4 * BATCH_BYTES) / WORD));
     options
 }
 
-/// Makes the RPC system of one connection, and counts the bytes that it sends.
+/// Creates the RPC system of one connection and counts the bytes that it sends.
 pub(crate) fn rpc_system(
     stream: TcpStream,
     side: Side,
@@ -117,7 +119,7 @@
     RpcSystem::new(Box::new(network), bootstrap)
 }
 
-/// Ends a task when dropped, and with it its connection.
+/// Aborts a task when dropped, which closes the connection that the task owns.
 struct TaskGuard(JoinHandle<()>);
 
 impl Drop for TaskGuard {
@@ -126,14 +128,14 @@
     }
 }
 
-/// A link whose two sides have proved themselves.
+/// A link whose two sides have authenticated each other.
 struct OpenLink {
     session: session::Client,
     _system: TaskGuard,
 }
 
 impl LinkCaller {
-    /// Keeps the link going until it is idle: a new connection follows each failed one.
+    /// Keeps the link connected until it is idle. A failed connection is replaced by a new one.
     pub(crate) async fn run(self) {
         let mut pause = FIRST_PAUSE;
         loop {
@@ -158,8 +160,8 @@
                 LinkEnd::Silent => add(&self.counters.silent, 1),
                 _ => add(&self.counters.failed, 1),
             }
-            // Frames for a host that can't be reached are stale when it can: whoever sent them
-            // sends the present state again.
+            // Frames for an unreachable host are stale once it is reachable again. Their senders
+            // then send the current state.
             add(&self.counters.dropped, self.queue.clear());
             tokio::time::sleep(pause).await;
             pause = (pause * 2).min(LAST_PAUSE);
@@ -171,7 +173,7 @@
         let mut system = rpc_system(stream, Side::Client, None, Rc::clone(&self.counters));
         let gate: gate::Client = system.bootstrap(Side::Server);
         let system = TaskGuard(tokio::task::spawn_local(async move {
-            // The calls on the link fail when it does; they report it.
+            // If the connection fails, the calls on the link fail as well and report the error.
             let _ = system.await;
         }));
         let session = self.enter(&gate).await?;
@@ -189,7 +191,7 @@
         Ok(stream)
     }
 
-    /// Proves the own host and checks the other's proof, before a frame goes out.
+    /// Authenticates this host to the peer and the peer to this host, before any frame is sent.
     async fn enter(&self, gate: &gate::Client) -> Result<session::Client, LinkEnd> {
         let settings = &self.settings;
         let challenge = gate.challenge_request().send().promise.await?;
@@ -218,12 +220,13 @@
         Ok(accepted.get_session()?)
     }
 
-    /// Delivers frames until the link is idle, fails, or falls silent.
+    /// Delivers frames until the link is idle, fails, or goes silent.
     ///
-    /// Something between two hosts may lose track of a connection: TCP then calls it open for many
-    /// minutes and everything written to it vanishes. Every answer shows that the link lives; if
-    /// two heartbeats stay unanswered it is given up, and the next frame opens a new one. A large
-    /// frame on a slow link holds heartbeats up, so they have longer while it is under way.
+    /// A network device between two hosts may lose track of a connection. TCP then reports it as
+    /// open for many minutes, and everything written to it is lost. Every answer shows that the
+    /// link works. If two heartbeats stay unanswered, the link is closed, and the next frame opens
+    /// a new one. A large frame on a slow link delays heartbeats, so they get more time while it is
+    /// in flight.
     async fn serve(&self, link: &OpenLink) -> LinkEnd {
         let heartbeat = self.settings.heartbeat;
         let mut calls = FuturesUnordered::new();
@@ -263,7 +266,8 @@
         }
     }
 
-    /// Sends the next frames; gives their bytes, and again with the answer.
+    /// Sends the next batch of frames. Returns its size in bytes, and the answer, which resolves to
+    /// the same size.
     fn deliver(&self, link: &OpenLink) -> (usize, Promise<usize, capnp::Error>) {
         let batch = self.queue.take_batch();
         let bytes: usize = batch.iter().map(|frame| frame.body.len()).sum();
@@ -281,14 +285,14 @@
     }
 }
 
-/// How many heartbeats may wait behind bytes that are under way.
+/// Returns the number of heartbeats that the bytes in flight may delay.
 fn beats_behind(bytes: usize, heartbeat: Duration) -> u32 {
     let wait = Duration::from_secs_f64(bytes as f64 / SLOWEST_LINK as f64).min(LONGEST_WAIT);
     let beats = wait.as_nanos() / heartbeat.as_nanos().max(1);
     u32::try_from(beats).unwrap_or(u32::MAX / 2)
 }
 
-/// Asks for a sign of life; none of the bytes under way are its own.
+/// Sends a heartbeat. Its answer resolves to 0, as heartbeats are not counted as bytes in flight.
 fn send_heartbeat(link: &OpenLink, sequence: u64) -> Promise<usize, capnp::Error> {
     let mut request = link.session.heartbeat_request();
     request.get().set_sequence(sequence);
--- a/crates/pulleyd/src/connection/peer_link_queue.rs
+++ b/crates/pulleyd/src/connection/peer_link_queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for one host.
+//! The queue of frames for one host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -8,19 +8,20 @@
 
 use super::peer_frame::FrameClass;
 
-/// How many frames go into one call.
+/// Maximum number of frames in one call.
 const BATCH_FRAMES: usize = 64;
-/// How many bytes go into one call, its last frame aside.
+/// Maximum number of bytes in one call before its last frame.
 pub(crate) const BATCH_BYTES: usize = 128 * 1024;
 
-/// One frame that waits.
+/// A frame that waits to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedFrame {
     pub(crate) class: FrameClass,
     pub(crate) body: Bytes,
 }
 
-/// A queue bounded in frames and bytes: a host that takes nothing must not fill this one's memory.
+/// A queue bounded in frames and bytes, so that a host that accepts nothing cannot exhaust the
+/// memory of this one.
 #[derive(Debug)]
 pub(crate) struct LinkQueue {
     frames: RefCell<VecDeque<QueuedFrame>>,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Appends a frame unless the queue is full.
+    /// Appends a frame unless the queue is full. Returns whether it was appended.
     pub(crate) fn push(&self, frame: QueuedFrame) -> bool {
         let mut frames = self.frames.borrow_mut();
         let bytes = self.bytes.get() + frame.body.len();
@@ -54,7 +55,7 @@
         true
     }
 
-    /// Takes the next frames that go together; none if the queue is empty.
+    /// Removes the next frames that are sent in one call. Returns none if the queue is empty.
     pub(crate) fn take_batch(&self) -> Vec<QueuedFrame> {
         let mut frames = self.frames.borrow_mut();
         let mut batch = Vec::new();
@@ -70,13 +71,13 @@
         batch
     }
 
-    /// Drops all frames; returns how many.
+    /// Drops all frames. Returns how many there were.
     pub(crate) fn clear(&self) -> usize {
         self.bytes.set(0);
         std::mem::take(&mut *self.frames.borrow_mut()).len()
     }
 
-    /// Waits until there is a frame.
+    /// Waits until the queue has a frame.
     pub(crate) async fn filled(&self) {
         while self.frames.borrow().is_empty() {
             self.filled.notified().await;
--- a/crates/pulleyd/src/connection/peer_link_settings.rs
+++ b/crates/pulleyd/src/connection/peer_link_settings.rs
@@ -25,7 +25,7 @@
 }
 
 impl LinkSettings {
-    /// Makes settings with the usual times and limits.
+    /// Creates settings with the default times and limits.
     #[must_use]
     pub fn new(host: HostId, cluster: ClusterId, listen: SocketAddr, key_ring: KeyRing) -> Self {
         Self {
@@ -42,36 +42,36 @@
         }
     }
 
-    /// Sets from which address links are opened; else the operating system chooses.
+    /// Sets the local address from which links are opened. By default the operating system chooses.
     #[must_use]
     pub fn with_bind_ip(mut self, ip: IpAddr) -> Self {
         self.bind_ip = Some(ip);
         self
     }
 
-    /// Sets the number that tells this start of the host from others.
+    /// Sets the number that distinguishes this run of the host's process from earlier and later
+    /// ones.
     #[must_use]
     pub fn with_process(mut self, process: u64) -> Self {
         self.process = process;
         self
     }
 
-    /// Sets after how long without an answer a heartbeat is sent; a link that leaves two
-    /// unanswered is replaced.
+    /// Sets the heartbeat interval. A link that leaves two heartbeats unanswered is replaced.
     #[must_use]
     pub fn with_heartbeat(mut self, interval: Duration) -> Self {
         self.heartbeat = interval;
         self
     }
 
-    /// Sets after how long without a frame a link is closed.
+    /// Sets how long a link may be without a frame before it is closed.
     #[must_use]
     pub fn with_idle_limit(mut self, limit: Duration) -> Self {
         self.idle_limit = limit;
         self
     }
 
-    /// Sets how many frames and bytes may wait for one host.
+    /// Sets the maximum number of frames and bytes in the queue for one host.
     #[must_use]
     pub fn with_queue(mut self, frames: usize, bytes: usize) -> Self {
         self.queue_frames = frames;
--- a/crates/pulleyd/src/connection/peer_links.rs
+++ b/crates/pulleyd/src/connection/peer_links.rs
@@ -1,4 +1,4 @@
-//! The links of one host to others, over capnp-rpc.
+//! The links of one host to other hosts, over capnp-rpc.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -21,30 +21,32 @@
 use super::peer_link_queue::{LinkQueue, QueuedFrame};
 use super::peer_link_settings::LinkSettings;
 
-/// How many accepted connections may be open: each other host's, and as many that it replaces.
+/// Maximum number of open accepted connections: one for each other host, and as many that are being
+/// replaced.
 const ACCEPT_LIMIT: usize = 2_048;
-/// How long a caller may take to prove itself.
+/// Timeout for the authentication of a peer that connects.
 const PROOF_LIMIT: Duration = Duration::from_secs(2);
-/// After how many silent heartbeat intervals an accepted connection is closed. Its caller gives up
-/// sooner; this frees what a host left behind that vanished without closing.
+/// Number of heartbeat intervals without a call after which an accepted connection is closed. The
+/// peer that opened it gives up sooner. This frees the connections of hosts that vanished without
+/// closing them.
 const SILENCE_FACTOR: u32 = 10;
 
-/// How the links of one host fared.
+/// Counters of the links of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LinkCounts {
     /// Links opened.
     pub opened: u64,
-    /// Links replaced because they had fallen silent.
+    /// Links replaced because they had gone silent.
     pub silent: u64,
-    /// Links that failed otherwise, or could not be opened.
+    /// Links that failed for other reasons, or could not be opened.
     pub failed: u64,
     /// Frames sent.
     pub frames: u64,
-    /// Bytes of their bodies.
+    /// Bytes of the bodies of these frames.
     pub bytes: u64,
-    /// Bytes of everything sent over links, answers and heartbeats included, without TCP's headers.
+    /// All bytes sent over links, including answers and heartbeats, without the headers of TCP.
     pub wire_bytes: u64,
-    /// Frames dropped from a queue.
+    /// Frames dropped because a queue was full or its link failed.
     pub dropped: u64,
 }
 
@@ -62,11 +64,11 @@
     }
 }
 
-/// The links of one host; they live on the control thread's `LocalSet`.
+/// The links of one host. They run on the control thread's `LocalSet`.
 ///
-/// Each host opens its own link to whom it sends to, when it first does; answers come over the
-/// other host's link. Frames of one link arrive in order; frames that were under way when a link
-/// failed are lost.
+/// A host opens its own link to each host it sends to, with the first frame. Replies come over the
+/// other host's link. Frames of one link arrive in order. Frames in flight when a link fails are
+/// lost.
 #[derive(Debug)]
 pub struct PeerLinks {
     settings: Rc<LinkSettings>,
@@ -78,8 +80,8 @@
 }
 
 impl PeerLinks {
-    /// Listens, and passes on the frames that authenticated hosts send. Must be called within a
-    /// `LocalSet`.
+    /// Starts to listen, and forwards the frames of authenticated hosts to `inbound`. Must be
+    /// called within a `LocalSet`.
     ///
     /// # Errors
     /// If the address can't be bound.
@@ -114,13 +116,13 @@
         })
     }
 
-    /// The address that other hosts call.
+    /// Returns the address to which other hosts connect.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Notes where a host is; a link to another address of it is given up.
+    /// Sets the address of a host. A link to a former address of it is closed.
     pub fn set_address(&mut self, host: &HostId, address: SocketAddr) {
         self.addresses.insert(host.clone(), address);
         let mut links = self.links.borrow_mut();
@@ -129,14 +131,15 @@
         }
     }
 
-    /// Forgets a host that has gone, and gives up the link to it.
+    /// Removes a departed host, and closes the link to it.
     pub fn forget(&mut self, host: &HostId) {
         self.addresses.remove(host);
         self.links.borrow_mut().remove(host);
     }
 
-    /// Sends a frame, opening a link if there is none. Returns false if the frame was dropped: the
-    /// host's address is unknown, its queue is full, or the body is larger than [`FRAME_LIMIT`].
+    /// Queues a frame for a host, and opens a link if there is none. Returns false if the frame was
+    /// dropped because the host's address is unknown, its queue is full, or the body is larger than
+    /// [`FRAME_LIMIT`].
     pub fn send(&self, host: &HostId, class: FrameClass, body: Bytes) -> bool {
         let Some(address) = self.addresses.get(host).filter(|_| body.len() <= FRAME_LIMIT) else {
             return false;
@@ -154,7 +157,7 @@
         taken
     }
 
-    /// The hosts to which a link is open and proved.
+    /// Returns the hosts to which a link is open and authenticated.
     #[must_use]
     pub fn linked(&self) -> Vec<HostId> {
         let links = self.links.borrow();
@@ -164,7 +167,7 @@
         hosts
     }
 
-    /// How the links fared so far.
+    /// Returns the counters so far.
     #[must_use]
     pub fn counts(&self) -> LinkCounts {
         LinkCounts {
@@ -201,7 +204,7 @@
     }
 }
 
-/// Accepts connections; all of them end with this task.
+/// Accepts connections. All of them are closed when this task ends.
 async fn accept_all(
     listener: TcpListener,
     context: Rc<GateContext>,
@@ -212,7 +215,7 @@
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
-        // Out of file descriptors: trying again at once would only spin.
+        // A typical cause is a lack of file descriptors. Retrying at once would be a busy loop.
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -228,7 +231,8 @@
     }
 }
 
-/// Serves one caller until it closes, proves nothing in time, or falls silent.
+/// Serves one accepted connection until its peer closes it, fails to authenticate in time, or goes
+/// silent.
 async fn serve_caller(
     stream: TcpStream,
     context: Rc<GateContext>,
@@ -244,7 +248,7 @@
     }
 }
 
-/// Ends when a caller has not proved itself in time or has been silent for too long.
+/// Returns when the peer has not authenticated itself in time or has been silent for too long.
 async fn watch(activity: &CallerActivity, silence: Duration) {
     tokio::time::sleep(PROOF_LIMIT).await;
     while activity.has_entered() {
--- a/crates/pulleyd/src/connection/traffic_threads.rs
+++ b/crates/pulleyd/src/connection/traffic_threads.rs
@@ -4,15 +4,16 @@
 
 use tokio::runtime::{Builder, Handle, Runtime};
 
-/// What starting the threads returns.
+/// The result of starting the threads.
 type Result<T> = std::result::Result<T, io::Error>;
 
 /// The threads that carry requests: one multi-thread runtime.
 ///
-/// One runtime shares its connections to upstreams among all threads. Runtimes of one thread each
-/// would each need idle connections of their own, and an entry's share of an upstream's limit (300
-/// over 29 hosts: ten) is too small to be split again; and a thread held up by its neighbours on
-/// the machine would hold up the requests bound to it, where here another thread takes them over.
+/// All threads of one runtime share its connections to upstreams. With one runtime per thread, each
+/// would need its own idle connections, and an entry's share of an upstream's limit is too small to
+/// be split again: 300 connections over 29 hosts are ten each. A thread delayed by other processes
+/// on the machine would also delay the requests bound to it, while here another thread takes them
+/// over.
 #[derive(Debug)]
 pub struct TrafficThreads {
     runtime: Runtime,
@@ -22,7 +23,7 @@
     /// Starts `count` threads.
     ///
     /// # Errors
-    /// The operating system's, if it gives no thread.
+    /// The operating system's error if a thread cannot be created.
     pub fn start(count: usize) -> Result<Self> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(count.max(1))
@@ -32,13 +33,13 @@
         Ok(Self { runtime })
     }
 
-    /// Where to spawn tasks on the threads.
+    /// Returns a handle for spawning tasks on the threads.
     #[must_use]
     pub fn handle(&self) -> &Handle {
         self.runtime.handle()
     }
 
-    /// Ends the threads without waiting; whatever still runs is cut off.
+    /// Stops the threads without waiting for tasks that still run. These are aborted.
     pub fn stop(self) {
         self.runtime.shutdown_background();
     }
--- a/crates/pulleyd/src/connection/upstream_connections.rs
+++ b/crates/pulleyd/src/connection/upstream_connections.rs
@@ -13,22 +13,22 @@
 use super::{LinkFault, Unused, UpstreamLink};
 use crate::process::{ProcessClock, RunningView, TimerService, ViewCell};
 
-/// What checking out a connection gives.
+/// The result of checking out a connection.
 type Result<T> = std::result::Result<T, LinkFault>;
 
-/// How often idle connections are looked through.
+/// How often idle connections are checked.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(1);
 
-/// Asks for a connection.
+/// A request for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkRequest<'a> {
-    /// To which upstream.
+    /// The upstream to connect to.
     pub upstream: &'a UpstreamId,
-    /// Where it listens.
+    /// The address the upstream listens on.
     pub address: SocketAddr,
-    /// Whether the request may be sent again.
+    /// Whether the caller's request may be sent again.
     pub safety: WorkSafety,
-    /// When the connection is no longer of use.
+    /// The time after which the connection is no longer needed.
     pub deadline: Moment,
 }
 
@@ -38,34 +38,34 @@
     clock: ProcessClock,
     timer: TimerService,
     view: ViewCell,
-    /// Read by every request and changed with the upstreams only.
+    /// Read by every request, but changed only when an upstream appears, moves or goes.
     upstreams: ArcSwap<FastMap<UpstreamId, Arc<UpstreamLinks>>>,
 }
 
 impl UpstreamConnections {
-    /// Makes a set without connections; the view tells each upstream's limit.
+    /// Creates a set without connections. The view provides each upstream's limit.
     #[must_use]
     pub fn new(clock: ProcessClock, timer: TimerService, view: ViewCell) -> Self {
         Self { clock, timer, view, upstreams: ArcSwap::default() }
     }
 
-    /// Takes an idle connection or opens a new one, within the entry's share.
+    /// Takes an idle connection or opens a new one, within this entry's share.
     ///
     /// # Errors
-    /// `Unreachable`, `ConnectTimeout`, `ShareInUse` or `ClosedUnsent`; nothing was sent.
+    /// `Unreachable`, `ConnectTimeout`, `ShareInUse` or `ClosedUnsent`. Nothing was sent.
     pub async fn checkout(&self, request: LinkRequest<'_>) -> Result<UpstreamLink<Unused>> {
         let links = self.links(request.upstream, request.address);
         links.checkout(request.safety, request.deadline).await
     }
 
-    /// Connections to all upstreams, open or being opened.
+    /// Returns the number of connections to all upstreams that are open or being opened.
     #[must_use]
     pub fn open_links(&self) -> usize {
         self.upstreams.load().values().map(|links| links.open_links()).sum()
     }
 
-    /// Closes idle connections in time, follows the view's limits and keeps spares; the caller
-    /// listener runs it.
+    /// Closes expired idle connections, applies the view's limits and opens spare connections, once
+    /// per period. The caller listener runs it.
     pub async fn run(self: Arc<Self>) {
         loop {
             let _ = self.timer.after(UPKEEP_PERIOD).await;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Drops what belongs to upstreams that the view no longer holds.
+    /// Removes the connections of upstreams that the view no longer contains.
     fn retire_unknown(&self, view: &RunningView) {
         let is_known = |id: &UpstreamId| find(view, id).is_some();
         if self.upstreams.load().keys().all(is_known) {
@@ -116,8 +116,9 @@
 }
 
 impl UpstreamConnections {
-    /// Puts an upstream's connections in place of those to its former address. If another request
-    /// was first, its set is the one to use: two sets would each take the entry's whole share.
+    /// Replaces an upstream's connections to its former address by those to its current one. If
+    /// another request has already done so, returns that request's set, as two sets would each use
+    /// the entry's whole share.
     fn insert(&self, upstream: &UpstreamId, links: Arc<UpstreamLinks>) -> Arc<UpstreamLinks> {
         let before = self.upstreams.rcu(|upstreams| {
             let mut upstreams = FastMap::clone(upstreams);
@@ -138,12 +139,13 @@
     }
 }
 
-/// What a view holds of an upstream.
+/// Returns a view's record of an upstream.
 fn find<'a>(view: &'a RunningView, upstream: &UpstreamId) -> Option<&'a UpstreamRecord> {
     view.upstreams.values().find_map(|list| list.find(upstream)).map(Arc::as_ref)
 }
 
-/// More connections than slots are of no use: each carries one request.
+/// Sets the share and the number of useful connections. More connections than slots are never
+/// useful, as each carries one request at a time.
 fn set_share(links: &UpstreamLinks, record: &UpstreamRecord, view: &RunningView) {
     let announcement = &record.announcement;
     let useful = usize::try_from(announcement.slots.0).unwrap_or(usize::MAX);
--- a/crates/pulleyd/src/connection/upstream_link.rs
+++ b/crates/pulleyd/src/connection/upstream_link.rs
@@ -21,37 +21,37 @@
 use super::upstream_links::UpstreamLinks;
 use crate::request::RequestBody;
 
-/// The longest body of an answer to a probe, in bytes; most have none.
+/// Maximum body of an answer to a probe, in bytes. Most have no body.
 const PROBE_BODY_LIMIT: usize = 4 << 10;
 
-/// What a link's users get back.
+/// The result of using a link.
 type Result<T> = std::result::Result<T, LinkFault>;
 
-/// Why an attempt over a link gave no answer.
+/// Why an attempt over a link got no answer.
 #[derive(Debug, Error)]
 pub enum LinkFault {
-    /// No connection could be made.
+    /// The connection could not be opened.
     #[error("cannot connect: {0}")]
     Unreachable(io::Error),
-    /// No connection came about in time.
+    /// The connection was not opened in time.
     #[error("connecting took too long")]
     ConnectTimeout,
-    /// This entry's share of the upstream's connections is in use.
+    /// All connections of this entry's share of the upstream's limit are in use.
     #[error("the share of the upstream's connections is in use")]
     ShareInUse,
-    /// The connection ended before a byte of the request had left.
+    /// The connection closed before any byte of the request was sent.
     #[error("the connection ended before the request was sent")]
     ClosedUnsent,
-    /// The connection broke after bytes of the request had left.
+    /// The connection failed after bytes of the request were sent.
     #[error("the connection broke: {0}")]
     Broken(hyper::Error),
-    /// The connection ended without a word after bytes of the request had left.
+    /// The connection closed without an answer after bytes of the request were sent.
     #[error("the connection ended without an answer")]
     Lost,
 }
 
 impl LinkFault {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     #[must_use]
     pub const fn verdict(&self) -> RequestVerdict {
         match self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The fault in one word, for headers and logs.
+    /// Returns the cause as a short name for headers and logs.
     #[must_use]
     pub const fn cause(&self) -> &'static str {
         match self {
@@ -75,20 +75,20 @@
     }
 }
 
-/// State of a link over which no request of its present holder was sent.
+/// State of a link over which its current holder has sent no request.
 #[derive(Debug)]
 pub struct Unused;
 
-/// State of a link whose answer has begun and may not yet be read as a whole.
+/// State of a link whose answer has begun and may not have been read completely.
 #[derive(Debug)]
 pub struct Answering;
 
-/// A connection in the hands of one request; the type parameter is its state.
+/// A connection checked out by one request. The type parameter is its state.
 ///
 /// `Unused` → [`send`](UpstreamLink::send) → `Answering` → [`give_back`](UpstreamLink::give_back).
-/// It carries one request at a time, so no answer can meet another's request. Dropped in any state
-/// it closes its connection: that tells the upstream that the request is cancelled, and a late
-/// answer ends with the connection.
+/// It carries one request at a time, so an answer cannot be matched to another request. Dropping it
+/// in any state closes its connection. This signals to the upstream that the request is cancelled,
+/// and discards a late answer.
 #[derive(Debug)]
 pub struct UpstreamLink<S> {
     pub(super) sender: http1::SendRequest<RequestBody>,
@@ -101,17 +101,18 @@
         Self { sender, seat, _state: Unused }
     }
 
-    /// The meter, for judging a request whose sending was given up.
+    /// Returns the meter, which shows whether a request whose sending was aborted left the process.
     #[must_use]
     pub fn meter(&self) -> LinkMeter {
         self.seat.meter.clone()
     }
 
-    /// Sends a request, at once; the future waits for the head of its answer. It is sent once,
-    /// never again.
+    /// Sends a request immediately. The returned future waits for the head of the answer. The
+    /// request is never sent again.
     ///
     /// # Errors
-    /// `ClosedUnsent` if no byte has left, `Broken` otherwise.
+    /// `ClosedUnsent` if no byte was sent. Otherwise `Broken`, or `Lost` if the connection closed
+    /// without an error.
     pub fn send(
         mut self,
         request: Request<RequestBody>,
@@ -139,12 +140,13 @@
     }
 }
 
-/// Waits for an answer, but not beyond its connection's end.
+/// Waits for an answer until its connection ends.
 ///
-/// The library hands a request to the connection's task through a channel. If that task ends just
-/// as the request is put in, the request stays in the channel for as long as its sender is held,
-/// which is here, and the answer never resolves: the caller of a refund would wait for its whole
-/// deadline. What the task did take up is resolved before it ends, so one look afterwards tells.
+/// The HTTP library passes a request to the connection's task through a channel. If that task ends
+/// just as the request is queued, the request stays in the channel for as long as the sender is
+/// held, which is here, and the answer never resolves. The caller of a refund would then wait for
+/// its whole deadline. The task resolves every request it has received before it ends, so polling
+/// the answer once after the end is enough.
 async fn until_ended<T>(answer: impl Future<Output = T>, ended: &Notify) -> Option<T> {
     let mut answer = pin!(answer);
     match select(answer.as_mut(), pin!(ended.notified())).await {
@@ -154,8 +156,9 @@
 }
 
 impl UpstreamLink<Unused> {
-    /// Asks the upstream something that needs no slot, reads the answer, and keeps the link for a
-    /// request; none if it gave no whole answer, or a longer one than such a question has.
+    /// Sends a probe, which needs no slot, and reads the answer. The link can then be used for a
+    /// request. Returns `None` if the answer is incomplete or longer than an answer to a probe may
+    /// be.
     pub async fn probe(self, question: Request<RequestBody>) -> Option<(Parts, Self)> {
         let (response, link) = self.send(question).await.ok()?;
         let (parts, body) = response.into_parts();
@@ -165,14 +168,14 @@
         Some((parts, Self { sender, seat, _state: Unused }))
     }
 
-    /// Gives the link back unused.
+    /// Returns the link to the idle connections, unused.
     pub fn give_back(self) {
         put_back(self.sender, self.seat);
     }
 }
 
 impl UpstreamLink<Answering> {
-    /// Gives the link back for other requests, after the whole answer has been read.
+    /// Returns the link to the idle connections, after the whole answer has been read.
     pub fn give_back(self) {
         put_back(self.sender, self.seat);
     }
@@ -187,14 +190,14 @@
     links.put_back_later(sender, seat);
 }
 
-/// A connection's place in its upstream's book; dropping it closes the connection.
+/// A connection's registration in its upstream's book. Dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct LinkSeat {
     pub(super) links: Arc<UpstreamLinks>,
     pub(super) number: LinkNumber,
     pub(super) meter: LinkMeter,
     pub(super) driver: Option<AbortHandle>,
-    /// Told once the connection's task has ended.
+    /// Notified once the connection's task has ended.
     pub(super) ended: Arc<Notify>,
 }
 
@@ -218,7 +221,7 @@
     }
 }
 
-/// Tells when a request went out over a link, for judging the other links of its upstream.
+/// Records when a request was sent, to decide which idle connections to its upstream to close.
 #[derive(Clone, Debug)]
 pub struct SendRecord {
     links: Arc<UpstreamLinks>,
@@ -226,7 +229,7 @@
 }
 
 impl UpstreamLink<Unused> {
-    /// Notes that a request goes out now.
+    /// Records that a request is being sent now.
     #[must_use]
     pub fn send_record(&self) -> SendRecord {
         SendRecord { links: Arc::clone(&self.seat.links), sent: self.seat.links.now() }
@@ -234,8 +237,8 @@
 }
 
 impl SendRecord {
-    /// Says that the request is past its limit unanswered: its connection may have gone silent,
-    /// and idle ones that have not answered since are closed.
+    /// Reports that the request is still unanswered after its time limit. Its connection may have
+    /// gone silent, so idle connections that have not answered since it was sent are closed.
     pub fn suspect(&self) {
         self.links.suspect(self.sent);
     }
--- a/crates/pulleyd/src/connection/upstream_links.rs
+++ b/crates/pulleyd/src/connection/upstream_links.rs
@@ -21,39 +21,39 @@
 use crate::process::{ProcessClock, TimerService};
 use crate::request::RequestBody;
 
-/// What opening a connection gives.
+/// The result of opening a connection.
 type Result<T> = std::result::Result<T, LinkFault>;
 
 type RequestSender = http1::SendRequest<RequestBody>;
 
-/// How long sent bytes may stay unacknowledged before the system gives the connection up.
+/// How long sent bytes may stay unacknowledged before the operating system closes the connection.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long a connection is quiet before the system probes whether the other end still knows it.
+/// How long a connection is idle before the operating system sends keepalive probes.
 const KEEPALIVE_QUIET: Duration = Duration::from_secs(5);
 
-/// How far apart those probes are; three unanswered ones end the connection.
+/// Interval between keepalive probes. Three unanswered ones close the connection.
 const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
 
 /// How long after an upstream's last request a spare connection to it is kept ready.
 ///
-/// A spare saves a growing load a millisecond. Kept for longer, entries with few requests open more
-/// connections than they have requests: each costs its upstream the same millisecond, and most are
-/// closed again unused.
+/// While load grows, a spare saves a request one millisecond. With a longer span, entries with few
+/// requests would open more connections than they have requests. Each costs its upstream the same
+/// millisecond, and most would be closed unused.
 const WARM_SPAN: Duration = Duration::from_millis(100);
 
-/// How long a connection given back may take to be ready again. It is ready within microseconds
+/// How long a returned connection may take to be ready again. It is ready within microseconds
 /// unless the machine is busy, or the upstream answered before it had read the whole request.
 const READY_LIMIT: Duration = Duration::from_millis(100);
 
-/// How long setting up a connection may take. It takes a millisecond or two between zones, 50 ms
-/// between regions; one whose first packet was lost or dropped comes a second later at the earliest,
-/// and the request, of which nothing has left yet, is answered sooner by another upstream.
+/// Timeout for opening a connection. Opening takes 1 to 2 ms between zones and 50 ms between
+/// regions. If the first packet is lost, TCP retransmits it after a second at the earliest. Nothing
+/// of the request has been sent by then, so another upstream answers it sooner.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
-/// Bytes that are read at once, and so the most that an answer's head may have; common servers send
-/// heads of up to 8 KiB. Whatever is read makes room for as much to come in at the link's full rate,
-/// past any pace.
+/// Bytes read at once, which is also the maximum size of an answer's head. Common servers send
+/// heads of up to 8 KiB. Each read frees space for as many bytes to arrive at the link's full rate,
+/// ahead of any rate limit, so the buffer is not larger.
 const READ_BUFFER: usize = 16 * 1_024;
 
 /// The connections of this process to one upstream.
@@ -69,15 +69,15 @@
 struct LinksState {
     book: ConnectionBook,
     idle: FastMap<LinkNumber, IdleLink>,
-    /// The most connections that are of use at once.
+    /// Maximum number of connections that are useful at the same time.
     useful: usize,
     last_used: Moment,
-    /// The upstream is gone or has moved; connections given back are closed.
+    /// Whether the upstream is gone or has moved. Returned connections are then closed.
     closed: bool,
 }
 
-/// An open connection that waits for a request. It must never be dropped under the lock: its seat
-/// takes the lock to sign off.
+/// An open connection that waits for a request. It must never be dropped while the lock is held, as
+/// dropping its seat takes the lock.
 #[derive(Debug)]
 struct IdleLink {
     sender: RequestSender,
@@ -96,7 +96,8 @@
         Self { address, clock, timer, state: Mutex::new(state) }
     }
 
-    /// Sets the share of the upstream's connections and how many are of use at once.
+    /// Sets this entry's share of the upstream's connections, and how many are useful at the same
+    /// time.
     pub(super) fn set_share(&self, connections: u32, live_entries: u32, useful: usize) {
         let mut state = self.state.lock();
         state.book.set_share(connections, live_entries);
@@ -115,7 +116,7 @@
                 CheckoutChoice::Full => return Err(LinkFault::ShareInUse),
                 CheckoutChoice::Open(number) | CheckoutChoice::Replace { open: number, .. } => {
                     let seat = LinkSeat::new(Arc::clone(self), number);
-                    // Boxed, as a connection is rare and its future large.
+                    // Boxed, because its future is large and connections are opened rarely.
                     return Box::pin(self.connect(seat, deadline)).await;
                 }
                 CheckoutChoice::Reuse(number) => number,
@@ -127,7 +128,7 @@
                 self.forget(number);
                 continue;
             };
-            // One that closed since it was put back takes no request; the next is tried.
+            // A connection that closed while idle accepts no request, so the next one is tried.
             if idle.sender.is_ready() {
                 let IdleLink { sender, seat } = idle;
                 return Ok(UpstreamLink::new(sender, seat));
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Opens a spare connection when none is left idle, so that the next request of a growing load
-    /// does not wait a millisecond for its connection.
+    /// Opens a spare connection if none is idle. While load grows, the next request then does not
+    /// wait a millisecond for a new connection.
     pub(super) fn keep_spare(self: &Arc<Self>) {
         let number = {
             let mut state = self.state.lock();
@@ -160,7 +161,7 @@
         });
     }
 
-    /// Whether a request has used the upstream so lately that a spare connection is of use.
+    /// Whether the last request to the upstream was so recent that a spare connection is useful.
     pub(super) fn is_warm(&self) -> bool {
         self.clock.now().since(self.state.lock().last_used) <= WARM_SPAN
     }
@@ -180,11 +181,12 @@
         drop(surplus);
     }
 
-    /// Puts a connection back once it is ready for another request.
+    /// Returns a connection to the idle ones once it is ready for another request.
     ///
-    /// Its task may not yet have seen the end of the answer that was read here. Put back at once,
-    /// the next request would wait for that task, and on a busy machine longer than a new
-    /// connection takes, while other idle ones are ready.
+    /// The connection's task may not yet have processed the end of the answer that was read here.
+    /// If the connection were returned at once, the next request would wait for that task. On a
+    /// busy machine this takes longer than opening a new connection, while other idle ones are
+    /// ready.
     pub(super) fn put_back_later(self: Arc<Self>, mut sender: RequestSender, seat: LinkSeat) {
         tokio::spawn(async move {
             let limit = self.clock.now() + READY_LIMIT;
@@ -211,7 +213,7 @@
         self.close_idle(|book| book.expire(now));
     }
 
-    /// Closes all idle connections, because the upstream is gone.
+    /// Closes all idle connections, because the upstream is gone or has moved.
     pub(super) fn close(&self) {
         let idle = {
             let mut state = self.state.lock();
@@ -233,7 +235,8 @@
         self.state.lock().book.open_links()
     }
 
-    /// Chooses a connection; also the one that leaves the idle set by it, and a spare to open.
+    /// Chooses a connection. Also returns the idle connection that the choice removes, and the
+    /// number of a spare connection to open.
     fn choose(&self, safety: WorkSafety) -> (CheckoutChoice, Option<IdleLink>, Option<LinkNumber>) {
         let mut state = self.state.lock();
         let now = self.clock.now();
@@ -276,7 +279,8 @@
         let links: Weak<Self> = Arc::downgrade(self);
         let (number, ended) = (seat.number, Arc::clone(&seat.ended));
         let driver = tokio::spawn(async move {
-            // How it ended shows at the sender; here it only must not stay in the idle set.
+            // Errors are reported through the sender. Here the connection only has to leave the
+            // idle set.
             let _ = connection.await;
             ended.notify_one();
             if let Some(links) = links.upgrade() {
@@ -290,7 +294,8 @@
     }
 }
 
-/// Lets the system notice a silent connection: data nobody acknowledges, probes nobody answers.
+/// Makes the operating system detect a silent connection, by unacknowledged data and by unanswered
+/// keepalive probes.
 fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/pulleyd/src/connection/upstream_prober.rs
+++ b/crates/pulleyd/src/connection/upstream_prober.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams how loaded they are, on behalf of the coordinators of this host.
+//! Probes the load of upstreams for the coordinators on this host.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,30 +15,31 @@
 
 use crate::request::{LOAD_HEADER, read_load_report};
 
-/// Where upstreams answer probes; the answer is empty, its load report stands in the header.
+/// The path on which upstreams answer probes. The answer is empty, and a header carries the load
+/// report.
 const PROBE_PATH: &str = "/load";
 
-/// How long a probe may take. A usual one takes about 6 ms; one that takes fifty times as long
-/// tells no more than that the upstream does not answer.
+/// Timeout of a probe. A usual probe takes about 6 ms. Waiting longer than fifty times that would
+/// only show that the upstream does not answer.
 const PROBE_LIMIT: Duration = Duration::from_millis(300);
 
-/// Makes probes on the traffic threads, so that none holds up the control thread.
+/// Sends probes on the traffic threads, so that they do not delay the control thread.
 #[derive(Clone, Debug)]
 pub struct UpstreamProber {
     threads: Handle,
 }
 
 impl UpstreamProber {
-    /// Makes a prober that works on the threads of a runtime.
+    /// Creates a prober that runs on the threads of a runtime.
     #[must_use]
     pub fn new(threads: Handle) -> Self {
         Self { threads }
     }
 
-    /// Probes an upstream and calls `report` with what came of it.
+    /// Probes an upstream and calls `report` with the outcome.
     ///
-    /// Each probe has a connection of its own: it must not wait behind a caller's request, and a
-    /// pooled connection that has gone silent would make a live upstream look dead.
+    /// Each probe uses its own connection, so that it does not wait behind a caller's request. A
+    /// pooled connection that has gone silent would also make a live upstream look dead.
     pub fn probe(&self, address: SocketAddr, report: impl FnOnce(ProbeOutcome) + Send + 'static) {
         self.threads.spawn(async move {
             let began = Instant::now();
@@ -52,7 +53,8 @@
     }
 }
 
-/// One probe; `None` if it failed, else the report that came with the answer, if any.
+/// Sends one probe. Returns `None` if it failed, and otherwise the load report of the answer, if it
+/// had one.
 async fn ask(address: SocketAddr) -> Option<Option<LoadReport>> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/pulleyd/tests/peer_links.rs
+++ b/crates/pulleyd/tests/peer_links.rs
@@ -43,7 +43,7 @@
     (PeerLinks::start(settings, inbound).await.unwrap(), frames)
 }
 
-/// Sends until a frame arrives, as every protocol above does; returns the frame.
+/// Sends until a frame arrives, as the protocols on top of links do. Returns the frame.
 async fn send_until_received(
     from: &PeerLinks,
     to: &HostId,
@@ -69,7 +69,7 @@
     timeout(PATIENCE, waiting).await.unwrap();
 }
 
-/// A forwarder between two hosts that can stop passing bytes without closing anything.
+/// A proxy between two hosts that can stop forwarding bytes without closing its connections.
 async fn forwarder(to: SocketAddr, stopped: Rc<Cell<bool>>) -> SocketAddr {
     let listener = TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -77,7 +77,7 @@
         loop {
             let (near, _) = listener.accept().await.unwrap();
             let far = TcpStream::connect(to).await.unwrap();
-            // Connections that begin after the stop work, as new ones do in the field.
+            // Connections opened after the stop work, as they do with a real network device.
             let fated = Rc::new(Cell::new(!stopped.get()));
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
@@ -122,8 +122,9 @@
         .await;
 }
 
-/// Something between two hosts loses track of an open connection: TCP calls it open, nothing gets
-/// through, new connections work. Without a replacement the hosts would not speak for minutes.
+/// A network device between two hosts loses track of an open connection. TCP reports it as open and
+/// nothing gets through, but new connections work. If the link were not replaced, the hosts could
+/// not communicate for minutes.
 #[tokio::test]
 async fn a_silent_link_is_replaced() {
     LocalSet::new()
@@ -144,7 +145,7 @@
         .await;
 }
 
-/// Passes the bytes of one connection, one way at a certain rate in bytes a second.
+/// Forwards connections. Bytes to the target pass at a limited rate, in bytes per second.
 async fn slow_forwarder(to: SocketAddr, rate: usize) -> SocketAddr {
     const STEP: Duration = Duration::from_millis(10);
     let listener = TcpListener::bind(loopback()).await.unwrap();
@@ -172,8 +173,8 @@
     address
 }
 
-/// A frame took longer on a slow link than heartbeats may stay unanswered: the link was taken for
-/// silent and replaced, and all that waited behind the frame was dropped.
+/// A frame can take longer on a slow link than heartbeats may stay unanswered. The link must not be
+/// taken for silent and replaced, which would drop all frames queued behind that frame.
 #[tokio::test]
 async fn a_large_frame_gets_through_a_slow_link() {
     LocalSet::new()
@@ -192,7 +193,8 @@
         .await;
 }
 
-/// What may be sent must pass: the other side bounds what it reads, too.
+/// The receiver also limits the size of what it reads. A frame of the largest size that may be sent
+/// must pass that limit.
 #[tokio::test]
 async fn the_largest_frame_gets_through() {
     LocalSet::new()
@@ -213,7 +215,8 @@
         .await;
 }
 
-/// A host with another installation's key connects, by mistake or not. Its frames must not get in.
+/// A host with the key of another installation connects, by mistake or on purpose. Its frames must
+/// be rejected.
 #[tokio::test]
 async fn a_wrong_key_gets_no_link() {
     LocalSet::new()
@@ -229,7 +232,7 @@
         .await;
 }
 
-/// Another host has taken over an address that is still known as the old one's.
+/// The known address of a host now belongs to another host, which must not receive its frames.
 #[tokio::test]
 async fn a_link_to_the_wrong_host_is_not_used() {
     LocalSet::new()
@@ -244,7 +247,7 @@
         .await;
 }
 
-/// While keys are rotated, hosts sign with different ones. All must go on speaking.
+/// While keys are rotated, hosts sign with different keys. All hosts must still accept each other.
 #[tokio::test]
 async fn hosts_in_the_middle_of_a_rotation_accept_each_other() {
     LocalSet::new()
@@ -274,16 +277,17 @@
     std::fs::write(&path, format!("{OLD}\n{NEW}\n")).unwrap();
     assert!(ring.reload().unwrap());
     assert!(ring.verify(&[b"part"], &tag));
-    assert!(!ring.verify(&[b"part"], &tag[..8]), "a tag too short proves nothing");
-    assert!(!ring.verify(&[b"pa", b"rt"], &tag), "parts are told apart");
+    assert!(!ring.verify(&[b"part"], &tag[..8]), "a tag that is too short is rejected");
+    assert!(!ring.verify(&[b"pa", b"rt"], &tag), "the boundaries of parts are signed");
     std::fs::write(&path, "short").unwrap();
     let fault = ring.reload().unwrap_err();
-    assert!(ring.verify(&[b"part"], &tag), "a faulty file changes nothing");
+    assert!(ring.verify(&[b"part"], &tag), "an invalid file leaves the keys unchanged");
     let shown = format!("{ring:?} {fault:?} {fault}");
     assert!(!shown.contains("key-0123") && !shown.contains("short\""), "{shown}");
 }
 
-/// A host takes nothing for a while. What others send it must not fill their memory.
+/// A host accepts nothing for a while. The frames queued for it must not exhaust the memory of the
+/// sending hosts.
 #[tokio::test]
 async fn queues_and_frames_are_bounded() {
     LocalSet::new()
@@ -306,7 +310,7 @@
         .await;
 }
 
-/// Datagrams come from anybody: those of another installation, changed ones and oversized ones must
+/// Anyone can send datagrams. Those of another installation, modified ones and oversized ones must
 /// not reach the state machines.
 #[tokio::test]
 async fn only_genuine_datagrams_pass() {
@@ -340,8 +344,8 @@
     assert!(!two.send(to, FrameClass::Counts, &vec![0; DATAGRAM_LIMIT + 1]));
 }
 
-/// A host sends as soon as its socket is bound. Were the first messages dropped because nobody has
-/// yet asked whether the socket takes any, a host would join later than it could.
+/// A host sends as soon as its socket is bound. If the first messages were dropped because the
+/// runtime does not yet know that the socket is writable, the host would join later than necessary.
 #[tokio::test]
 async fn the_first_datagram_is_sent() {
     let (inbound, mut datagrams) = mpsc::channel(16);
@@ -356,9 +360,10 @@
     assert_eq!(&first.body[..], b"first");
 }
 
-/// Leases of upstreams and of the configuration go to the same host in the same round. In a datagram
-/// each they woke both hosts twice, which was half of what an idle entry's processor did. One that
-/// does not fit goes by itself, and a bundle that is cut is refused as a whole.
+/// Leases of upstreams and messages of the configuration go to the same host in the same round.
+/// With one datagram for each, both hosts would wake up twice, which is half of the processor time
+/// of an idle entry. A message that does not fit is sent in its own datagram, and a truncated
+/// bundle is rejected as a whole.
 #[tokio::test]
 async fn messages_to_one_host_share_a_datagram() {
     let (inbound, mut datagrams) = mpsc::channel(16);
