--- a/crates/pulleyd/src/connection/caller_listener.rs
+++ b/crates/pulleyd/src/connection/caller_listener.rs
@@ -27,10 +27,10 @@
 type Result<T> = std::result::Result<T, io::Error>;
 
 /// Delay after a failed accept, so that a lack of file descriptors causes no busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How long a caller's connection is idle before the operating system sends keepalive probes.
-const KEEPALIVE_QUIET: Duration = Duration::from_secs(30);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(30);
 
 /// How long sent bytes may stay unacknowledged by a caller before the connection is closed.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(30);
@@ -43,7 +43,7 @@
 
 /// Divides the connection limit to give the number of connections beyond it that still get a
 /// refusal as their answer: one eighth.
-const REFUSED_PART: usize = 8;
+const REFUSAL_MARGIN_DIVISOR: usize = 8;
 
 /// The result of draining the callers' connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -109,13 +109,13 @@
         cut: impl Future<Output = ()>,
     ) -> DrainReport {
         let Self { listener, context } = self;
-        let callers = CallerSet::new(Arc::clone(&context));
-        let upkeep = tokio::spawn(Arc::clone(&context.connections).run());
+        let connections = CallerConnections::new(Arc::clone(&context));
+        let maintenance = tokio::spawn(Arc::clone(&context.connections).run());
         let mut shutdown = pin!(shutdown);
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, peer)) => callers.serve(stream, peer),
+                    Ok((stream, peer)) => connections.serve(stream, peer),
                     Err(fault) => pause_accepting(&context, &fault).await,
                 },
                 () = &mut shutdown => break,
@@ -123,30 +123,30 @@
         }
         // Connections in the accept backlog would be reset if the listener just closed.
         while let Some(Ok((stream, peer))) = listener.accept().now_or_never() {
-            callers.serve(stream, peer);
+            connections.serve(stream, peer);
         }
         drop(listener);
-        let report = callers.drain(grace, cut).await;
-        upkeep.abort();
+        let report = connections.drain(grace, cut).await;
+        maintenance.abort();
         report
     }
 }
 
 /// The callers' connections of one listener.
-struct CallerSet {
+struct CallerConnections {
     context: Arc<TrafficContext>,
     graceful: GracefulShutdown,
-    tasks: Arc<CallerTasks>,
+    tasks: Arc<ConnectionTasks>,
 }
 
 /// The tasks of the callers' connections, kept so that they can be aborted.
 #[derive(Default)]
-struct CallerTasks {
+struct ConnectionTasks {
     running: Mutex<FastMap<u64, AbortHandle>>,
     next_number: AtomicU64,
 }
 
-impl CallerTasks {
+impl ConnectionTasks {
     /// Spawns a connection's task and keeps its handle until it ends.
     fn spawn(self: &Arc<Self>, work: impl Future<Output = ()> + Send + 'static) {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
@@ -161,12 +161,12 @@
         running.insert(number, task.abort_handle());
     }
 
-    fn cut_off(&self) {
+    fn abort_all(&self) {
         self.running.lock().values().for_each(AbortHandle::abort);
     }
 }
 
-impl CallerSet {
+impl CallerConnections {
     fn new(context: Arc<TrafficContext>) -> Self {
         Self { context, graceful: GracefulShutdown::new(), tasks: Arc::default() }
     }
@@ -180,8 +180,8 @@
     /// answer.
     fn serve(&self, stream: TcpStream, peer: SocketAddr) {
         let limit = self.context.limits.caller_connections;
-        let seat = ConnectionSeat::take(&self.context.counters);
-        if seat.before >= limit + limit / REFUSED_PART {
+        let guard = ConnectionGuard::acquire(&self.context.counters);
+        if guard.open_before >= limit + limit / REFUSAL_MARGIN_DIVISOR {
             TrafficCounters::add(&self.context.counters.callers_refused);
             return;
         }
@@ -190,11 +190,11 @@
             return;
         }
         let mut forwarder = RequestForwarder::new(Arc::clone(&self.context)).with_caller(peer.ip());
-        if seat.before >= limit {
+        if guard.open_before >= limit {
             TrafficCounters::add(&self.context.counters.callers_refused);
             forwarder = forwarder.refusing_all();
         }
-        self.spawn(stream, peer, forwarder, seat);
+        self.spawn(stream, peer, forwarder, guard);
     }
 
     fn spawn(
@@ -202,7 +202,7 @@
         stream: TcpStream,
         peer: SocketAddr,
         forwarder: RequestForwarder,
-        seat: ConnectionSeat,
+        guard: ConnectionGuard,
     ) {
         let arrival = forwarder.arrival();
         let header_timeout = self.context.header_timeout();
@@ -210,10 +210,12 @@
         let connection = builder.serve_connection(TokioIo::new(stream), forwarder).into_owned();
         let watched = self.graceful.watch(connection);
         let logger = self.context.logger.clone();
-        let first_limit = self.context.timer.after(header_timeout);
+        let first_timeout = self.context.timer.after(header_timeout);
         self.tasks.spawn(async move {
-            let _seat = seat;
-            if let Some(Err(fault)) = until_first_limit(watched, first_limit, arrival).await {
+            let _guard = guard;
+            if let Some(Err(fault)) =
+                with_first_request_timeout(watched, first_timeout, arrival).await
+            {
                 debug!(logger, "caller-connection-ended"; "peer" => %peer, "error" => %fault);
             }
         });
@@ -232,8 +234,8 @@
         }
         // A request with an idempotency key continues after its caller has disconnected, so the
         // drain waits for it as well.
-        report.requests = remaining_requests(&context, deadline, ended).await;
-        tasks.cut_off();
+        report.requests = wait_for_requests(&context, deadline, ended).await;
+        tasks.abort_all();
         info!(context.logger, "callers-drained";
             "cut_connections" => report.connections, "cut_requests" => report.requests);
         report
@@ -244,58 +246,58 @@
 ///
 /// Without this timeout a caller that sends nothing would hold its connection forever, because the
 /// HTTP library's header timeout starts with the first byte of the headers.
-async fn until_first_limit<C: Future>(
+async fn with_first_request_timeout<C: Future>(
     connection: C,
-    first_limit: TimerSubscription,
+    first_timeout: TimerSubscription,
     arrival: FirstArrival,
 ) -> Option<C::Output> {
     let mut connection = pin!(connection);
-    let mut first_limit = Some(first_limit);
+    let mut first_timeout = Some(first_timeout);
     poll_fn(|context| {
         if let Poll::Ready(ended) = connection.as_mut().poll(context) {
             return Poll::Ready(Some(ended));
         }
         if arrival.has_come() {
-            first_limit = None;
+            first_timeout = None;
         }
-        let Some(limit) = &mut first_limit else { return Poll::Pending };
+        let Some(limit) = &mut first_timeout else { return Poll::Pending };
         Pin::new(limit).poll(context).map(|_| None)
     })
     .await
 }
 
 /// Waits for requests that continue without their callers. Returns how many remain in the end.
-async fn remaining_requests(
+async fn wait_for_requests(
     context: &TrafficContext,
     deadline: pulley_core::Moment,
     may_wait: bool,
 ) -> usize {
     /// How often the number of requests is read.
-    const LOOK_PERIOD: Duration = Duration::from_millis(10);
+    const POLL_PERIOD: Duration = Duration::from_millis(10);
 
     loop {
         let requests = context.counters.in_progress.load(Ordering::Relaxed);
         if requests == 0 || !may_wait || context.clock.now() >= deadline {
             return requests;
         }
-        let _ = context.timer.after(LOOK_PERIOD).await;
+        let _ = context.timer.after(POLL_PERIOD).await;
     }
 }
 
 /// Counts one caller's connection for as long as it is held.
-struct ConnectionSeat {
+struct ConnectionGuard {
     counters: Arc<TrafficCounters>,
-    before: usize,
+    open_before: usize,
 }
 
-impl ConnectionSeat {
-    fn take(counters: &Arc<TrafficCounters>) -> Self {
-        let before = counters.caller_connections.fetch_add(1, Ordering::Relaxed);
-        Self { counters: Arc::clone(counters), before }
+impl ConnectionGuard {
+    fn acquire(counters: &Arc<TrafficCounters>) -> Self {
+        let open_before = counters.caller_connections.fetch_add(1, Ordering::Relaxed);
+        Self { counters: Arc::clone(counters), open_before }
     }
 }
 
-impl Drop for ConnectionSeat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.counters.caller_connections.fetch_sub(1, Ordering::Relaxed);
     }
@@ -330,7 +332,7 @@
 fn set_options(stream: &TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_QUIET))?;
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE))?;
     #[cfg(target_os = "linux")]
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
     Ok(())
@@ -338,5 +340,5 @@
 
 async fn pause_accepting(context: &TrafficContext, fault: &io::Error) {
     warn!(context.logger, "accept-failed"; "error" => %fault);
-    let _ = context.timer.after(ACCEPT_PAUSE).await;
+    let _ = context.timer.after(ACCEPT_RETRY_DELAY).await;
 }
--- a/crates/pulleyd/src/connection/metered_stream.rs
+++ b/crates/pulleyd/src/connection/metered_stream.rs
@@ -22,14 +22,14 @@
     }
 }
 
-fn counted(polled: &Poll<io::Result<usize>>) -> usize {
+fn written_bytes(polled: &Poll<io::Result<usize>>) -> usize {
     match polled {
         Poll::Ready(Ok(count)) => *count,
         Poll::Ready(Err(_)) | Poll::Pending => 0,
     }
 }
 
-fn refused(fault: io::Error) -> Poll<io::Result<usize>> {
+fn failed_write(fault: io::Error) -> Poll<io::Result<usize>> {
     Poll::Ready(Err(fault))
 }
 
@@ -50,7 +50,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let Self { stream, meter } = self.get_mut();
-        meter.write(refused, || Pin::new(stream).poll_write(context, bytes), counted)
+        meter.write(failed_write, || Pin::new(stream).poll_write(context, bytes), written_bytes)
     }
 
     fn poll_write_vectored(
@@ -59,7 +59,11 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let Self { stream, meter } = self.get_mut();
-        meter.write(refused, || Pin::new(stream).poll_write_vectored(context, slices), counted)
+        meter.write(
+            failed_write,
+            || Pin::new(stream).poll_write_vectored(context, slices),
+            written_bytes,
+        )
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/pulleyd/src/connection/mod.rs
+++ b/crates/pulleyd/src/connection/mod.rs
@@ -4,10 +4,10 @@
 mod peer_frame;
 mod peer_gate;
 mod peer_key_ring;
-mod peer_link_caller;
 mod peer_link_queue;
 mod peer_link_settings;
 mod peer_links;
+mod peer_outbound_link;
 
 pub use peer_datagrams::{DatagramCounts, DatagramSeal, PeerDatagrams};
 pub use peer_frame::{DATAGRAM_LIMIT, FRAME_LIMIT, FrameClass, InboundDatagram, InboundFrame};
--- a/crates/pulleyd/src/connection/peer_datagrams.rs
+++ b/crates/pulleyd/src/connection/peer_datagrams.rs
@@ -17,18 +17,18 @@
 use super::peer_key_ring::KeyRing;
 
 /// The first byte of a datagram that carries one message. A later format would use another value.
-const FORMAT: u8 = 1;
+const SINGLE_FORMAT: u8 = 1;
 /// The first byte of a datagram that carries several messages.
 const BUNDLE_FORMAT: u8 = 2;
 /// Bytes of the class and length that precede each message of a bundle.
-const PART_HEADER: usize = 3;
+const PART_HEADER_LENGTH: usize = 3;
 /// Length of the tag: HMAC-SHA256 truncated to half, as RFC 2104 section 5 allows.
 const TAG_LENGTH: usize = 16;
 /// Domain separator between the tags of datagrams and the proofs of links under the same key.
-const CONTEXT: &[u8] = b"datagram";
+const TAG_CONTEXT: &[u8] = b"datagram";
 /// Maximum bytes around a body: format, class, length of the sender's name, the longest name, and
 /// the tag.
-const OVERHEAD: usize = 3 + 64 + TAG_LENGTH;
+const MAX_OVERHEAD: usize = 3 + 64 + TAG_LENGTH;
 /// Number of datagrams to read before yielding to other tasks of the control thread.
 const READ_BURST: usize = 64;
 
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Counters {
+struct DatagramCounters {
     sent: AtomicU64,
     sent_bytes: AtomicU64,
     unsent: AtomicU64,
@@ -70,7 +70,7 @@
 pub struct PeerDatagrams {
     socket: Arc<UdpSocket>,
     seal: DatagramSeal,
-    counters: Arc<Counters>,
+    counters: Arc<DatagramCounters>,
     reader: JoinHandle<()>,
 }
 
@@ -88,8 +88,8 @@
         let socket = Arc::new(UdpSocket::bind(listen).await?);
         // Until the runtime knows that the socket is writable, every send would drop its datagram.
         socket.writable().await?;
-        let counters = Arc::new(Counters::default());
-        let reader = read_all(Arc::clone(&socket), seal.clone(), Arc::clone(&counters), inbound);
+        let counters = Arc::new(DatagramCounters::default());
+        let reader = receive_all(Arc::clone(&socket), seal.clone(), Arc::clone(&counters), inbound);
         let reader = tokio::spawn(reader);
         Ok(Self { socket, seal, counters, reader })
     }
@@ -110,7 +110,7 @@
     pub fn send(&self, to: SocketAddr, class: FrameClass, body: &[u8]) -> bool {
         let sealed = (body.len() <= DATAGRAM_LIMIT).then(|| self.seal.seal(class, body));
         let sent = sealed.and_then(|datagram| self.socket.try_send_to(&datagram, to).ok());
-        self.note_sent(sent)
+        self.record_sent(sent)
     }
 
     /// Sends messages to one host, in one datagram if they fit.
@@ -118,18 +118,18 @@
     /// Each datagram wakes up both hosts and carries its own headers, name and tag. On a mostly
     /// idle system that overhead is larger than the messages themselves.
     pub fn send_all(&self, to: SocketAddr, parts: &[(FrameClass, Bytes)]) {
-        let length: usize = parts.iter().map(|(_, body)| PART_HEADER + body.len()).sum();
+        let length: usize = parts.iter().map(|(_, body)| PART_HEADER_LENGTH + body.len()).sum();
         if parts.len() < 2 || length > DATAGRAM_LIMIT {
             for (class, body) in parts {
                 self.send(to, *class, body);
             }
             return;
         }
-        let sent = self.socket.try_send_to(&self.seal.seal_all(parts), to);
-        self.note_sent(sent.ok());
+        let sent = self.socket.try_send_to(&self.seal.seal_bundle(parts), to);
+        self.record_sent(sent.ok());
     }
 
-    fn note_sent(&self, length: Option<usize>) -> bool {
+    fn record_sent(&self, length: Option<usize>) -> bool {
         let Some(length) = length else {
             self.counters.unsent.fetch_add(1, Ordering::Relaxed);
             return false;
@@ -180,28 +180,28 @@
     /// over all of these and the name of the installation.
     #[must_use]
     pub fn seal(&self, class: FrameClass, body: &[u8]) -> Vec<u8> {
-        self.sealed([FORMAT, class as u8], body)
+        self.encode([SINGLE_FORMAT, class as u8], body)
     }
 
     /// Encodes a datagram of several messages, each preceded by its class and length.
     #[must_use]
-    pub fn seal_all(&self, parts: &[(FrameClass, Bytes)]) -> Vec<u8> {
+    pub fn seal_bundle(&self, parts: &[(FrameClass, Bytes)]) -> Vec<u8> {
         let mut bundle = Vec::new();
         for (class, body) in parts {
             bundle.push(*class as u8);
             bundle.extend_from_slice(&(body.len() as u16).to_be_bytes());
             bundle.extend_from_slice(body);
         }
-        self.sealed([BUNDLE_FORMAT, 0], &bundle)
+        self.encode([BUNDLE_FORMAT, 0], &bundle)
     }
 
-    fn sealed(&self, [format, class]: [u8; 2], body: &[u8]) -> Vec<u8> {
+    fn encode(&self, [format, class]: [u8; 2], body: &[u8]) -> Vec<u8> {
         let name = self.host.as_str().as_bytes();
-        let mut datagram = Vec::with_capacity(OVERHEAD + body.len());
+        let mut datagram = Vec::with_capacity(MAX_OVERHEAD + body.len());
         datagram.extend_from_slice(&[format, class, name.len() as u8]);
         datagram.extend_from_slice(name);
         datagram.extend_from_slice(body);
-        let tag = self.key_ring.sign(&[CONTEXT, self.cluster.as_str().as_bytes(), &datagram]);
+        let tag = self.key_ring.sign(&[TAG_CONTEXT, self.cluster.as_str().as_bytes(), &datagram]);
         datagram.extend_from_slice(&tag[..TAG_LENGTH]);
         datagram
     }
@@ -211,12 +211,12 @@
     #[must_use]
     pub fn open(&self, datagram: &[u8]) -> Option<(HostId, Vec<(FrameClass, Bytes)>)> {
         let length = datagram.len().checked_sub(TAG_LENGTH)?;
-        if datagram.len() > DATAGRAM_LIMIT + OVERHEAD {
+        if datagram.len() > DATAGRAM_LIMIT + MAX_OVERHEAD {
             return None;
         }
         let (signed, tag) = datagram.split_at(length);
         let cluster = self.cluster.as_str().as_bytes();
-        if !self.key_ring.verify(&[CONTEXT, cluster, signed], tag) {
+        if !self.key_ring.verify(&[TAG_CONTEXT, cluster, signed], tag) {
             return None;
         }
         let [format, class, name_length, rest @ ..] = signed else {
@@ -225,7 +225,7 @@
         let (name, body) = rest.split_at_checked(usize::from(*name_length))?;
         let host = std::str::from_utf8(name).ok()?.parse().ok()?;
         let parts = match *format {
-            FORMAT => vec![(class_of(*class)?, Bytes::copy_from_slice(body))],
+            SINGLE_FORMAT => vec![(parse_class(*class)?, Bytes::copy_from_slice(body))],
             BUNDLE_FORMAT => open_bundle(body)?,
             _ => return None,
         };
@@ -233,7 +233,7 @@
     }
 }
 
-fn class_of(byte: u8) -> Option<FrameClass> {
+fn parse_class(byte: u8) -> Option<FrameClass> {
     FrameClass::try_from(u16::from(byte)).ok()
 }
 
@@ -242,21 +242,21 @@
     while let [class, high, low, rest @ ..] = bundle {
         let length = usize::from(u16::from_be_bytes([*high, *low]));
         let (body, next) = rest.split_at_checked(length)?;
-        parts.push((class_of(*class)?, Bytes::copy_from_slice(body)));
+        parts.push((parse_class(*class)?, Bytes::copy_from_slice(body)));
         bundle = next;
     }
     bundle.is_empty().then_some(parts)
 }
 
-async fn read_all(
+async fn receive_all(
     socket: Arc<UdpSocket>,
     seal: DatagramSeal,
-    counters: Arc<Counters>,
+    counters: Arc<DatagramCounters>,
     inbound: mpsc::Sender<InboundDatagram>,
 ) {
     // One byte more than the largest datagram, so that a larger one is detected instead of being
     // truncated to a valid size.
-    let mut buffer = vec![0_u8; DATAGRAM_LIMIT + OVERHEAD + 1];
+    let mut buffer = vec![0_u8; DATAGRAM_LIMIT + MAX_OVERHEAD + 1];
     let mut burst = 0;
     while !inbound.is_closed() {
         // An error here is a peer's closed port, reported by ICMP. It does not affect other peers.
--- a/crates/pulleyd/src/connection/peer_gate.rs
+++ b/crates/pulleyd/src/connection/peer_gate.rs
@@ -20,22 +20,22 @@
 /// The side that a proof is from. It is part of the signed data, so that a proof cannot be
 /// reflected to its sender as the proof of the other side.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum ProofSide {
-    Caller,
-    Called,
+pub(crate) enum HandshakeRole {
+    Initiator,
+    Responder,
 }
 
 /// Both nonces of a link, first that of the side that opened it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkNonces {
-    pub(crate) caller: [u8; NONCE_LENGTH],
-    pub(crate) called: [u8; NONCE_LENGTH],
+    pub(crate) initiator: [u8; NONCE_LENGTH],
+    pub(crate) responder: [u8; NONCE_LENGTH],
 }
 
 /// The data that a proof signs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkProof<'a> {
-    pub(crate) side: ProofSide,
+    pub(crate) role: HandshakeRole,
     pub(crate) cluster: &'a ClusterId,
     pub(crate) host: &'a str,
     pub(crate) process: u64,
@@ -52,13 +52,13 @@
     }
 
     fn with_parts<T>(&self, use_parts: impl FnOnce(&[&[u8]]) -> T) -> T {
-        let side: &[u8] = match self.side {
-            ProofSide::Caller => b"link caller",
-            ProofSide::Called => b"link called",
+        let role: &[u8] = match self.role {
+            HandshakeRole::Initiator => b"link caller",
+            HandshakeRole::Responder => b"link called",
         };
         let process = self.process.to_le_bytes();
         let (host, cluster) = (self.host.as_bytes(), self.cluster.as_str().as_bytes());
-        use_parts(&[side, cluster, host, &process, &self.nonces.caller, &self.nonces.called])
+        use_parts(&[role, cluster, host, &process, &self.nonces.initiator, &self.nonces.responder])
     }
 }
 
@@ -75,24 +75,24 @@
 /// Activity of the peer on an accepted connection, so that the connection's owner can close it when
 /// the peer is gone.
 #[derive(Debug)]
-pub(crate) struct CallerActivity {
-    entered: Cell<bool>,
-    last: Cell<Instant>,
+pub(crate) struct PeerActivity {
+    authenticated: Cell<bool>,
+    last_seen: Cell<Instant>,
 }
 
-impl CallerActivity {
+impl PeerActivity {
     pub(crate) fn new() -> Self {
-        Self { entered: Cell::new(false), last: Cell::new(Instant::now()) }
+        Self { authenticated: Cell::new(false), last_seen: Cell::new(Instant::now()) }
     }
 
     /// Whether the peer has authenticated itself.
-    pub(crate) fn has_entered(&self) -> bool {
-        self.entered.get()
+    pub(crate) fn is_authenticated(&self) -> bool {
+        self.authenticated.get()
     }
 
     /// Returns when the peer last sent a call.
-    pub(crate) fn last(&self) -> Instant {
-        self.last.get()
+    pub(crate) fn last_seen(&self) -> Instant {
+        self.last_seen.get()
     }
 }
 
@@ -101,11 +101,11 @@
 pub(crate) struct LinkGate {
     context: Rc<GateContext>,
     nonce: Cell<Option<[u8; NONCE_LENGTH]>>,
-    activity: Rc<CallerActivity>,
+    activity: Rc<PeerActivity>,
 }
 
 impl LinkGate {
-    pub(crate) fn new(context: Rc<GateContext>, activity: Rc<CallerActivity>) -> Self {
+    pub(crate) fn new(context: Rc<GateContext>, activity: Rc<PeerActivity>) -> Self {
         Self { context, nonce: Cell::new(None), activity }
     }
 }
@@ -131,29 +131,29 @@
         let context = &self.context;
         let hello = params.get()?.get_hello()?;
         // A nonce is valid for one attempt, so a wrong proof cannot be followed by another guess.
-        let called = self.nonce.take().ok_or_else(refused)?;
-        let caller = hello.get_nonce()?.try_into().map_err(|_| refused())?;
-        let nonces = LinkNonces { caller, called };
+        let responder = self.nonce.take().ok_or_else(refused)?;
+        let initiator = hello.get_nonce()?.try_into().map_err(|_| refused())?;
+        let nonces = LinkNonces { initiator, responder };
         let host = hello.get_host()?.to_str()?;
         let process = hello.get_process();
         let cluster = &context.cluster;
-        let theirs = LinkProof { side: ProofSide::Caller, cluster, host, process, nonces };
+        let theirs = LinkProof { role: HandshakeRole::Initiator, cluster, host, process, nonces };
         let genuine = hello.get_cluster()?.to_str()? == cluster.as_str()
             && theirs.verify(&context.key_ring, hello.get_proof()?);
         let from = HostId::from_str(host).map_err(|_| refused())?;
         if !genuine {
             return Err(refused());
         }
-        self.activity.entered.set(true);
-        self.activity.last.set(Instant::now());
+        self.activity.authenticated.set(true);
+        self.activity.last_seen.set(Instant::now());
         let (host, process) = (context.host.as_str(), context.process);
-        let ours = LinkProof { side: ProofSide::Called, cluster, host, process, nonces };
+        let ours = LinkProof { role: HandshakeRole::Responder, cluster, host, process, nonces };
         let mut accepted = results.get().init_accepted();
         accepted.set_host(host);
         accepted.set_process(process);
         accepted.set_proof(&ours.sign(&context.key_ring));
         let (inbound, activity) = (context.inbound.clone(), Rc::clone(&self.activity));
-        let session = LinkSession { from, inbound, activity, order: Mutex::new(()) };
+        let session = LinkSession { from, inbound, activity, delivery_order: Mutex::new(()) };
         accepted.set_session(capnp_rpc::new_client(session));
         Ok(())
     }
@@ -164,9 +164,9 @@
 struct LinkSession {
     from: HostId,
     inbound: mpsc::Sender<InboundFrame>,
-    activity: Rc<CallerActivity>,
+    activity: Rc<PeerActivity>,
     /// Keeps frames in order while several calls wait for space in the queue.
-    order: Mutex<()>,
+    delivery_order: Mutex<()>,
 }
 
 impl session::Server for LinkSession {
@@ -175,7 +175,7 @@
         params: session::HeartbeatParams,
         mut results: session::HeartbeatResults,
     ) -> Result<(), capnp::Error> {
-        self.activity.last.set(Instant::now());
+        self.activity.last_seen.set(Instant::now());
         results.get().set_sequence(params.get()?.get_sequence());
         Ok(())
     }
@@ -188,8 +188,8 @@
         params: session::DeliverParams,
         _: session::DeliverResults,
     ) -> Result<(), capnp::Error> {
-        self.activity.last.set(Instant::now());
-        let _in_turn = self.order.lock().await;
+        self.activity.last_seen.set(Instant::now());
+        let _ordered = self.delivery_order.lock().await;
         for frame in params.get()?.get_frames()? {
             let body = frame.get_body()?;
             if body.len() > FRAME_LIMIT {
@@ -201,8 +201,8 @@
                 continue;
             };
             let frame = InboundFrame { from: self.from.clone(), class, body };
-            let gone = |_| capnp::Error::disconnected("shutting down".to_owned());
-            self.inbound.send(frame).await.map_err(gone)?;
+            let disconnected = |_| capnp::Error::disconnected("shutting down".to_owned());
+            self.inbound.send(frame).await.map_err(disconnected)?;
         }
         Ok(())
     }
--- a/crates/pulleyd/src/connection/peer_key_ring.rs
+++ b/crates/pulleyd/src/connection/peer_key_ring.rs
@@ -10,11 +10,11 @@
 use thiserror::Error;
 
 /// Minimum length of a key, in characters.
-const KEY_FLOOR: usize = 32;
+const MIN_KEY_LENGTH: usize = 32;
 /// Maximum number of keys in a file: the one that signs, and those of a rotation in progress.
-const KEY_LIMIT: usize = 4;
+const MAX_KEYS: usize = 4;
 /// Minimum length of a tag, in bytes: half of a SHA-256 tag, as RFC 2104 section 5 allows.
-const TAG_FLOOR: usize = 16;
+const MIN_TAG_LENGTH: usize = 16;
 
 /// The result of the key ring's methods.
 pub type KeyResult<T> = Result<T, KeyFault>;
@@ -34,10 +34,10 @@
     #[error("the secret file holds no key")]
     Empty,
     /// The file contains too many keys.
-    #[error("the secret file holds more than {KEY_LIMIT} keys")]
+    #[error("the secret file holds more than {MAX_KEYS} keys")]
     TooMany,
     /// A key is too short to be safe.
-    #[error("the key on line {line} of the secret file has fewer than {KEY_FLOOR} characters")]
+    #[error("the key on line {line} of the secret file has fewer than {MIN_KEY_LENGTH} characters")]
     TooShort {
         /// The line number, counted from 1.
         line: usize,
@@ -116,7 +116,7 @@
     /// tag byte by byte.
     #[must_use]
     pub fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
-        if tag.len() < TAG_FLOOR {
+        if tag.len() < MIN_TAG_LENGTH {
             return false;
         }
         let keys = self.keys.load();
@@ -152,14 +152,14 @@
         if key.is_empty() || key.starts_with('#') {
             continue;
         }
-        if key.len() < KEY_FLOOR {
+        if key.len() < MIN_KEY_LENGTH {
             return Err(KeyFault::TooShort { line: index + 1 });
         }
         keys.push(Hmac::new_from_slice(key.as_bytes()).expect("HMAC takes keys of any length"));
     }
     match keys.len() {
         0 => Err(KeyFault::Empty),
-        1..=KEY_LIMIT => Ok(keys),
+        1..=MAX_KEYS => Ok(keys),
         _ => Err(KeyFault::TooMany),
     }
 }
--- a/crates/pulleyd/src/connection/peer_link_queue.rs
+++ b/crates/pulleyd/src/connection/peer_link_queue.rs
@@ -28,7 +28,7 @@
     bytes: Cell<usize>,
     frame_limit: usize,
     byte_limit: usize,
-    filled: Notify,
+    frame_added: Notify,
 }
 
 impl LinkQueue {
@@ -38,7 +38,7 @@
             bytes: Cell::new(0),
             frame_limit,
             byte_limit,
-            filled: Notify::new(),
+            frame_added: Notify::new(),
         }
     }
 
@@ -51,7 +51,7 @@
         }
         frames.push_back(frame);
         self.bytes.set(bytes);
-        self.filled.notify_one();
+        self.frame_added.notify_one();
         true
     }
 
@@ -78,9 +78,9 @@
     }
 
     /// Waits until the queue has a frame.
-    pub(crate) async fn filled(&self) {
+    pub(crate) async fn wait_for_frame(&self) {
         while self.frames.borrow().is_empty() {
-            self.filled.notified().await;
+            self.frame_added.notified().await;
         }
     }
 }
--- a/crates/pulleyd/src/connection/peer_links.rs
+++ b/crates/pulleyd/src/connection/peer_links.rs
@@ -16,20 +16,20 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::peer_frame::{FRAME_LIMIT, FrameClass, InboundFrame};
-use super::peer_gate::{CallerActivity, GateContext, LinkGate};
-use super::peer_link_caller::{LinkCaller, LinkCounters, add, rpc_system};
+use super::peer_gate::{GateContext, LinkGate, PeerActivity};
 use super::peer_link_queue::{LinkQueue, QueuedFrame};
 use super::peer_link_settings::LinkSettings;
+use super::peer_outbound_link::{LinkCounters, OutboundLink, add, rpc_system};
 
 /// Maximum number of open accepted connections: one for each other host, and as many that are being
 /// replaced.
-const ACCEPT_LIMIT: usize = 2_048;
+const MAX_ACCEPTED_CONNECTIONS: usize = 2_048;
 /// Timeout for the authentication of a peer that connects.
-const PROOF_LIMIT: Duration = Duration::from_secs(2);
+const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of heartbeat intervals without a call after which an accepted connection is closed. The
 /// peer that opened it gives up sooner. This frees the connections of hosts that vanished without
 /// closing them.
-const SILENCE_FACTOR: u32 = 10;
+const SILENCE_INTERVALS: u32 = 10;
 
 /// Counters of the links of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -54,7 +54,7 @@
 struct LinkHandle {
     address: SocketAddr,
     queue: Rc<LinkQueue>,
-    linked: Rc<Cell<bool>>,
+    is_connected: Rc<Cell<bool>>,
     task: JoinHandle<()>,
 }
 
@@ -99,11 +99,11 @@
             inbound,
         };
         let counters = Rc::<LinkCounters>::default();
-        let silence = settings.heartbeat * SILENCE_FACTOR;
+        let silence_limit = settings.heartbeat * SILENCE_INTERVALS;
         let acceptor = tokio::task::spawn_local(accept_all(
             listener,
             Rc::new(context),
-            silence,
+            silence_limit,
             Rc::clone(&counters),
         ));
         Ok(Self {
@@ -147,21 +147,21 @@
         let mut links = self.links.borrow_mut();
         let open = links.get(host).is_some_and(|link| !link.task.is_finished());
         if !open {
-            links.insert(host.clone(), self.call(host, *address));
+            links.insert(host.clone(), self.open_link(host, *address));
         }
-        let taken =
+        let queued =
             links.get(host).is_some_and(|link| link.queue.push(QueuedFrame { class, body }));
-        if !taken {
+        if !queued {
             add(&self.counters.dropped, 1);
         }
-        taken
+        queued
     }
 
     /// Returns the hosts to which a link is open and authenticated.
     #[must_use]
-    pub fn linked(&self) -> Vec<HostId> {
+    pub fn connected_hosts(&self) -> Vec<HostId> {
         let links = self.links.borrow();
-        let open = links.iter().filter(|(_, link)| link.linked.get());
+        let open = links.iter().filter(|(_, link)| link.is_connected.get());
         let mut hosts: Vec<HostId> = open.map(|(host, _)| host.clone()).collect();
         hosts.sort();
         hosts
@@ -181,20 +181,20 @@
         }
     }
 
-    fn call(&self, host: &HostId, address: SocketAddr) -> LinkHandle {
+    fn open_link(&self, host: &HostId, address: SocketAddr) -> LinkHandle {
         let settings = Rc::clone(&self.settings);
         let queue = Rc::new(LinkQueue::new(settings.queue_frames, settings.queue_bytes));
-        let linked = Rc::new(Cell::new(false));
-        let caller = LinkCaller {
+        let is_connected = Rc::new(Cell::new(false));
+        let link = OutboundLink {
             settings,
             peer: host.clone(),
             address,
             queue: Rc::clone(&queue),
-            linked: Rc::clone(&linked),
+            is_connected: Rc::clone(&is_connected),
             counters: Rc::clone(&self.counters),
         };
-        let task = tokio::task::spawn_local(caller.run());
-        LinkHandle { address, queue, linked, task }
+        let task = tokio::task::spawn_local(link.run());
+        LinkHandle { address, queue, is_connected, task }
     }
 }
 
@@ -208,23 +208,23 @@
 async fn accept_all(
     listener: TcpListener,
     context: Rc<GateContext>,
-    silence: Duration,
+    silence_limit: Duration,
     counters: Rc<LinkCounters>,
 ) {
-    const PAUSE: Duration = Duration::from_millis(50);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
         // A typical cause is a lack of file descriptors. Retrying at once would be a busy loop.
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if connections.len() < ACCEPT_LIMIT && stream.set_nodelay(true).is_ok() {
-            connections.spawn_local(serve_caller(
+        if connections.len() < MAX_ACCEPTED_CONNECTIONS && stream.set_nodelay(true).is_ok() {
+            connections.spawn_local(serve_peer(
                 stream,
                 Rc::clone(&context),
-                silence,
+                silence_limit,
                 Rc::clone(&counters),
             ));
         }
@@ -233,29 +233,29 @@
 
 /// Serves one accepted connection until its peer closes it, fails to authenticate in time, or goes
 /// silent.
-async fn serve_caller(
+async fn serve_peer(
     stream: TcpStream,
     context: Rc<GateContext>,
-    silence: Duration,
+    silence_limit: Duration,
     counters: Rc<LinkCounters>,
 ) {
-    let activity = Rc::new(CallerActivity::new());
+    let activity = Rc::new(PeerActivity::new());
     let gate: gate::Client = capnp_rpc::new_client(LinkGate::new(context, Rc::clone(&activity)));
     let system = rpc_system(stream, Side::Server, Some(gate.client), counters);
     tokio::select! {
         _ = system => {}
-        () = watch(&activity, silence) => {}
+        () = wait_until_silent(&activity, silence_limit) => {}
     }
 }
 
 /// Returns when the peer has not authenticated itself in time or has been silent for too long.
-async fn watch(activity: &CallerActivity, silence: Duration) {
-    tokio::time::sleep(PROOF_LIMIT).await;
-    while activity.has_entered() {
-        let quiet = activity.last().elapsed();
-        if quiet >= silence {
+async fn wait_until_silent(activity: &PeerActivity, silence_limit: Duration) {
+    tokio::time::sleep(AUTHENTICATION_TIMEOUT).await;
+    while activity.is_authenticated() {
+        let quiet = activity.last_seen().elapsed();
+        if quiet >= silence_limit {
             return;
         }
-        tokio::time::sleep(silence - quiet).await;
+        tokio::time::sleep(silence_limit - quiet).await;
     }
 }
--- a/crates/pulleyd/src/connection/peer_link_caller.rs
+++ b/crates/pulleyd/src/connection/peer_outbound_link.rs
@@ -21,25 +21,25 @@
 use tokio_util::io::InspectWriter;
 
 use super::peer_frame::FRAME_LIMIT;
-use super::peer_gate::{LinkNonces, LinkProof, NONCE_LENGTH, ProofSide};
+use super::peer_gate::{HandshakeRole, LinkNonces, LinkProof, NONCE_LENGTH};
 use super::peer_link_queue::{BATCH_BYTES, LinkQueue, QueuedFrame};
 use super::peer_link_settings::LinkSettings;
 
 /// Maximum number of unanswered calls. Beyond it, frames wait in the queue.
-const CALL_WINDOW: usize = 16;
+const MAX_CALLS_IN_FLIGHT: usize = 16;
 /// Number of heartbeats that may stay unanswered before the link is replaced.
-const MISSED_LIMIT: u32 = 2;
+const MISSED_HEARTBEAT_LIMIT: u32 = 2;
 /// The lowest assumed rate of a link, in bytes per second. Heartbeats are delayed by the bytes sent
 /// ahead of them.
-const SLOWEST_LINK: usize = 128 << 10;
+const SLOWEST_LINK_RATE: usize = 128 << 10;
 /// Maximum time that heartbeats may be delayed by bytes in flight before they count as unanswered.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(10);
 /// Timeout for connecting and authenticating together.
-const ENTRY_LIMIT: Duration = Duration::from_secs(2);
-/// Delay after the first failure to connect. It doubles up to [`LAST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after the first failure to connect. It doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum delay, so that a host that is back is reached within a second.
-const LAST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Why a link ended.
 #[derive(Debug, Error)]
@@ -55,7 +55,7 @@
     Timeout,
     /// The peer's proof is wrong, or the peer is another host.
     #[error("the peer could not be authenticated as the expected host")]
-    Impostor,
+    PeerMismatch,
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -83,12 +83,12 @@
 
 /// The link that this host opens to one peer.
 #[derive(Debug)]
-pub(crate) struct LinkCaller {
+pub(crate) struct OutboundLink {
     pub(crate) settings: Rc<LinkSettings>,
     pub(crate) peer: HostId,
     pub(crate) address: SocketAddr,
     pub(crate) queue: Rc<LinkQueue>,
-    pub(crate) linked: Rc<Cell<bool>>,
+    pub(crate) is_connected: Rc<Cell<bool>>,
     pub(crate) counters: Rc<LinkCounters>,
 }
 
@@ -134,22 +134,22 @@
     _system: TaskGuard,
 }
 
-impl LinkCaller {
+impl OutboundLink {
     /// Keeps the link connected until it is idle. A failed connection is replaced by a new one.
     pub(crate) async fn run(self) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let idle = self.settings.idle_limit;
-            if timeout(idle, self.queue.filled()).await.is_err() {
+            if timeout(idle, self.queue.wait_for_frame()).await.is_err() {
                 return;
             }
-            let ended = match timeout(ENTRY_LIMIT, self.open()).await {
+            let ended = match timeout(HANDSHAKE_TIMEOUT, self.open()).await {
                 Ok(Ok(link)) => {
-                    pause = FIRST_PAUSE;
+                    backoff = INITIAL_BACKOFF;
                     add(&self.counters.opened, 1);
-                    self.linked.set(true);
+                    self.is_connected.set(true);
                     let ended = self.serve(&link).await;
-                    self.linked.set(false);
+                    self.is_connected.set(false);
                     ended
                 }
                 Ok(Err(ended)) => ended,
@@ -163,8 +163,8 @@
             // Frames for an unreachable host are stale once it is reachable again. Their senders
             // then send the current state.
             add(&self.counters.dropped, self.queue.clear());
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LAST_PAUSE);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
@@ -176,7 +176,7 @@
             // If the connection fails, the calls on the link fail as well and report the error.
             let _ = system.await;
         }));
-        let session = self.enter(&gate).await?;
+        let session = self.authenticate(&gate).await?;
         Ok(OpenLink { session, _system: system })
     }
 
@@ -192,30 +192,30 @@
     }
 
     /// Authenticates this host to the peer and the peer to this host, before any frame is sent.
-    async fn enter(&self, gate: &gate::Client) -> Result<session::Client, LinkEnd> {
+    async fn authenticate(&self, gate: &gate::Client) -> Result<session::Client, LinkEnd> {
         let settings = &self.settings;
         let challenge = gate.challenge_request().send().promise.await?;
-        let called: [u8; NONCE_LENGTH] =
-            challenge.get()?.get_nonce()?.try_into().map_err(|_| LinkEnd::Impostor)?;
-        let nonces = LinkNonces { caller: rand::random(), called };
+        let responder: [u8; NONCE_LENGTH] =
+            challenge.get()?.get_nonce()?.try_into().map_err(|_| LinkEnd::PeerMismatch)?;
+        let nonces = LinkNonces { initiator: rand::random(), responder };
         let (cluster, host, process) =
             (&settings.cluster, settings.host.as_str(), settings.process);
-        let ours = LinkProof { side: ProofSide::Caller, cluster, host, process, nonces };
+        let ours = LinkProof { role: HandshakeRole::Initiator, cluster, host, process, nonces };
         let mut request = gate.enter_request();
         let mut hello = request.get().init_hello();
         hello.set_cluster(cluster.as_str());
         hello.set_host(host);
         hello.set_process(process);
-        hello.set_nonce(&nonces.caller);
+        hello.set_nonce(&nonces.initiator);
         hello.set_proof(&ours.sign(&settings.key_ring));
         let response = request.send().promise.await?;
         let accepted = response.get()?.get_accepted()?;
-        let host = accepted.get_host()?.to_str().map_err(|_| LinkEnd::Impostor)?;
+        let host = accepted.get_host()?.to_str().map_err(|_| LinkEnd::PeerMismatch)?;
         let process = accepted.get_process();
-        let theirs = LinkProof { side: ProofSide::Called, cluster, host, process, nonces };
+        let theirs = LinkProof { role: HandshakeRole::Responder, cluster, host, process, nonces };
         let genuine = theirs.verify(&settings.key_ring, accepted.get_proof()?);
         if !genuine || host != self.peer.as_str() {
-            return Err(LinkEnd::Impostor);
+            return Err(LinkEnd::PeerMismatch);
         }
         Ok(accepted.get_session()?)
     }
@@ -232,21 +232,21 @@
         let mut calls = FuturesUnordered::new();
         let mut ticker = interval_at(Instant::now() + heartbeat, heartbeat);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let (mut heard, mut missed, mut beat) = (true, 0, 0);
-        let mut under_way = 0;
+        let (mut answered, mut missed, mut sequence) = (true, 0, 0);
+        let mut in_flight = 0;
         let mut last_frame = Instant::now();
         loop {
             tokio::select! {
-                () = self.queue.filled(), if calls.len() < CALL_WINDOW => {
+                () = self.queue.wait_for_frame(), if calls.len() < MAX_CALLS_IN_FLIGHT => {
                     last_frame = Instant::now();
                     let (bytes, answer) = self.deliver(link);
-                    under_way += bytes;
+                    in_flight += bytes;
                     calls.push(answer);
                 }
                 Some(answer) = calls.next() => match answer {
                     Ok(bytes) => {
-                        under_way -= bytes;
-                        heard = true;
+                        in_flight -= bytes;
+                        answered = true;
                     }
                     Err(error) => return LinkEnd::Call(error),
                 },
@@ -254,13 +254,13 @@
                     if last_frame.elapsed() >= self.settings.idle_limit {
                         return LinkEnd::Idle;
                     }
-                    missed = if heard { 0 } else { missed + 1 };
-                    if missed > MISSED_LIMIT + beats_behind(under_way, heartbeat) {
+                    missed = if answered { 0 } else { missed + 1 };
+                    if missed > MISSED_HEARTBEAT_LIMIT + delayed_heartbeats(in_flight, heartbeat) {
                         return LinkEnd::Silent;
                     }
-                    heard = false;
-                    beat += 1;
-                    calls.push(send_heartbeat(link, beat));
+                    answered = false;
+                    sequence += 1;
+                    calls.push(send_heartbeat(link, sequence));
                 }
             }
         }
@@ -275,8 +275,8 @@
         add(&self.counters.bytes, bytes);
         let mut request = link.session.deliver_request();
         let mut frames = request.get().init_frames(u32::try_from(batch.len()).unwrap_or(0));
-        for (place, QueuedFrame { class, body }) in (0..).zip(&batch) {
-            let mut frame = frames.reborrow().get(place);
+        for (index, QueuedFrame { class, body }) in (0..).zip(&batch) {
+            let mut frame = frames.reborrow().get(index);
             frame.set_class(*class);
             frame.set_body(body);
         }
@@ -286,10 +286,11 @@
 }
 
 /// Returns the number of heartbeats that the bytes in flight may delay.
-fn beats_behind(bytes: usize, heartbeat: Duration) -> u32 {
-    let wait = Duration::from_secs_f64(bytes as f64 / SLOWEST_LINK as f64).min(LONGEST_WAIT);
-    let beats = wait.as_nanos() / heartbeat.as_nanos().max(1);
-    u32::try_from(beats).unwrap_or(u32::MAX / 2)
+fn delayed_heartbeats(bytes: usize, heartbeat: Duration) -> u32 {
+    let wait =
+        Duration::from_secs_f64(bytes as f64 / SLOWEST_LINK_RATE as f64).min(MAX_HEARTBEAT_DELAY);
+    let heartbeats = wait.as_nanos() / heartbeat.as_nanos().max(1);
+    u32::try_from(heartbeats).unwrap_or(u32::MAX / 2)
 }
 
 /// Sends a heartbeat. Its answer resolves to 0, as heartbeats are not counted as bytes in flight.
--- a/crates/pulleyd/src/connection/upstream_connections.rs
+++ b/crates/pulleyd/src/connection/upstream_connections.rs
@@ -17,7 +17,7 @@
 type Result<T> = std::result::Result<T, LinkFault>;
 
 /// How often idle connections are checked.
-const UPKEEP_PERIOD: Duration = Duration::from_secs(1);
+const MAINTENANCE_PERIOD: Duration = Duration::from_secs(1);
 
 /// A request for a connection.
 #[derive(Clone, Copy, Debug)]
@@ -68,26 +68,26 @@
     /// per period. The caller listener runs it.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let _ = self.timer.after(UPKEEP_PERIOD).await;
-            self.keep_up();
+            let _ = self.timer.after(MAINTENANCE_PERIOD).await;
+            self.maintain();
         }
     }
 
-    fn keep_up(&self) {
+    fn maintain(&self) {
         let view = self.view.load();
-        self.retire_unknown(&view);
+        self.remove_unknown(&view);
         for (id, links) in self.upstreams.load().iter() {
             links.expire();
             let Some(record) = find(&view, id).filter(|record| record.takes_work) else { continue };
             set_share(links, record, &view);
-            if links.is_warm() {
-                links.keep_spare();
+            if links.was_used_recently() {
+                links.ensure_spare();
             }
         }
     }
 
     /// Removes the connections of upstreams that the view no longer contains.
-    fn retire_unknown(&self, view: &RunningView) {
+    fn remove_unknown(&self, view: &RunningView) {
         let is_known = |id: &UpstreamId| find(view, id).is_some();
         if self.upstreams.load().keys().all(is_known) {
             return;
@@ -97,8 +97,8 @@
             upstreams.retain(|id, _| is_known(id));
             upstreams
         });
-        let gone = before.iter().filter(|(id, _)| !is_known(id));
-        gone.for_each(|(_, links)| links.close());
+        let removed = before.iter().filter(|(id, _)| !is_known(id));
+        removed.for_each(|(_, links)| links.close());
     }
 
     fn links(&self, upstream: &UpstreamId, address: SocketAddr) -> Arc<UpstreamLinks> {
--- a/crates/pulleyd/src/connection/upstream_link.rs
+++ b/crates/pulleyd/src/connection/upstream_link.rs
@@ -92,19 +92,22 @@
 #[derive(Debug)]
 pub struct UpstreamLink<S> {
     pub(super) sender: http1::SendRequest<RequestBody>,
-    pub(super) seat: LinkSeat,
+    pub(super) registration: LinkRegistration,
     _state: S,
 }
 
 impl UpstreamLink<Unused> {
-    pub(super) const fn new(sender: http1::SendRequest<RequestBody>, seat: LinkSeat) -> Self {
-        Self { sender, seat, _state: Unused }
+    pub(super) const fn new(
+        sender: http1::SendRequest<RequestBody>,
+        registration: LinkRegistration,
+    ) -> Self {
+        Self { sender, registration, _state: Unused }
     }
 
     /// Returns the meter, which shows whether a request whose sending was aborted left the process.
     #[must_use]
     pub fn meter(&self) -> LinkMeter {
-        self.seat.meter.clone()
+        self.registration.meter.clone()
     }
 
     /// Sends a request immediately. The returned future waits for the head of the answer. The
@@ -117,23 +120,23 @@
         mut self,
         request: Request<RequestBody>,
     ) -> impl Future<Output = Result<(Response<Incoming>, UpstreamLink<Answering>)>> {
-        self.seat.meter.begin_request();
+        self.registration.meter.begin_request();
         let sending = self.sender.try_send_request(request);
-        let Self { sender, seat, .. } = self;
+        let Self { sender, registration, .. } = self;
         async move {
-            match until_ended(sending, &seat.ended).await {
+            match answer_until_ended(sending, &registration.ended).await {
                 Some(Ok(response)) => {
-                    seat.prove();
-                    Ok((response, UpstreamLink { sender, seat, _state: Answering }))
+                    registration.prove();
+                    Ok((response, UpstreamLink { sender, registration, _state: Answering }))
                 }
                 Some(Err(fault)) => {
-                    let has_left = seat.meter.seal();
+                    let was_written = registration.meter.seal();
                     let broken = LinkFault::Broken(fault.into_error());
-                    Err(if has_left { broken } else { LinkFault::ClosedUnsent })
+                    Err(if was_written { broken } else { LinkFault::ClosedUnsent })
                 }
                 None => {
-                    let has_left = seat.meter.seal();
-                    Err(if has_left { LinkFault::Lost } else { LinkFault::ClosedUnsent })
+                    let was_written = registration.meter.seal();
+                    Err(if was_written { LinkFault::Lost } else { LinkFault::ClosedUnsent })
                 }
             }
         }
@@ -147,7 +150,7 @@
 /// held, which is here, and the answer never resolves. The caller of a refund would then wait for
 /// its whole deadline. The task resolves every request it has received before it ends, so polling
 /// the answer once after the end is enough.
-async fn until_ended<T>(answer: impl Future<Output = T>, ended: &Notify) -> Option<T> {
+async fn answer_until_ended<T>(answer: impl Future<Output = T>, ended: &Notify) -> Option<T> {
     let mut answer = pin!(answer);
     match select(answer.as_mut(), pin!(ended.notified())).await {
         Either::Left((answer, _)) => Some(answer),
@@ -163,36 +166,36 @@
         let (response, link) = self.send(question).await.ok()?;
         let (parts, body) = response.into_parts();
         Limited::new(body, PROBE_BODY_LIMIT).collect().await.ok()?;
-        let UpstreamLink { mut sender, seat, .. } = link;
+        let UpstreamLink { mut sender, registration, .. } = link;
         sender.ready().await.ok()?;
-        Some((parts, Self { sender, seat, _state: Unused }))
+        Some((parts, Self { sender, registration, _state: Unused }))
     }
 
     /// Returns the link to the idle connections, unused.
     pub fn give_back(self) {
-        put_back(self.sender, self.seat);
+        put_back(self.sender, self.registration);
     }
 }
 
 impl UpstreamLink<Answering> {
     /// Returns the link to the idle connections, after the whole answer has been read.
     pub fn give_back(self) {
-        put_back(self.sender, self.seat);
+        put_back(self.sender, self.registration);
     }
 }
 
-fn put_back(sender: http1::SendRequest<RequestBody>, seat: LinkSeat) {
-    let links = Arc::clone(&seat.links);
+fn put_back(sender: http1::SendRequest<RequestBody>, registration: LinkRegistration) {
+    let links = Arc::clone(&registration.links);
     if sender.is_ready() || sender.is_closed() {
-        links.put_back(sender, seat);
+        links.put_back(sender, registration);
         return;
     }
-    links.put_back_later(sender, seat);
+    links.put_back_when_ready(sender, registration);
 }
 
 /// A connection's registration in its upstream's book. Dropping it closes the connection.
 #[derive(Debug)]
-pub(super) struct LinkSeat {
+pub(super) struct LinkRegistration {
     pub(super) links: Arc<UpstreamLinks>,
     pub(super) number: LinkNumber,
     pub(super) meter: LinkMeter,
@@ -201,7 +204,7 @@
     pub(super) ended: Arc<Notify>,
 }
 
-impl LinkSeat {
+impl LinkRegistration {
     pub(super) fn new(links: Arc<UpstreamLinks>, number: LinkNumber) -> Self {
         Self { links, number, meter: LinkMeter::default(), driver: None, ended: Arc::default() }
     }
@@ -211,7 +214,7 @@
     }
 }
 
-impl Drop for LinkSeat {
+impl Drop for LinkRegistration {
     fn drop(&mut self) {
         let _ = self.meter.seal();
         if let Some(driver) = &self.driver {
@@ -232,7 +235,10 @@
     /// Records that a request is being sent now.
     #[must_use]
     pub fn send_record(&self) -> SendRecord {
-        SendRecord { links: Arc::clone(&self.seat.links), sent: self.seat.links.now() }
+        SendRecord {
+            links: Arc::clone(&self.registration.links),
+            sent: self.registration.links.now(),
+        }
     }
 }
 
--- a/crates/pulleyd/src/connection/upstream_links.rs
+++ b/crates/pulleyd/src/connection/upstream_links.rs
@@ -16,7 +16,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-use super::upstream_link::LinkSeat;
+use super::upstream_link::LinkRegistration;
 use super::{LinkFault, MeteredStream, Unused, UpstreamLink};
 use crate::process::{ProcessClock, TimerService};
 use crate::request::RequestBody;
@@ -30,26 +30,26 @@
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
 
 /// How long a connection is idle before the operating system sends keepalive probes.
-const KEEPALIVE_QUIET: Duration = Duration::from_secs(5);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 
 /// Interval between keepalive probes. Three unanswered ones close the connection.
-const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long after an upstream's last request a spare connection to it is kept ready.
 ///
 /// While load grows, a spare saves a request one millisecond. With a longer span, entries with few
 /// requests would open more connections than they have requests. Each costs its upstream the same
 /// millisecond, and most would be closed unused.
-const WARM_SPAN: Duration = Duration::from_millis(100);
+const SPARE_SPAN: Duration = Duration::from_millis(100);
 
 /// How long a returned connection may take to be ready again. It is ready within microseconds
 /// unless the machine is busy, or the upstream answered before it had read the whole request.
-const READY_LIMIT: Duration = Duration::from_millis(100);
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Timeout for opening a connection. Opening takes 1 to 2 ms between zones and 50 ms between
 /// regions. If the first packet is lost, TCP retransmits it after a second at the earliest. Nothing
 /// of the request has been sent by then, so another upstream answers it sooner.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Bytes read at once, which is also the maximum size of an answer's head. Common servers send
 /// heads of up to 8 KiB. Each read frees space for as many bytes to arrive at the link's full rate,
@@ -77,11 +77,11 @@
 }
 
 /// An open connection that waits for a request. It must never be dropped while the lock is held, as
-/// dropping its seat takes the lock.
+/// dropping its registration takes the lock.
 #[derive(Debug)]
 struct IdleLink {
     sender: RequestSender,
-    seat: LinkSeat,
+    registration: LinkRegistration,
 }
 
 impl UpstreamLinks {
@@ -115,14 +115,14 @@
             let number = match choice {
                 CheckoutChoice::Full => return Err(LinkFault::ShareInUse),
                 CheckoutChoice::Open(number) | CheckoutChoice::Replace { open: number, .. } => {
-                    let seat = LinkSeat::new(Arc::clone(self), number);
+                    let registration = LinkRegistration::new(Arc::clone(self), number);
                     // Boxed, because its future is large and connections are opened rarely.
-                    return Box::pin(self.connect(seat, deadline)).await;
+                    return Box::pin(self.connect(registration, deadline)).await;
                 }
                 CheckoutChoice::Reuse(number) => number,
             };
             if let Some(spare) = spare {
-                self.open_spare(spare);
+                self.connect_spare(spare);
             }
             let Some(idle) = reused else {
                 self.forget(number);
@@ -130,48 +130,48 @@
             };
             // A connection that closed while idle accepts no request, so the next one is tried.
             if idle.sender.is_ready() {
-                let IdleLink { sender, seat } = idle;
-                return Ok(UpstreamLink::new(sender, seat));
+                let IdleLink { sender, registration } = idle;
+                return Ok(UpstreamLink::new(sender, registration));
             }
         }
     }
 
     /// Opens a spare connection if none is idle. While load grows, the next request then does not
     /// wait a millisecond for a new connection.
-    pub(super) fn keep_spare(self: &Arc<Self>) {
+    pub(super) fn ensure_spare(self: &Arc<Self>) {
         let number = {
             let mut state = self.state.lock();
             let useful = state.useful;
             state.book.open_spare(self.clock.now(), useful)
         };
         if let Some(number) = number {
-            self.open_spare(number);
+            self.connect_spare(number);
         }
     }
 
-    fn open_spare(self: &Arc<Self>, number: LinkNumber) {
-        let seat = LinkSeat::new(Arc::clone(self), number);
+    fn connect_spare(self: &Arc<Self>, number: LinkNumber) {
+        let registration = LinkRegistration::new(Arc::clone(self), number);
         let links = Arc::clone(self);
         tokio::spawn(async move {
-            let deadline = links.clock.now() + CONNECT_LIMIT;
-            if let Ok(link) = links.connect(seat, deadline).await {
-                let UpstreamLink { sender, seat, .. } = link;
-                links.put_back(sender, seat);
+            let deadline = links.clock.now() + CONNECT_TIMEOUT;
+            if let Ok(link) = links.connect(registration, deadline).await {
+                let UpstreamLink { sender, registration, .. } = link;
+                links.put_back(sender, registration);
             }
         });
     }
 
     /// Whether the last request to the upstream was so recent that a spare connection is useful.
-    pub(super) fn is_warm(&self) -> bool {
-        self.clock.now().since(self.state.lock().last_used) <= WARM_SPAN
+    pub(super) fn was_used_recently(&self) -> bool {
+        self.clock.now().since(self.state.lock().last_used) <= SPARE_SPAN
     }
 
-    pub(super) fn put_back(&self, sender: RequestSender, seat: LinkSeat) {
+    pub(super) fn put_back(&self, sender: RequestSender, registration: LinkRegistration) {
         let surplus = {
             let mut state = self.state.lock();
-            let number = seat.number;
+            let number = registration.number;
             let closed = state.closed || sender.is_closed();
-            let idle = IdleLink { sender, seat };
+            let idle = IdleLink { sender, registration };
             if closed || state.book.put_back(self.clock.now(), number) == ReturnChoice::Close {
                 Some(idle)
             } else {
@@ -187,11 +187,15 @@
     /// If the connection were returned at once, the next request would wait for that task. On a
     /// busy machine this takes longer than opening a new connection, while other idle ones are
     /// ready.
-    pub(super) fn put_back_later(self: Arc<Self>, mut sender: RequestSender, seat: LinkSeat) {
+    pub(super) fn put_back_when_ready(
+        self: Arc<Self>,
+        mut sender: RequestSender,
+        registration: LinkRegistration,
+    ) {
         tokio::spawn(async move {
-            let limit = self.clock.now() + READY_LIMIT;
+            let limit = self.clock.now() + READY_TIMEOUT;
             if let Some(Ok(())) = self.timer.limit(limit, sender.ready()).await {
-                self.put_back(sender, seat);
+                self.put_back(sender, registration);
             }
         });
     }
@@ -240,18 +244,18 @@
     fn choose(&self, safety: WorkSafety) -> (CheckoutChoice, Option<IdleLink>, Option<LinkNumber>) {
         let mut state = self.state.lock();
         let now = self.clock.now();
-        let is_warm = now.since(state.last_used) <= WARM_SPAN;
+        let was_used_recently = now.since(state.last_used) <= SPARE_SPAN;
         state.last_used = now;
         let choice = state.book.checkout(now, safety);
-        let leaving = match choice {
+        let removed = match choice {
             CheckoutChoice::Reuse(number) => state.idle.remove(&number),
             CheckoutChoice::Replace { close, .. } => state.idle.remove(&close),
             CheckoutChoice::Open(_) | CheckoutChoice::Full => None,
         };
         let is_reuse = matches!(choice, CheckoutChoice::Reuse(_));
-        let useful = if is_reuse && is_warm { state.useful } else { 0 };
+        let useful = if is_reuse && was_used_recently { state.useful } else { 0 };
         let spare = state.book.open_spare(now, useful);
-        (choice, leaving, spare)
+        (choice, removed, spare)
     }
 
     fn close_idle(&self, choose: impl FnOnce(&mut ConnectionBook) -> Vec<LinkNumber>) {
@@ -265,19 +269,19 @@
 
     async fn connect(
         self: &Arc<Self>,
-        mut seat: LinkSeat,
+        mut registration: LinkRegistration,
         deadline: Moment,
     ) -> Result<UpstreamLink<Unused>> {
-        let limit = deadline.min(self.clock.now() + CONNECT_LIMIT);
+        let limit = deadline.min(self.clock.now() + CONNECT_TIMEOUT);
         let connected = self.timer.limit(limit, TcpStream::connect(self.address)).await;
         let stream = connected.ok_or(LinkFault::ConnectTimeout)?.map_err(LinkFault::Unreachable)?;
         set_options(&stream).map_err(LinkFault::Unreachable)?;
-        let stream = TokioIo::new(MeteredStream::new(stream, seat.meter.clone()));
+        let stream = TokioIo::new(MeteredStream::new(stream, registration.meter.clone()));
         let mut builder = http1::Builder::new();
         let handshake = builder.max_buf_size(READ_BUFFER).handshake(stream).await;
         let (sender, connection) = handshake.map_err(|_| LinkFault::ClosedUnsent)?;
         let links: Weak<Self> = Arc::downgrade(self);
-        let (number, ended) = (seat.number, Arc::clone(&seat.ended));
+        let (number, ended) = (registration.number, Arc::clone(&registration.ended));
         let driver = tokio::spawn(async move {
             // Errors are reported through the sender. Here the connection only has to leave the
             // idle set.
@@ -288,9 +292,9 @@
                 drop(closed);
             }
         });
-        seat.driver = Some(driver.abort_handle());
+        registration.driver = Some(driver.abort_handle());
         self.prove(number);
-        Ok(UpstreamLink::new(sender, seat))
+        Ok(UpstreamLink::new(sender, registration))
     }
 }
 
@@ -300,8 +304,8 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_QUIET)
-        .with_interval(KEEPALIVE_PAUSE)
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(3);
     socket.set_tcp_keepalive(&keepalive)?;
     #[cfg(target_os = "linux")]
--- a/crates/pulleyd/src/connection/upstream_prober.rs
+++ b/crates/pulleyd/src/connection/upstream_prober.rs
@@ -21,7 +21,7 @@
 
 /// Timeout of a probe. A usual probe takes about 6 ms. Waiting longer than fifty times that would
 /// only show that the upstream does not answer.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Sends probes on the traffic threads, so that they do not delay the control thread.
 #[derive(Clone, Debug)]
@@ -43,8 +43,8 @@
     pub fn probe(&self, address: SocketAddr, report: impl FnOnce(ProbeOutcome) + Send + 'static) {
         self.threads.spawn(async move {
             let began = Instant::now();
-            let asked = tokio::time::timeout(PROBE_LIMIT, ask(address)).await;
-            let outcome = match asked.ok().flatten() {
+            let answered = tokio::time::timeout(PROBE_TIMEOUT, send_probe(address)).await;
+            let outcome = match answered.ok().flatten() {
                 Some(load) => ProbeOutcome::Answered { latency: began.elapsed(), report: load },
                 None => ProbeOutcome::Failed,
             };
@@ -55,7 +55,7 @@
 
 /// Sends one probe. Returns `None` if it failed, and otherwise the load report of the answer, if it
 /// had one.
-async fn ask(address: SocketAddr) -> Option<Option<LoadReport>> {
+async fn send_probe(address: SocketAddr) -> Option<Option<LoadReport>> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(connection);
--- a/crates/pulleyd/tests/peer_links.rs
+++ b/crates/pulleyd/tests/peer_links.rs
@@ -19,9 +19,9 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-const OLD: &str = "old-key-0123456789abcdef0123456789abcdef";
-const NEW: &str = "new-key-0123456789abcdef0123456789abcdef";
-const PATIENCE: Duration = Duration::from_secs(20);
+const OLD_KEY: &str = "old-key-0123456789abcdef0123456789abcdef";
+const NEW_KEY: &str = "new-key-0123456789abcdef0123456789abcdef";
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn host(name: &str) -> HostId {
     name.parse().unwrap()
@@ -57,7 +57,7 @@
             }
         }
     };
-    timeout(PATIENCE, sent).await.unwrap()
+    timeout(TEST_TIMEOUT, sent).await.unwrap()
 }
 
 async fn wait_for(mut condition: impl FnMut() -> bool) {
@@ -66,11 +66,11 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, waiting).await.unwrap();
+    timeout(TEST_TIMEOUT, waiting).await.unwrap();
 }
 
 /// A proxy between two hosts that can stop forwarding bytes without closing its connections.
-async fn forwarder(to: SocketAddr, stopped: Rc<Cell<bool>>) -> SocketAddr {
+async fn stallable_proxy(to: SocketAddr, stalled: Rc<Cell<bool>>) -> SocketAddr {
     let listener = TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::task::spawn_local(async move {
@@ -78,15 +78,15 @@
             let (near, _) = listener.accept().await.unwrap();
             let far = TcpStream::connect(to).await.unwrap();
             // Connections opened after the stop work, as they do with a real network device.
-            let fated = Rc::new(Cell::new(!stopped.get()));
+            let can_stall = Rc::new(Cell::new(!stalled.get()));
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
             for (mut read, mut write) in [(near_read, far_write), (far_read, near_write)] {
-                let (stopped, fated) = (Rc::clone(&stopped), Rc::clone(&fated));
+                let (stalled, can_stall) = (Rc::clone(&stalled), Rc::clone(&can_stall));
                 tokio::task::spawn_local(async move {
                     let mut buffer = vec![0; 4_096];
                     while let Ok(length @ 1..) = read.read(&mut buffer).await {
-                        if stopped.get() && fated.get() {
+                        if stalled.get() && can_stall.get() {
                             std::future::pending::<()>().await;
                         }
                         if write.write_all(&buffer[..length]).await.is_err() {
@@ -104,20 +104,20 @@
 async fn frames_arrive_in_order_and_name_their_sender() {
     LocalSet::new()
         .run_until(async {
-            let (mut one, _one_frames) = links(settings("one", OLD)).await;
-            let (two, mut frames) = links(settings("two", OLD)).await;
+            let (mut one, _one_frames) = links(settings("one", OLD_KEY)).await;
+            let (two, mut frames) = links(settings("two", OLD_KEY)).await;
             one.set_address(&host("two"), two.local_address());
             for number in 0..500_u32 {
                 let body = Bytes::copy_from_slice(&number.to_le_bytes());
                 assert!(one.send(&host("two"), FrameClass::Replication, body));
             }
             for number in 0..500_u32 {
-                let frame = timeout(PATIENCE, frames.recv()).await.unwrap().unwrap();
+                let frame = timeout(TEST_TIMEOUT, frames.recv()).await.unwrap().unwrap();
                 assert_eq!(frame.from, host("one"));
                 assert_eq!(frame.class, FrameClass::Replication);
                 assert_eq!(frame.body, Bytes::copy_from_slice(&number.to_le_bytes()));
             }
-            assert_eq!(one.linked(), vec![host("two")]);
+            assert_eq!(one.connected_hosts(), vec![host("two")]);
         })
         .await;
 }
@@ -129,15 +129,15 @@
 async fn a_silent_link_is_replaced() {
     LocalSet::new()
         .run_until(async {
-            let (mut one, _one_frames) = links(settings("one", OLD)).await;
-            let (two, mut frames) = links(settings("two", OLD)).await;
-            let stopped = Rc::new(Cell::new(false));
-            let address = forwarder(two.local_address(), Rc::clone(&stopped)).await;
+            let (mut one, _one_frames) = links(settings("one", OLD_KEY)).await;
+            let (two, mut frames) = links(settings("two", OLD_KEY)).await;
+            let stalled = Rc::new(Cell::new(false));
+            let address = stallable_proxy(two.local_address(), Rc::clone(&stalled)).await;
             one.set_address(&host("two"), address);
             send_until_received(&one, &host("two"), &mut frames).await;
-            stopped.set(true);
+            stalled.set(true);
             wait_for(|| one.counts().silent == 1).await;
-            assert_eq!(one.linked(), Vec::<HostId>::new());
+            assert_eq!(one.connected_hosts(), Vec::<HostId>::new());
             let frame = send_until_received(&one, &host("two"), &mut frames).await;
             assert_eq!(frame.from, host("one"));
             assert_eq!(one.counts().opened, 2);
@@ -146,7 +146,7 @@
 }
 
 /// Forwards connections. Bytes to the target pass at a limited rate, in bytes per second.
-async fn slow_forwarder(to: SocketAddr, rate: usize) -> SocketAddr {
+async fn slow_proxy(to: SocketAddr, rate: usize) -> SocketAddr {
     const STEP: Duration = Duration::from_millis(10);
     let listener = TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -179,15 +179,15 @@
 async fn a_large_frame_gets_through_a_slow_link() {
     LocalSet::new()
         .run_until(async {
-            let (mut one, _one_frames) = links(settings("one", OLD)).await;
-            let (two, mut frames) = links(settings("two", OLD)).await;
-            let address = slow_forwarder(two.local_address(), 256 << 10).await;
+            let (mut one, _one_frames) = links(settings("one", OLD_KEY)).await;
+            let (two, mut frames) = links(settings("two", OLD_KEY)).await;
+            let address = slow_proxy(two.local_address(), 256 << 10).await;
             one.set_address(&host("two"), address);
             send_until_received(&one, &host("two"), &mut frames).await;
             let body = Bytes::from(vec![7; 256 << 10]);
             assert!(one.send(&host("two"), FrameClass::Operator, body.clone()));
             let large = async { while frames.recv().await.unwrap().body != body {} };
-            timeout(PATIENCE, large).await.unwrap();
+            timeout(TEST_TIMEOUT, large).await.unwrap();
             assert_eq!(one.counts().silent, 0);
         })
         .await;
@@ -199,8 +199,8 @@
 async fn the_largest_frame_gets_through() {
     LocalSet::new()
         .run_until(async {
-            let (mut one, _one_frames) = links(settings("one", OLD)).await;
-            let (two, mut frames) = links(settings("two", OLD)).await;
+            let (mut one, _one_frames) = links(settings("one", OLD_KEY)).await;
+            let (two, mut frames) = links(settings("two", OLD_KEY)).await;
             one.set_address(&host("two"), two.local_address());
             send_until_received(&one, &host("two"), &mut frames).await;
             let body = Bytes::from(vec![7; FRAME_LIMIT]);
@@ -209,7 +209,7 @@
             }
             assert!(one.send(&host("two"), FrameClass::Replication, body.clone()));
             let large = async { while frames.recv().await.unwrap().body != body {} };
-            timeout(PATIENCE, large).await.unwrap();
+            timeout(TEST_TIMEOUT, large).await.unwrap();
             assert_eq!(one.counts().failed, 0);
         })
         .await;
@@ -221,13 +221,13 @@
 async fn a_wrong_key_gets_no_link() {
     LocalSet::new()
         .run_until(async {
-            let (mut one, _one_frames) = links(settings("one", NEW)).await;
-            let (two, mut frames) = links(settings("two", OLD)).await;
+            let (mut one, _one_frames) = links(settings("one", NEW_KEY)).await;
+            let (two, mut frames) = links(settings("two", OLD_KEY)).await;
             one.set_address(&host("two"), two.local_address());
             one.send(&host("two"), FrameClass::Ledger, Bytes::from_static(b"no"));
             wait_for(|| one.counts().failed > 0).await;
             assert!(frames.try_recv().is_err());
-            assert!(one.linked().is_empty());
+            assert!(one.connected_hosts().is_empty());
         })
         .await;
 }
@@ -237,8 +237,8 @@
 async fn a_link_to_the_wrong_host_is_not_used() {
     LocalSet::new()
         .run_until(async {
-            let (mut one, _one_frames) = links(settings("one", OLD)).await;
-            let (two, mut frames) = links(settings("two", OLD)).await;
+            let (mut one, _one_frames) = links(settings("one", OLD_KEY)).await;
+            let (two, mut frames) = links(settings("two", OLD_KEY)).await;
             one.set_address(&host("three"), two.local_address());
             one.send(&host("three"), FrameClass::Ledger, Bytes::from_static(b"no"));
             wait_for(|| one.counts().failed > 0).await;
@@ -253,9 +253,9 @@
     LocalSet::new()
         .run_until(async {
             let (mut one, mut one_frames) =
-                links(settings("one", &format!("{NEW}\n{OLD}\n"))).await;
+                links(settings("one", &format!("{NEW_KEY}\n{OLD_KEY}\n"))).await;
             let (mut two, mut two_frames) =
-                links(settings("two", &format!("# rotation\n{OLD}\n{NEW}\n"))).await;
+                links(settings("two", &format!("# rotation\n{OLD_KEY}\n{NEW_KEY}\n"))).await;
             one.set_address(&host("two"), two.local_address());
             two.set_address(&host("one"), one.local_address());
             send_until_received(&one, &host("two"), &mut two_frames).await;
@@ -268,13 +268,13 @@
 fn a_changed_secret_file_is_taken_over_and_never_shown() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("secret");
-    std::fs::write(&path, OLD).unwrap();
+    std::fs::write(&path, OLD_KEY).unwrap();
     let ring = KeyRing::load(&path).unwrap();
-    let other = KeyRing::from_text(NEW).unwrap();
+    let other = KeyRing::from_text(NEW_KEY).unwrap();
     let tag = other.sign(&[b"part"]);
     assert!(!ring.verify(&[b"part"], &tag));
     assert!(!ring.reload().unwrap());
-    std::fs::write(&path, format!("{OLD}\n{NEW}\n")).unwrap();
+    std::fs::write(&path, format!("{OLD_KEY}\n{NEW_KEY}\n")).unwrap();
     assert!(ring.reload().unwrap());
     assert!(ring.verify(&[b"part"], &tag));
     assert!(!ring.verify(&[b"part"], &tag[..8]), "a tag that is too short is rejected");
@@ -293,9 +293,9 @@
     LocalSet::new()
         .run_until(async {
             let (mut one, _one_frames) =
-                links(settings("one", OLD).with_queue(10, 4 * FRAME_LIMIT)).await;
-            let nobody = TcpListener::bind(loopback()).await.unwrap();
-            one.set_address(&host("two"), nobody.local_addr().unwrap());
+                links(settings("one", OLD_KEY).with_queue(10, 4 * FRAME_LIMIT)).await;
+            let unresponsive = TcpListener::bind(loopback()).await.unwrap();
+            one.set_address(&host("two"), unresponsive.local_addr().unwrap());
             let body = Bytes::from(vec![0; FRAME_LIMIT + 1]);
             assert!(!one.send(&host("two"), FrameClass::Replication, body));
             let body = Bytes::from(vec![0; FRAME_LIMIT]);
@@ -315,7 +315,7 @@
 #[tokio::test]
 async fn only_genuine_datagrams_pass() {
     let (inbound, mut datagrams) = mpsc::channel(16);
-    let ring = || KeyRing::from_text(OLD).unwrap();
+    let ring = || KeyRing::from_text(OLD_KEY).unwrap();
     let seal = |name: &str, cluster: &str, ring: KeyRing| {
         DatagramSeal::new(host(name), cluster.parse().unwrap(), ring)
     };
@@ -325,7 +325,7 @@
     let own = seal("one", "test", ring());
     let mut changed = own.seal(FrameClass::Counts, b"counts");
     changed[8] ^= 1;
-    let wrong = KeyRing::from_text(NEW).unwrap();
+    let wrong = KeyRing::from_text(NEW_KEY).unwrap();
     for bad in [
         changed,
         seal("one", "other", ring()).seal(FrameClass::Counts, b"counts"),
@@ -336,7 +336,7 @@
         raw.send_to(&bad, to).await.unwrap();
     }
     raw.send_to(&own.seal(FrameClass::Counts, b"genuine"), to).await.unwrap();
-    let first = timeout(PATIENCE, datagrams.recv()).await.unwrap().unwrap();
+    let first = timeout(TEST_TIMEOUT, datagrams.recv()).await.unwrap().unwrap();
     assert_eq!(first.sender, host("one"));
     assert_eq!(first.class, FrameClass::Counts);
     assert_eq!(&first.body[..], b"genuine");
@@ -351,12 +351,12 @@
     let (inbound, mut datagrams) = mpsc::channel(16);
     let (unused, _kept) = mpsc::channel(1);
     let seal = |name: &str| {
-        DatagramSeal::new(host(name), "test".parse().unwrap(), KeyRing::from_text(OLD).unwrap())
+        DatagramSeal::new(host(name), "test".parse().unwrap(), KeyRing::from_text(OLD_KEY).unwrap())
     };
     let two = PeerDatagrams::bind(loopback(), seal("two"), inbound).await.unwrap();
     let one = PeerDatagrams::bind(loopback(), seal("one"), unused).await.unwrap();
     assert!(one.send(two.local_address().unwrap(), FrameClass::Membership, b"first"));
-    let first = timeout(PATIENCE, datagrams.recv()).await.unwrap().unwrap();
+    let first = timeout(TEST_TIMEOUT, datagrams.recv()).await.unwrap().unwrap();
     assert_eq!(&first.body[..], b"first");
 }
 
@@ -369,7 +369,7 @@
     let (inbound, mut datagrams) = mpsc::channel(16);
     let (unused, _kept) = mpsc::channel(1);
     let seal = |name: &str| {
-        DatagramSeal::new(host(name), "test".parse().unwrap(), KeyRing::from_text(OLD).unwrap())
+        DatagramSeal::new(host(name), "test".parse().unwrap(), KeyRing::from_text(OLD_KEY).unwrap())
     };
     let two = PeerDatagrams::bind(loopback(), seal("two"), inbound).await.unwrap();
     let one = PeerDatagrams::bind(loopback(), seal("one"), unused).await.unwrap();
@@ -382,11 +382,11 @@
     one.send_all(to, &small);
     one.send_all(to, &large);
     for (class, body) in small.iter().chain(&large) {
-        let next = timeout(PATIENCE, datagrams.recv()).await.unwrap().unwrap();
+        let next = timeout(TEST_TIMEOUT, datagrams.recv()).await.unwrap().unwrap();
         assert_eq!((next.sender, next.class, next.body), (host("one"), *class, body.clone()));
     }
     assert_eq!(one.counts().sent, 3);
-    let bundle = seal("one").seal_all(&small);
+    let bundle = seal("one").seal_bundle(&small);
     assert!(seal("two").open(&bundle).is_some());
     assert!(seal("two").open(&bundle[..bundle.len() - 1]).is_none());
 }
