--- a/crates/pulley_fuzz/src/lib.rs
+++ b/crates/pulley_fuzz/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fuzz targets of what comes from outside; they are tests, in `tests/fuzz_targets.rs`.
+//! Fuzz targets for the parsers of external input. They are tests, in `tests/fuzz_targets.rs`.
 //!
-//! They have a crate of their own, as every test program of a package is linked to the fuzzer.
+//! They are in their own crate, because every test executable of a package is linked to the fuzzer.
 
-// The test program of this library has to be linked to the fuzzer as well.
+// The test executable of this library also has to be linked to the fuzzer.
 #[cfg(test)]
 use bolero as _;
--- a/crates/pulley_fuzz/tests/fuzz_targets.rs
+++ b/crates/pulley_fuzz/tests/fuzz_targets.rs
@@ -1,8 +1,8 @@
-//! Fuzz targets of the parsers: an ordinary test run plays a small corpus and seeded inputs.
+//! Fuzz targets for the parsers. An ordinary test run uses a small corpus and seeded inputs.
 //!
-//! The README tells how to run one for long, guided by coverage.
+//! The README describes how to run a target for longer, guided by coverage.
 
-#![allow(clippy::unwrap_used, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::net::SocketAddr;
 
@@ -14,18 +14,18 @@
 };
 use pulley_core::version::{PlanFollower, SheetReader};
 
-/// Inputs in an ordinary run.
+/// Number of inputs in an ordinary run.
 const INPUTS: usize = 3_000;
 
-/// The longest input, in bytes; a datagram between hosts is no longer.
+/// Maximum length of an input, in bytes. Datagrams between hosts are not longer.
 const LONGEST: usize = 1_400;
 
 fn sender() -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 2], 7_000))
 }
 
-// An operator's sheet comes from a planner's export; whatever is in it must be read or refused, and what
-// is read must make a plan that finds its own rows.
+// A sheet is an export from a planner and may contain anything. It must be read or refused without
+// a panic, and each kind that is read must have a deadline and an absolute path prefix.
 #[test]
 fn sheets() {
     check!().with_iterations(INPUTS).with_max_len(LONGEST).for_each(|input: &[u8]| {
@@ -37,8 +37,8 @@
     });
 }
 
-// A datagram with a good seal, of another version or a faulty host, reaches the membership. The host
-// must go on: its own record stays, and it answers the next probe.
+// A datagram with a valid tag, but from another version or a faulty host, reaches the membership.
+// The host must continue without a panic and keep its own record.
 #[test]
 fn membership_datagrams() {
     let own = MemberRecord {
@@ -57,7 +57,8 @@
     });
 }
 
-// The same for the leases of upstreams: nothing that cannot be read may name an upstream to use.
+// The same for the leases of upstreams. No unreadable datagram may name an upstream
+// to use.
 #[test]
 fn registry_datagrams() {
     check!().with_iterations(INPUTS).with_max_len(LONGEST).for_each(|input: &[u8]| {
@@ -67,7 +68,7 @@
     });
 }
 
-// And for what hosts tell each other about the configuration: bytes that cannot be read put nothing
+// The same for messages about the configuration. Unreadable datagrams must not put a configuration
 // in force.
 #[test]
 fn configuration_datagrams() {
--- a/crates/pulley_soak/src/daemon_process.rs
+++ b/crates/pulley_soak/src/daemon_process.rs
@@ -1,4 +1,4 @@
-//! One daemon process of a soak.
+//! One daemon process of a soak run.
 
 use std::fs::{self, File};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,32 +11,33 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// The listeners of one daemon, in the order of [`DaemonProcess::addresses`].
+/// Names of a daemon's listeners, in the order of [`DaemonProcess::addresses`].
 const LISTENERS: [&str; 4] = ["callers", "upstreams", "operators", "peers"];
 
-/// How long a daemon may take to listen.
+/// Timeout for a started daemon to listen.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// One daemon and what is needed to start it again where it was.
+/// A daemon process, and the settings to restart it with the same addresses and data.
 #[derive(Debug)]
 pub struct DaemonProcess {
-    /// Its host id.
+    /// The host id.
     pub host: String,
-    /// Where it listens: callers, upstreams, operators, peers; kept over restarts.
+    /// The addresses for callers, upstreams, operators and peers. They stay the same over restarts.
     pub addresses: [SocketAddr; 4],
     program: PathBuf,
     folder: PathBuf,
     flags: Vec<String>,
     child: Option<Child>,
     starts: u32,
-    /// Whether it was told to end since its last start.
+    /// Whether it was told to end since its last start, so that its end is no failure.
     may_end: bool,
 }
 
 impl DaemonProcess {
-    /// Starts a daemon; `flags` holds all that is not about its listeners and folders.
+    /// Starts a daemon. `flags` contains all flags except those for its host id, listeners and data
+    /// folder.
     ///
     /// # Errors
     /// If it does not listen in time.
@@ -56,7 +57,7 @@
         Ok(process)
     }
 
-    /// Starts it again where it listened before, if it has ended.
+    /// Starts the daemon again on the same addresses, if it has ended.
     ///
     /// # Errors
     /// If it does not listen in time.
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Whether the process runs, paused or not.
+    /// Whether the process exists, even if it is paused.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
@@ -88,26 +89,26 @@
         }
     }
 
-    /// Tells it to shut down; returns whether it was told before.
+    /// Signals the daemon to shut down. Returns whether it had already been told to end.
     pub fn stop(&mut self) -> bool {
         let again = std::mem::replace(&mut self.may_end, true);
         self.signal(Signal::SIGTERM);
         again
     }
 
-    /// Whether it has ended though nobody told it to.
+    /// Whether the daemon has ended without being told to.
     pub fn has_failed(&mut self) -> bool {
         !self.may_end && !self.is_running()
     }
 
-    /// All it has logged, over all its starts.
+    /// Returns the logs of all its starts.
     #[must_use]
     pub fn log(&self) -> String {
         let path = |start| self.folder.join(format!("{}-{start}.log", self.host));
         (1..=self.starts).filter_map(|start| fs::read_to_string(path(start)).ok()).collect()
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the daemon and waits for its end.
     pub fn kill(&mut self) {
         self.may_end = true;
         if let Some(child) = &mut self.child {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Removes what an ended daemon has on disk.
+    /// Deletes the data folder of an ended daemon.
     pub fn wipe(&mut self) {
         if !self.is_running() {
             let _ = fs::remove_dir_all(self.folder.join(format!("{}-data", self.host)));
@@ -164,8 +165,8 @@
     }
 }
 
-/// A loopback address that no other process of a test and no other daemon has, so that its ports
-/// are free when it starts again.
+/// Returns a loopback address that no other test process and no other daemon uses, so that its
+/// ports are still free when the daemon restarts.
 fn own_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
--- a/crates/pulley_soak/src/fault_proxy.rs
+++ b/crates/pulley_soak/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before an upstream, whose connections can be made to misbehave.
+//! A loopback proxy in front of an upstream that injects connection faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,28 +13,28 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How the connections through a proxy behave.
+/// The fault that a proxy injects into its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// They pass on what comes.
+    /// Forwards all bytes.
     #[default]
     Pass,
-    /// They pass it on later.
+    /// Forwards all bytes after a delay.
     Delay(Duration),
-    /// Open ones are reset, new ones as well.
+    /// Resets open and new connections.
     Reset,
-    /// What entries send is lost; the connection stays open, and silent for good.
+    /// Drops what entries send. Affected connections stay open and drop it permanently.
     LosesRequests,
-    /// What upstreams send is lost; the connection stays open, and silent for good.
+    /// Drops what upstreams send. Affected connections stay open and drop it permanently.
     LosesAnswers,
-    /// Both are lost.
+    /// Drops what both sides send.
     Silent,
 }
 
 /// A proxy that runs until it is dropped.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where entries connect to.
+    /// The address that entries connect to.
     pub address: SocketAddr,
     mode: watch::Sender<ProxyMode>,
     target: Arc<Mutex<SocketAddr>>,
@@ -42,10 +42,10 @@
 }
 
 impl FaultProxy {
-    /// Listens on a port of the system's choice, and passes on to a target.
+    /// Listens on a port chosen by the operating system, and forwards connections to a target.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// If no port can be bound.
     pub async fn start(target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -55,12 +55,12 @@
         Ok(Self { address, mode, target, task })
     }
 
-    /// Changes how its connections behave.
+    /// Sets the fault that its connections have.
     pub fn set(&self, mode: ProxyMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Passes new connections on to another address.
+    /// Forwards new connections to another address.
     pub fn aim(&self, target: SocketAddr) {
         *self.target.lock() = target;
     }
@@ -113,7 +113,8 @@
     }
 }
 
-/// Passes bytes on one way until that way ends; once it has lost some, it loses all that follow.
+/// Forwards bytes in one direction until its source closes. After it has dropped any bytes, it
+/// drops all that follow.
 async fn pass_on(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -136,7 +137,7 @@
         }
     }
     if is_silent {
-        // The end of what came is lost like the rest.
+        // The close of the source is not forwarded either.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/pulley_soak/src/fault_schedule.rs
+++ b/crates/pulley_soak/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed.
+//! The schedule of faults, derived from a seed.
 
 use std::time::Duration;
 
@@ -7,96 +7,97 @@
 
 use crate::ProxyMode;
 
-/// Time at the start in which nothing fails, so that every run serves at first.
+/// Time without faults at the start, so that every run serves requests at first.
 const CALM_START: Duration = Duration::from_secs(2);
 
-/// Time at the end in which nothing new fails, so that what was broken can heal.
+/// Time without new faults at the end, so that the system can recover.
 const CALM_END: Duration = Duration::from_secs(5);
 
-/// Pauses between two faults; the short ones make series that overlap.
+/// Pauses between faults, in milliseconds. After the short ones, faults overlap.
 const PAUSES_MS: [u64; 4] = [50, 300, 900, 1_800];
 
-/// One fault. Hosts and upstreams are named by their place.
+/// One fault. Hosts and upstreams are identified by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
-    /// A daemon is killed, and started again after a while.
+    /// Kills a daemon and restarts it later.
     Kill {
-        /// Which one.
+        /// Index of the daemon.
         host: usize,
         /// How long it is down.
         down: Duration,
     },
-    /// All daemons are killed at once and started again.
+    /// Kills all daemons at once and restarts them later.
     KillAll {
         /// How long they are down.
         down: Duration,
     },
-    /// A daemon is told to shut down, and started again once it has.
+    /// Signals a daemon to shut down, and restarts it once it has ended.
     Stop {
-        /// Which one.
+        /// Index of the daemon.
         host: usize,
     },
-    /// A daemon stands still for a while.
+    /// Pauses a daemon's process for a while.
     Pause {
-        /// Which one.
+        /// Index of the daemon.
         host: usize,
-        /// How long.
+        /// How long it is paused.
         span: Duration,
     },
-    /// A daemon is told that its settings have changed.
+    /// Signals a daemon to reload its settings.
     Reload {
-        /// Which one.
+        /// Index of the daemon.
         host: usize,
     },
-    /// A replica is killed, loses its disk, and is started again.
+    /// Kills a replica, deletes its data and restarts it.
     Wipe {
-        /// Which one.
+        /// Index of the daemon.
         host: usize,
     },
-    /// The connections to an upstream misbehave for a while.
+    /// Injects a fault into the connections to an upstream for a while.
     Proxy {
-        /// Which upstream.
+        /// Index of the upstream.
         upstream: usize,
-        /// How.
+        /// The fault.
         mode: ProxyMode,
-        /// How long.
+        /// How long the fault lasts.
         span: Duration,
     },
-    /// An upstream says that it leaves, serves on for a while, ends, and another comes.
+    /// Makes an upstream announce that it drains. It serves for some more time, and another
+    /// upstream then replaces it.
     Drain {
-        /// Which one.
+        /// Index of the upstream.
         upstream: usize,
     },
-    /// An upstream ends without a word, and comes back.
+    /// Ends an upstream without an announcement, and starts another in its place later.
     Crash {
-        /// Which one.
+        /// Index of the upstream.
         upstream: usize,
-        /// How long it is away.
+        /// How long it is down.
         down: Duration,
     },
-    /// Changes of the sheet come in quick succession.
+    /// Applies changes of the sheet in quick succession.
     Storm {
-        /// How many.
+        /// Number of changes.
         changes: u32,
     },
 }
 
-/// A fault and when it comes, from the start of the run.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// When.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// What.
+    /// The fault.
     pub fault: SoakFault,
 }
 
-/// The faults of one run, in order.
+/// The faults of one run, ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultSchedule(pub Vec<ScheduledFault>);
 
 impl FaultSchedule {
-    /// Draws the faults of a run of `span` with so many hosts, the first `replicas` of which hold
-    /// the log, and upstreams.
+    /// Draws the faults of a run of length `span`. `sizes` holds the numbers of hosts, of replicas
+    /// and of upstreams. The first hosts are the replicas.
     #[must_use]
     pub fn draw(seed: u64, span: Duration, sizes: (usize, usize, usize)) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
--- a/crates/pulley_soak/src/lib.rs
+++ b/crates/pulley_soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A soak: real daemons, faults from outside, and a check of every promise that callers and upstreams
-//! can see broken.
+//! A soak test: real daemons, injected faults, and a check of every guarantee whose violation
+//! callers and upstreams can observe.
 //!
-//! [`SoakRun`] starts daemons, stand-in upstreams behind [`FaultProxy`], callers and one operator;
-//! [`FaultSchedule`] draws the faults from a seed; [`RequestBook`] holds what each side saw of each
-//! request and says what must not have been.
+//! [`SoakRun`] starts daemons, stand-in upstreams behind a [`FaultProxy`] each, callers and one
+//! operator. [`FaultSchedule`] draws the faults from a seed. [`RequestBook`] records what callers
+//! and upstreams observe of each request and reports violations.
 
 mod daemon_process;
 mod fault_proxy;
--- a/crates/pulley_soak/src/main.rs
+++ b/crates/pulley_soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs soaks, one seed after the other or several beside one another.
+//! The soak program: runs seeds one after another, or several at the same time.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/pulley_soak/src/request_book.rs
+++ b/crates/pulley_soak/src/request_book.rs
@@ -1,4 +1,4 @@
-//! What callers and upstreams saw of each request, and what must not have been.
+//! Records what callers and upstreams observe of each request, and checks the system's guarantees.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -7,28 +7,28 @@
 use pulley_core::process::FastMap;
 use smol_str::SmolStr;
 
-/// How long a leaving upstream may still get new work after its leaving was acknowledged.
+/// How long an upstream may still get new work after its drain was acknowledged.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// What became of a request, as its caller saw it.
+/// The outcome of a request as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// A success, with this body; whole by its length.
+    /// Success with this body, which is complete by its length.
     Success(String),
-    /// The system said that it was not run.
+    /// The system answered that the request was not run.
     NotRun,
-    /// It may have run: a failure, or no answer.
+    /// Any other answer. The request may have run.
     Unknown,
-    /// The connection ended without an answer.
+    /// The connection closed without a complete answer, or the answer did not come in time.
     Cut,
 }
 
-/// Something that must not have been.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakFinding {
-    /// Which promise was broken, in a word.
+    /// The guarantee that was violated, in short.
     pub promise: &'static str,
-    /// What was seen.
+    /// What was observed.
     pub seen: String,
 }
 
@@ -47,7 +47,8 @@
     runs: Vec<(SmolStr, Instant)>,
 }
 
-/// A time in which an entry was disturbed, so that promises with a bound do not hold for it.
+/// A span of time in which an entry was disturbed. Guarantees with time limits do not apply to it
+/// then.
 #[derive(Clone, Copy, Debug)]
 struct Disturbance {
     entry: usize,
@@ -55,7 +56,7 @@
     until: Instant,
 }
 
-/// What both sides saw.
+/// The requests of a run as callers and upstreams observed them.
 #[derive(Debug, Default)]
 pub struct RequestBook {
     state: Mutex<BookState>,
@@ -66,15 +67,15 @@
     requests: FastMap<SmolStr, RequestRecord>,
     left: FastMap<SmolStr, Instant>,
     disturbances: Vec<Disturbance>,
-    /// When each entry was told to shut down while nothing else was wrong with it.
+    /// When each entry was told to shut down.
     stops: Vec<(usize, Instant)>,
-    /// Times in which upstreams or the way to them were disturbed.
+    /// Spans of time with faults in upstreams or in the connections to them.
     upstream_faults: Vec<(Instant, Instant)>,
     findings: Vec<SoakFinding>,
 }
 
 impl RequestBook {
-    /// Notes that a caller sends a request to an entry.
+    /// Records that a caller sends a request to an entry.
     pub fn note_sent(&self, id: &str, entry: usize, is_idempotent: bool) {
         let record = RequestRecord {
             is_idempotent,
@@ -86,14 +87,14 @@
         self.state.lock().requests.insert(id.into(), record);
     }
 
-    /// Notes what a caller got.
+    /// Records the outcome of a request.
     pub fn note_outcome(&self, id: &str, outcome: CallerOutcome) {
         if let Some(record) = self.state.lock().requests.get_mut(id) {
             record.outcome = Some((Instant::now(), outcome));
         }
     }
 
-    /// Notes that an upstream begins to work on a request.
+    /// Records that an upstream starts to run a request.
     pub fn note_run(&self, id: &str, upstream: &str) {
         let mut state = self.state.lock();
         match state.requests.get_mut(id) {
@@ -102,22 +103,22 @@
         }
     }
 
-    /// Notes that an upstream's leaving was acknowledged.
+    /// Records that an upstream's drain was acknowledged.
     pub fn note_left(&self, upstream: &str) {
         self.state.lock().left.insert(upstream.into(), Instant::now());
     }
 
-    /// Notes that an entry is disturbed until a moment.
+    /// Records that an entry is disturbed in a span of time.
     pub fn note_disturbed(&self, entry: usize, from: Instant, until: Instant) {
         self.state.lock().disturbances.push(Disturbance { entry, from, until });
     }
 
-    /// Notes that upstreams, or the ways to them, are disturbed until a moment.
+    /// Records a fault in upstreams or in the connections to them for a span of time.
     pub fn note_upstream_fault(&self, from: Instant, until: Instant) {
         self.state.lock().upstream_faults.push((from, until));
     }
 
-    /// Notes that an entry is told to shut down.
+    /// Records that an entry is told to shut down.
     pub fn note_stop(&self, entry: usize) {
         self.state.lock().stops.push((entry, Instant::now()));
     }
@@ -128,12 +129,12 @@
         self.state.lock().was_disturbed(entry, from, until)
     }
 
-    /// Notes that a promise was broken.
+    /// Records a violation of a guarantee.
     pub fn note_finding(&self, promise: &'static str, seen: String) {
         self.state.lock().find(promise, seen);
     }
 
-    /// How many requests were sent, and how many succeeded.
+    /// Returns how many requests were sent, and how many of them succeeded.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let state = self.state.lock();
@@ -143,7 +144,7 @@
         (state.requests.len(), state.requests.values().filter(is_success).count())
     }
 
-    /// What must not have been, over all that was noted.
+    /// Checks everything recorded and returns all violations.
     #[must_use]
     pub fn findings(&self) -> Vec<SoakFinding> {
         let state = self.state.lock();
@@ -199,7 +200,7 @@
         findings
     }
 
-    /// Whether a request was cut off around a shutdown of its entry, with nothing else wrong.
+    /// Whether a request was cut off by a shutdown of its entry, without any other fault.
     fn was_cut_by_stop(&self, record: &RequestRecord, at: Instant) -> bool {
         let is_stopped = |(entry, stop): &(usize, Instant)| {
             *entry == record.entry && *stop >= record.sent && *stop <= at
@@ -212,7 +213,7 @@
     }
 }
 
-/// The body that an upstream answers a request with, padded to a length.
+/// Returns the body of an upstream's answer to a request, padded to a length.
 #[must_use]
 pub(crate) fn answer_to(id: &str, length: usize) -> String {
     let mut body = format!("{id} {length} ");
--- a/crates/pulley_soak/src/soak_caller.rs
+++ b/crates/pulley_soak/src/soak_caller.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until the entry ends them.
+//! Callers that keep their connections open until the entry closes them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 
 use crate::request_book::{CallerOutcome, RequestBook};
 
-/// How long a caller waits for an answer.
+/// Timeout for an answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(4);
 
-/// Pauses between two requests of a caller, in milliseconds.
+/// Range of the pauses between two requests of a caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 2..60;
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// What a caller got for one request.
+/// An answer as a caller received it.
 pub(crate) struct CallerAnswer {
     pub(crate) status: u16,
     pub(crate) verdict: String,
-    /// The body, if it came as a whole.
+    /// The body, if it was received completely.
     pub(crate) body: Option<String>,
 }
 
-/// One kept connection to an entry.
+/// A persistent connection to an entry.
 pub(crate) struct CallerLink {
     sender: SendRequest<Full<Bytes>>,
 }
@@ -47,7 +47,10 @@
         Ok(Self { sender })
     }
 
-    /// Sends a request and reads its answer; an error means that the connection ended before one.
+    /// Sends a request and reads its answer.
+    ///
+    /// # Errors
+    /// If the connection closes before the answer, or the answer does not come in time.
     pub(crate) async fn send(
         &mut self,
         method: &str,
@@ -77,12 +80,12 @@
     Ok(CallerAnswer { status, verdict, body })
 }
 
-/// A name for a request that no other has.
+/// Returns a request id that is unique in this process.
 pub(crate) fn next_id() -> String {
     format!("r{}", NEXT_REQUEST.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Calls entries until told to stop.
+/// Sends requests to entries until `stopped` is set.
 pub(crate) async fn call_on(
     entries: Arc<[SocketAddr]>,
     book: Arc<RequestBook>,
--- a/crates/pulley_soak/src/soak_operator.rs
+++ b/crates/pulley_soak/src/soak_operator.rs
@@ -1,4 +1,4 @@
-//! An operator who changes the sheet, and looks whether each change is in force everywhere.
+//! An operator that changes the sheet, and checks that each change is in force on all entries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,25 +18,25 @@
 use crate::request_book::RequestBook;
 use crate::soak_caller::{CallerLink, next_id};
 
-/// The installation's key; its hosts listen on loopback only and live as long as the soak.
+/// The installation's key. Its hosts listen only on loopback, and only during the soak run.
 pub(crate) const KEY: &str = "the-key-of-a-soak-on-loopback-0123456789";
 
-/// Within this time an accepted version is in force everywhere, or the host is not ready.
+/// Time within which an accepted version must be in force on every entry that answers.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
-/// How often each entry is asked by which version it serves.
+/// How often each entry is checked for the version that it serves.
 const LOOK_PACE: Duration = Duration::from_millis(200);
 
-/// How long an answer may take before the change is sent again, and the pause before that.
+/// Timeout for an answer before the change is sent again, and the delay before that.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
 const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the operator knows of the versions.
+/// The versions sent and accepted so far.
 #[derive(Debug, Default)]
 pub(crate) struct VersionBook {
-    /// The newest change sent, and the newest accepted with when that was heard.
+    /// The newest version sent, and the newest accepted one with the time of its answer.
     state: Mutex<(u64, Option<(u64, Instant)>)>,
-    /// Changes that are asked for beside the usual ones.
+    /// Number of extra changes requested, in addition to the periodic ones.
     pub(crate) wanted: AtomicU32,
 }
 
@@ -45,13 +45,14 @@
         self.state.lock().0
     }
 
-    /// The newest accepted version, and since when.
+    /// Returns the newest accepted version and the time of its acceptance.
     pub(crate) fn accepted(&self) -> Option<(u64, Instant)> {
         self.state.lock().1
     }
 }
 
-/// The sheet of a version: the same pool, and one path that only this version has.
+/// Returns the sheet of a version. All versions have the same pool, and each has a path that no
+/// other has.
 fn sheet(version: u64) -> String {
     format!(
         "pool,service,kind,method,path_prefix,priority,share,reserved_slots,deadline_ms,idempotent,length,probes_per_s\n\
@@ -62,7 +63,7 @@
     )
 }
 
-/// Sends changes, one after the other, through any host until each is accepted.
+/// Sends changes one after another. Each is sent again through the next host until it is accepted.
 pub(crate) async fn change_on(
     operators: Arc<[SocketAddr]>,
     versions: Arc<VersionBook>,
@@ -122,14 +123,15 @@
     Ok(serde_json::from_slice(&answer)?)
 }
 
-/// Looks at one entry, over and over, by which version it serves.
+/// Checks repeatedly which version one entry serves.
 pub(crate) async fn look_on(
     (entry, address): (usize, SocketAddr),
     versions: Arc<VersionBook>,
     book: Arc<RequestBook>,
     stopped: Arc<AtomicBool>,
 ) {
-    // The newest version seen on a connection; a connection does not outlive its process.
+    // The newest version served on the current connection. A new connection may reach a new
+    // process, so it starts at 0.
     let mut seen = 0;
     let mut link: Option<CallerLink> = None;
     while !stopped.load(Ordering::Relaxed) {
@@ -169,7 +171,7 @@
     }
 }
 
-/// Whether an entry has a version's path; none if it does not say.
+/// Whether an entry serves a version's path, or `None` if its answer does not show it.
 async fn serves(
     link: &mut CallerLink,
     version: u64,
--- a/crates/pulley_soak/src/soak_run.rs
+++ b/crates/pulley_soak/src/soak_run.rs
@@ -1,4 +1,5 @@
-//! One run: an installation, its callers, upstreams and operator, and the faults of one seed.
+//! One soak run: an installation with its callers, upstreams and operator, and the faults of one
+//! seed.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,58 +20,59 @@
     DaemonProcess, FaultSchedule, ProxyMode, RequestBook, ScheduledFault, SoakFault, SoakFinding,
 };
 
-/// How long an installation may take to serve at first.
+/// Timeout for a new installation to serve its first requests.
 const START_LIMIT: Duration = Duration::from_secs(30);
 
-/// How long after a disturbance an entry is in touch again.
+/// How long after a disturbance an entry may take to recover.
 const SETTLE: Duration = Duration::from_secs(4);
 
-/// How long a drain at shutdown may take, and after which time the process is ended if it has not.
+/// Time limit of a daemon's drain at shutdown. A process that runs for twice this time is killed.
 const DRAIN_GRACE: Duration = Duration::from_secs(5);
 
-/// How long an upstream serves on after it has said that it leaves.
+/// How long an upstream continues to serve after it has announced that it drains.
 const LEAVE_SPAN: Duration = Duration::from_secs(5);
 
-/// The part of all requests that must succeed: a run in which nothing is served checks nothing.
+/// Minimum fraction of requests that must succeed. A run in which almost nothing succeeds would
+/// check almost nothing.
 const LEAST_SERVED: f64 = 0.2;
 
-/// What a run is made of.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The seed of its faults.
+    /// The seed of the schedule of faults.
     pub seed: u64,
-    /// How long it lasts.
+    /// How long the run lasts.
     pub span: Duration,
-    /// Daemons that hold the log, all of them entries as well.
+    /// Number of daemons that are replicas. All of them are also entries.
     pub replicas: usize,
-    /// Daemons that are entries only.
+    /// Number of daemons that are only entries.
     pub entries: usize,
-    /// Stand-in upstreams.
+    /// Number of stand-in upstreams.
     pub upstreams: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers. Each sends one request at a time.
     pub callers: usize,
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
 }
 
-/// What became of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// What must not have been.
+    /// The violations of guarantees.
     pub findings: Vec<SoakFinding>,
-    /// Requests sent, and answered with success.
+    /// Numbers of requests sent, and of requests that succeeded.
     pub counts: (usize, usize),
-    /// Versions accepted.
+    /// The newest accepted version.
     pub versions: u64,
-    /// Faults injected.
+    /// Number of injected faults.
     pub faults: usize,
-    /// The daemons' logs and data; gone when this is dropped, unless it is kept.
+    /// The daemons' logs and data. The folder is deleted when this is dropped, unless it is kept.
     pub folder: TempDir,
 }
 
 type SharedDaemon = Arc<Mutex<DaemonProcess>>;
 
-/// A run under way.
+/// A run in progress.
 pub struct SoakRun {
     plan: SoakPlan,
     folder: TempDir,
@@ -84,7 +86,7 @@
 }
 
 impl SoakRun {
-    /// Plays a plan from start to end.
+    /// Executes a run from start to end.
     ///
     /// # Errors
     /// If the installation cannot be started.
@@ -166,7 +168,7 @@
         Ok(SoakReport { findings, counts, versions, faults, folder: self.folder })
     }
 
-    /// Daemons that have ended by themselves, or panicked.
+    /// Returns findings for daemons that ended unexpectedly or panicked.
     fn daemon_findings(&self) -> Vec<SoakFinding> {
         let mut findings = Vec::new();
         for daemon in &self.daemons {
@@ -187,7 +189,7 @@
     // ---------------------------------------------------------------------------------------------
     // Faults
 
-    /// Begins a fault; what follows of it goes on beside the run.
+    /// Injects a fault. Its later steps run in a background task.
     fn inject(&mut self, fault: SoakFault) {
         match fault {
             SoakFault::Kill { host, down } => self.kill(&[host], down, false),
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Notes that a daemon is disturbed; where it holds the log, all of them may be.
+    /// Records that a daemon is disturbed. If it is a replica, all daemons may be.
     fn note_disturbed(&self, host: usize, span: Duration) {
         let now = Instant::now();
         let until = now + span + SETTLE;
@@ -218,7 +220,8 @@
         }
     }
 
-    /// Notes a daemon that has ended by itself, before it is ended or started again.
+    /// Records a finding if a daemon has ended unexpectedly. Called before it is stopped or
+    /// restarted.
     fn note_failed(&self, host: usize) {
         let mut daemon = self.daemons[host].lock();
         if daemon.has_failed() {
@@ -252,7 +255,8 @@
         let daemon = Arc::clone(&self.daemons[host]);
         let book = Arc::clone(&self.book);
         if daemon.lock().stop() {
-            // By its operators' page a second signal ends the wait, and may cut requests off.
+            // A second signal ends the daemon's drain early, as documented for operators, and may
+            // abort requests.
             self.note_disturbed(host, Duration::ZERO);
         } else {
             self.book.note_stop(host);
@@ -263,7 +267,8 @@
             while daemon.lock().is_running() && began.elapsed() < DRAIN_GRACE * 2 {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            // From its end on it is gone; what was under way until then had to be answered.
+            // The daemon counts as disturbed from its end on. Requests in flight before that had to
+            // be answered.
             let (now, until) = (Instant::now(), Instant::now() + SETTLE);
             let others = if host < replicas { count } else { 0 };
             for entry in (0..others).chain([host]) {
@@ -289,7 +294,7 @@
     }
 
     fn disturb(&mut self, upstream: usize, mode: ProxyMode, span: Duration) {
-        // A connection that has lost bytes stays silent until somebody closes it.
+        // A connection that has dropped bytes stays silent until one of its ends closes it.
         let lasts = span + Duration::from_secs(4);
         self.book.note_upstream_fault(Instant::now(), Instant::now() + lasts);
         let upstream = Arc::clone(&self.upstreams[upstream]);
--- a/crates/pulley_soak/src/soak_upstream.rs
+++ b/crates/pulley_soak/src/soak_upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in upstreams that note what they run and announce themselves.
+//! Stand-in upstreams that announce themselves and record the requests they run.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -27,17 +27,17 @@
 /// How often an upstream announces itself.
 const ANNOUNCE_PACE: Duration = Duration::from_millis(500);
 
-/// How long the acknowledgement of an announcement may take.
+/// Timeout for the acknowledgement of an announcement.
 const ANNOUNCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// How long an upstream works on a request, in milliseconds.
+/// Range of the time that an upstream takes to run a request, in milliseconds.
 const WORK_MS: std::ops::Range<u64> = 2..40;
 
-/// Bytes of the answers to short and to long requests.
+/// Sizes in bytes of the answers to short and to long requests.
 const SHORT_ANSWER: usize = 200;
 const LONG_ANSWER: usize = 200_000;
 
-/// An upstream at one place; what runs there changes with each start.
+/// An upstream behind its own proxy. Each start runs it under a new id.
 #[derive(Debug)]
 pub(crate) struct SoakUpstream {
     pub(crate) proxy: FaultProxy,
@@ -58,7 +58,7 @@
 }
 
 impl SoakUpstream {
-    /// Starts an upstream behind a proxy of its own.
+    /// Starts an upstream behind its own proxy.
     pub(crate) async fn start(
         place: usize,
         announce_to: Arc<[SocketAddr]>,
@@ -71,7 +71,7 @@
         Ok(upstream)
     }
 
-    /// Starts what runs at this place anew, under another id.
+    /// Stops the running upstream, if any, and starts one under a new id.
     pub(crate) async fn launch(&mut self) -> Result<()> {
         self.crash();
         self.starts += 1;
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// Ends it without a word; its connections are closed.
+    /// Stops the upstream without an announcement, and closes its connections.
     pub(crate) fn crash(&mut self) {
         let Some(running) = self.running.take() else { return };
         running.announcing.abort();
@@ -106,7 +106,8 @@
         running.serving.abort();
     }
 
-    /// Lets it say that it leaves; it serves on.
+    /// Makes the upstream announce that it drains. It continues to serve. Returns its id, if it
+    /// runs.
     pub(crate) fn drain(&self) -> Option<&str> {
         let running = self.running.as_ref()?;
         *running.phase.lock() = "draining";
@@ -192,7 +193,7 @@
                 has_left = true;
                 self.book.note_left(&self.id);
             }
-            // Who got no acknowledgement asks the next host soon.
+            // Without an acknowledgement, the next host is tried soon.
             let pause = if is_taken { ANNOUNCE_PACE } else { ANNOUNCE_PACE / 10 };
             tokio::time::sleep(pause).await;
         }
--- a/crates/pulley_soak/tests/checks.rs
+++ b/crates/pulley_soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! That the soak notices what it is there to notice: each promise is broken on purpose.
+//! Tests that the soak detects violations: each guarantee is violated on purpose.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,12 +11,12 @@
     book.findings().iter().map(|finding| finding.promise).collect()
 }
 
-/// A whole answer to a request, as stand-in upstreams give it.
+/// Returns a complete answer to a request, as stand-in upstreams send it.
 fn whole(id: &str) -> CallerOutcome {
     CallerOutcome::Success(format!("{id} 20 {}!", ".".repeat(20 - id.len() - 5)))
 }
 
-// A refund is recorded twice, as the entry sent it to two upstreams.
+// An entry sends a refund to two upstreams, so it is recorded twice.
 #[test]
 fn a_second_run_of_work_that_may_run_once_is_found() {
     let book = RequestBook::default();
@@ -27,7 +27,7 @@
     assert_eq!(promises(&book), ["at most once"]);
 }
 
-// The caller is told that its order was not run, and it runs later.
+// A caller is told that its order was not run, but the order runs later.
 #[test]
 fn a_refusal_of_what_runs_later_is_found() {
     let book = RequestBook::default();
@@ -38,7 +38,8 @@
     assert_eq!(promises(&book), ["not run means not run"]);
 }
 
-// Callers get another's answer, half of their own, or one that no upstream gave.
+// A caller gets the answer to another request, a truncated answer, or an answer that no upstream
+// sent.
 #[test]
 fn foreign_and_cut_answers_are_found() {
     for wrong in [whole("r2"), CallerOutcome::Success("r1 20 ...".to_owned())] {
@@ -56,7 +57,7 @@
     assert_eq!(promises(&book), Vec::<&str>::new());
 }
 
-// An upstream works on something that no caller asked for.
+// An upstream runs a request that no caller sent.
 #[test]
 fn work_that_nobody_asked_for_is_found() {
     let book = RequestBook::default();
@@ -64,8 +65,9 @@
     assert_eq!(promises(&book), ["asked for"]);
 }
 
-// An entry is told to shut down and closes a connection on which it owes an answer. The same cut is
-// no finding where the entry was killed or the way to its upstream broken.
+// An entry is told to shut down and closes a connection before it has sent a pending answer. This
+// is no finding if the entry was also disturbed, such as by a kill, or the connection to its
+// upstream had a fault.
 #[test]
 fn an_answer_cut_off_by_a_shutdown_is_found() {
     let cut = |spoil: &dyn Fn(&RequestBook)| {
@@ -83,7 +85,7 @@
     assert!(cut(&|book| book.note_upstream_fault(Instant::now(), soon)).is_empty());
 }
 
-// A seed that found something must play the same faults again.
+// A seed whose run had findings must give the same schedule of faults again.
 #[test]
 fn a_seed_always_draws_the_same_faults() {
     let draw = |seed| FaultSchedule::draw(seed, Duration::from_secs(20), (5, 3, 4));
@@ -107,7 +109,7 @@
     address
 }
 
-/// What becomes of four bytes and their echo within 100 ms.
+/// Sends four bytes and reads their echo. Returns `None` if the echo does not arrive within 100 ms.
 async fn exchange(stream: &mut TcpStream) -> Option<std::io::Result<usize>> {
     let mut answer = [0; 4];
     let sent = stream.write_all(b"ping").await;
@@ -117,8 +119,8 @@
     tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut answer)).await.ok()
 }
 
-// A connection that has lost bytes stays silent for good, also after the fault, as where something on
-// the way has lost track of it; new ones work. Resets end open connections and new ones.
+// A connection that has dropped bytes stays silent after the fault has ended, like one that a
+// network device has lost track of. New connections work. A reset closes open and new connections.
 #[tokio::test]
 async fn the_proxy_silences_open_connections_and_resets_all() {
     let proxy = FaultProxy::start(echo().await).await.expect("a port");
--- a/crates/pulley_soak/tests/seeded_runs.rs
+++ b/crates/pulley_soak/tests/seeded_runs.rs
@@ -1,4 +1,4 @@
-//! Short runs with the seeds of `seeds.txt`: a few for CI, and each that ever found something.
+//! Short runs with the seeds of `seeds.txt`: a few for CI, and every seed whose run had findings.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 const SEEDS: &str = include_str!("seeds.txt");
 
-/// How long each run lasts; a seed's faults depend on it, and on the sizes below.
+/// How long each run lasts. A seed's faults depend on it and on the sizes in [`plan`].
 const SPAN: Duration = Duration::from_secs(20);
 
-/// The daemon, which `scripts/test` builds before the tests.
+/// Returns the path of the daemon, which `scripts/test` builds before the tests.
 fn daemon() -> PathBuf {
     let test = std::env::current_exe().expect("this test");
     let folder = test.ancestors().nth(2).expect("the folder of the profile");
@@ -24,14 +24,14 @@
     SoakPlan { seed, span, replicas: 3, entries: 2, upstreams: 4, callers: 12, program }
 }
 
-// Daemons are killed, stopped, paused and wiped, upstreams leave, crash and fall silent, changes come
-// all the while, in series that overlap. Callers must get their own whole answer or the truth about
-// what has run, and accepted changes must be in force.
+// Daemons are killed, stopped, paused and lose their data. Upstreams drain, crash and go silent,
+// and the sheet changes, with overlapping faults. Callers must get their own complete answer or a
+// correct verdict, and accepted changes must be in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_promise_is_broken_under_the_kept_seeds() {
     let lines = SEEDS.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
     let seeds = lines.filter(|line| !line.is_empty()).map(|line| line.parse().expect("a seed"));
-    // Beside one another, as they mostly wait.
+    // The runs are concurrent, as they mostly wait.
     let runs: Vec<_> =
         seeds.map(|seed: u64| (seed, tokio::spawn(SoakRun::play(plan(seed))))).collect();
     for (seed, run) in runs {
