--- a/crates/pulley_fuzz/tests/fuzz_targets.rs
+++ b/crates/pulley_fuzz/tests/fuzz_targets.rs
@@ -38,7 +38,7 @@
 }
 
 // A datagram with a valid tag, but from another version or a faulty host, reaches the membership.
-// The host must continue without a panic and keep its own record.
+// The host must continue: it keeps its own record and answers the next probe.
 #[test]
 fn membership_datagrams() {
     let own = MemberRecord {
@@ -57,8 +57,8 @@
     });
 }
 
-// The same for the leases of upstreams. No unreadable datagram may name an upstream
-// to use.
+// The same for the leases of upstreams. No unreadable datagram may name an
+// upstream to use.
 #[test]
 fn registry_datagrams() {
     check!().with_iterations(INPUTS).with_max_len(LONGEST).for_each(|input: &[u8]| {
--- a/crates/pulley_soak/src/daemon_process.rs
+++ b/crates/pulley_soak/src/daemon_process.rs
@@ -32,7 +32,7 @@
     child: Option<Child>,
     starts: u32,
     /// Whether it was told to end since its last start, so that its end is no failure.
-    may_end: bool,
+    end_expected: bool,
 }
 
 impl DaemonProcess {
@@ -42,7 +42,7 @@
     /// # Errors
     /// If it does not listen in time.
     pub fn start(host: &str, program: &Path, folder: &Path, flags: Vec<String>) -> Result<Self> {
-        let any = SocketAddr::new(own_address(), 0);
+        let any = SocketAddr::new(unique_address(), 0);
         let mut process = Self {
             host: host.to_owned(),
             addresses: [any; 4],
@@ -51,7 +51,7 @@
             flags,
             child: None,
             starts: 0,
-            may_end: false,
+            end_expected: false,
         };
         process.launch()?;
         Ok(process)
@@ -91,14 +91,14 @@
 
     /// Signals the daemon to shut down. Returns whether it had already been told to end.
     pub fn stop(&mut self) -> bool {
-        let again = std::mem::replace(&mut self.may_end, true);
+        let was_told = std::mem::replace(&mut self.end_expected, true);
         self.signal(Signal::SIGTERM);
-        again
+        was_told
     }
 
     /// Whether the daemon has ended without being told to.
     pub fn has_failed(&mut self) -> bool {
-        !self.may_end && !self.is_running()
+        !self.end_expected && !self.is_running()
     }
 
     /// Returns the logs of all its starts.
@@ -110,7 +110,7 @@
 
     /// Kills the daemon and waits for its end.
     pub fn kill(&mut self) {
-        self.may_end = true;
+        self.end_expected = true;
         if let Some(child) = &mut self.child {
             let _ = child.kill();
             let _ = child.wait();
@@ -139,13 +139,13 @@
         command.env_clear().stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
         self.child = Some(command.spawn()?);
         self.addresses = self.await_addresses(&path)?;
-        self.may_end = false;
+        self.end_expected = false;
         Ok(())
     }
 
     fn await_addresses(&mut self, log: &Path) -> Result<[SocketAddr; 4]> {
-        let began = Instant::now();
-        while began.elapsed() < START_LIMIT {
+        let started = Instant::now();
+        while started.elapsed() < START_LIMIT {
             let text = fs::read_to_string(log)?;
             if let Some(addresses) = read_addresses(&text) {
                 return Ok(addresses);
@@ -167,7 +167,7 @@
 
 /// Returns a loopback address that no other test process and no other daemon uses, so that its
 /// ports are still free when the daemon restarts.
-fn own_address() -> IpAddr {
+fn unique_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high, low, NEXT_HOST.fetch_add(1, Ordering::Relaxed)))
 }
--- a/crates/pulley_soak/src/fault_proxy.rs
+++ b/crates/pulley_soak/src/fault_proxy.rs
@@ -24,11 +24,11 @@
     /// Resets open and new connections.
     Reset,
     /// Drops what entries send. Affected connections stay open and drop it permanently.
-    LosesRequests,
+    DropRequests,
     /// Drops what upstreams send. Affected connections stay open and drop it permanently.
-    LosesAnswers,
+    DropAnswers,
     /// Drops what both sides send.
-    Silent,
+    DropAll,
 }
 
 /// A proxy that runs until it is dropped.
@@ -61,7 +61,7 @@
     }
 
     /// Forwards new connections to another address.
-    pub fn aim(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock() = target;
     }
 }
@@ -83,30 +83,30 @@
             continue;
         }
         let target = *target.lock();
-        tokio::spawn(connect_both(stream, target, modes.clone()));
+        tokio::spawn(proxy_connection(stream, target, modes.clone()));
     }
 }
 
-async fn connect_both(entry: TcpStream, target: SocketAddr, modes: watch::Receiver<ProxyMode>) {
+async fn proxy_connection(entry: TcpStream, target: SocketAddr, modes: watch::Receiver<ProxyMode>) {
     let Ok(upstream) = TcpStream::connect(target).await else {
         reset(&entry);
         return;
     };
     let _ = (entry.set_nodelay(true), upstream.set_nodelay(true));
     let mut resets = modes.clone();
-    let is_reset = async move {
+    let reset_requested = async move {
         let _ = resets.wait_for(|mode| *mode == ProxyMode::Reset).await;
     };
-    let linger = [&entry, &upstream].map(|stream| SockRef::from(stream).try_clone());
+    let sockets = [&entry, &upstream].map(|stream| SockRef::from(stream).try_clone());
     let (entry_in, entry_out) = entry.into_split();
     let (upstream_in, upstream_out) = upstream.into_split();
-    let requests = [ProxyMode::LosesRequests, ProxyMode::Silent];
-    let answers = [ProxyMode::LosesAnswers, ProxyMode::Silent];
+    let requests = [ProxyMode::DropRequests, ProxyMode::DropAll];
+    let answers = [ProxyMode::DropAnswers, ProxyMode::DropAll];
     tokio::select! {
-        () = pass_on(entry_in, upstream_out, modes.clone(), requests) => {}
-        () = pass_on(upstream_in, entry_out, modes.clone(), answers) => {}
-        () = is_reset => {
-            for socket in linger.into_iter().flatten() {
+        () = forward(entry_in, upstream_out, modes.clone(), requests) => {}
+        () = forward(upstream_in, entry_out, modes.clone(), answers) => {}
+        () = reset_requested => {
+            for socket in sockets.into_iter().flatten() {
                 let _ = socket.set_linger(Some(Duration::ZERO));
             }
         }
@@ -115,17 +115,17 @@
 
 /// Forwards bytes in one direction until its source closes. After it has dropped any bytes, it
 /// drops all that follow.
-async fn pass_on(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     modes: watch::Receiver<ProxyMode>,
-    losing: [ProxyMode; 2],
+    dropping: [ProxyMode; 2],
 ) {
     let mut buffer = vec![0; 16 * 1_024];
     let mut is_silent = false;
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
         let mode = *modes.borrow();
-        is_silent |= losing.contains(&mode);
+        is_silent |= dropping.contains(&mode);
         if is_silent {
             continue;
         }
--- a/crates/pulley_soak/src/fault_schedule.rs
+++ b/crates/pulley_soak/src/fault_schedule.rs
@@ -8,10 +8,10 @@
 use crate::ProxyMode;
 
 /// Time without faults at the start, so that every run serves requests at first.
-const CALM_START: Duration = Duration::from_secs(2);
+const FAULT_FREE_START: Duration = Duration::from_secs(2);
 
 /// Time without new faults at the end, so that the system can recover.
-const CALM_END: Duration = Duration::from_secs(5);
+const FAULT_FREE_END: Duration = Duration::from_secs(5);
 
 /// Pauses between faults, in milliseconds. After the short ones, faults overlap.
 const PAUSES_MS: [u64; 4] = [50, 300, 900, 1_800];
@@ -76,7 +76,7 @@
         down: Duration,
     },
     /// Applies changes of the sheet in quick succession.
-    Storm {
+    ChangeBurst {
         /// Number of changes.
         changes: u32,
     },
@@ -102,8 +102,8 @@
     pub fn draw(seed: u64, span: Duration, sizes: (usize, usize, usize)) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut faults = Vec::new();
-        let mut at = CALM_START;
-        let end = span.saturating_sub(CALM_END);
+        let mut at = FAULT_FREE_START;
+        let end = span.saturating_sub(FAULT_FREE_END);
         while at < end {
             faults.push(ScheduledFault { at, fault: draw_fault(&mut random, sizes) });
             at += Duration::from_millis(PAUSES_MS[random.random_range(0..PAUSES_MS.len())]);
@@ -130,7 +130,7 @@
         12..16 => SoakFault::Proxy { upstream, mode: draw_mode(random), span },
         16 => SoakFault::Drain { upstream },
         17 => SoakFault::Crash { upstream, down },
-        _ => SoakFault::Storm { changes: random.random_range(1..6) },
+        _ => SoakFault::ChangeBurst { changes: random.random_range(1..6) },
     }
 }
 
@@ -138,8 +138,8 @@
     match random.random_range(0..5) {
         0 => ProxyMode::Delay(Duration::from_millis(random.random_range(20..400))),
         1 => ProxyMode::Reset,
-        2 => ProxyMode::LosesRequests,
-        3 => ProxyMode::LosesAnswers,
-        _ => ProxyMode::Silent,
+        2 => ProxyMode::DropRequests,
+        3 => ProxyMode::DropAnswers,
+        _ => ProxyMode::DropAll,
     }
 }
--- a/crates/pulley_soak/src/lib.rs
+++ b/crates/pulley_soak/src/lib.rs
@@ -2,13 +2,13 @@
 //! callers and upstreams can observe.
 //!
 //! [`SoakRun`] starts daemons, stand-in upstreams behind a [`FaultProxy`] each, callers and one
-//! operator. [`FaultSchedule`] draws the faults from a seed. [`RequestBook`] records what callers
-//! and upstreams observe of each request and reports violations.
+//! operator. [`FaultSchedule`] draws the faults from a seed. [`RequestHistory`] records what
+//! callers and upstreams observe of each request and reports violations.
 
 mod daemon_process;
 mod fault_proxy;
 mod fault_schedule;
-mod request_book;
+mod request_history;
 mod soak_caller;
 mod soak_operator;
 mod soak_run;
@@ -17,5 +17,5 @@
 pub use daemon_process::DaemonProcess;
 pub use fault_proxy::{FaultProxy, ProxyMode};
 pub use fault_schedule::{FaultSchedule, ScheduledFault, SoakFault};
-pub use request_book::{CallerOutcome, RequestBook, SoakFinding};
-pub use soak_run::{SoakPlan, SoakReport, SoakRun};
+pub use request_history::{CallerOutcome, RequestHistory, SoakFinding};
+pub use soak_run::{SoakReport, SoakRun, SoakSettings};
--- a/crates/pulley_soak/src/main.rs
+++ b/crates/pulley_soak/src/main.rs
@@ -6,7 +6,7 @@
 
 use eyre::{Result, WrapErr, bail, eyre};
 use getopts::Options;
-use pulley_soak::{SoakPlan, SoakReport, SoakRun};
+use pulley_soak::{SoakReport, SoakRun, SoakSettings};
 
 const USAGE: &str = "usage: pulley_soak [options]
 
@@ -52,8 +52,8 @@
         return Ok(true);
     }
     let number = |name: &str, default: usize| -> Result<usize> {
-        let wrong = || format!("--{name}: a whole number is wanted");
-        matches.opt_get_default(name, default).wrap_err_with(wrong)
+        let invalid = || format!("--{name}: a whole number is wanted");
+        matches.opt_get_default(name, default).wrap_err_with(invalid)
     };
     let program = match matches.opt_str("daemon") {
         Some(path) => PathBuf::from(path),
@@ -62,7 +62,7 @@
     if !program.exists() {
         bail!("{} is missing: build the package pulleyd in the same profile", program.display());
     }
-    let plan = SoakPlan {
+    let settings = SoakSettings {
         seed: 0,
         span: Duration::from_secs(number("seconds", 20)? as u64),
         replicas: number("replicas", 3)?,
@@ -74,37 +74,37 @@
     let seeds = read_seeds(matches.opt_str("seeds").as_deref())?;
     let keep = matches.opt_str("keep").map(PathBuf::from);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    runtime.block_on(run_seeds(plan, seeds, number("beside", 1)?.max(1), keep))
+    runtime.block_on(run_seeds(settings, seeds, number("beside", 1)?.max(1), keep))
 }
 
 fn read_seeds(text: Option<&str>) -> Result<Vec<u64>> {
     let Some(text) = text else { return Ok(vec![rand::random::<u32>().into()]) };
-    let wrong = || eyre!("--seeds {text}: wanted A..B or one number");
+    let invalid = || eyre!("--seeds {text}: wanted A..B or one number");
     let (first, last) = text.split_once("..").unwrap_or((text, text));
     let (first, last) =
-        (first.parse::<u64>().map_err(|_| wrong())?, last.parse::<u64>().map_err(|_| wrong())?);
+        (first.parse::<u64>().map_err(|_| invalid())?, last.parse::<u64>().map_err(|_| invalid())?);
     Ok((first..=last).collect())
 }
 
 async fn run_seeds(
-    plan: SoakPlan,
+    settings: SoakSettings,
     seeds: Vec<u64>,
-    beside: usize,
+    concurrent: usize,
     keep: Option<PathBuf>,
 ) -> Result<bool> {
-    let mut all_well = true;
-    for group in seeds.chunks(beside) {
+    let mut all_passed = true;
+    for group in seeds.chunks(concurrent) {
         let runs = group.iter().map(|seed| {
-            let plan = SoakPlan { seed: *seed, ..plan.clone() };
-            (*seed, tokio::spawn(SoakRun::play(plan)))
+            let settings = SoakSettings { seed: *seed, ..settings.clone() };
+            (*seed, tokio::spawn(SoakRun::execute(settings)))
         });
         for (seed, run) in runs.collect::<Vec<_>>() {
             let report = run.await??;
-            all_well &= report.findings.is_empty();
+            all_passed &= report.findings.is_empty();
             print_report(seed, report, keep.as_ref())?;
         }
     }
-    Ok(all_well)
+    Ok(all_passed)
 }
 
 fn print_report(seed: u64, report: SoakReport, keep: Option<&PathBuf>) -> Result<()> {
--- a/crates/pulley_soak/src/request_book.rs
+++ b/crates/pulley_soak/src/request_history.rs
@@ -27,14 +27,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakFinding {
     /// The guarantee that was violated, in short.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// What was observed.
-    pub seen: String,
+    pub observed: String,
 }
 
 impl fmt::Display for SoakFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.seen)
+        write!(f, "{}: {}", self.guarantee, self.observed)
     }
 }
 
@@ -58,25 +58,26 @@
 
 /// The requests of a run as callers and upstreams observed them.
 #[derive(Debug, Default)]
-pub struct RequestBook {
-    state: Mutex<BookState>,
+pub struct RequestHistory {
+    state: Mutex<HistoryState>,
 }
 
 #[derive(Debug, Default)]
-struct BookState {
+struct HistoryState {
     requests: FastMap<SmolStr, RequestRecord>,
-    left: FastMap<SmolStr, Instant>,
+    drained: FastMap<SmolStr, Instant>,
     disturbances: Vec<Disturbance>,
-    /// When each entry was told to shut down.
+    /// When each entry was told to shut down. A second signal, which ends the drain early, is not
+    /// recorded.
     stops: Vec<(usize, Instant)>,
     /// Spans of time with faults in upstreams or in the connections to them.
     upstream_faults: Vec<(Instant, Instant)>,
     findings: Vec<SoakFinding>,
 }
 
-impl RequestBook {
+impl RequestHistory {
     /// Records that a caller sends a request to an entry.
-    pub fn note_sent(&self, id: &str, entry: usize, is_idempotent: bool) {
+    pub fn record_sent(&self, id: &str, entry: usize, is_idempotent: bool) {
         let record = RequestRecord {
             is_idempotent,
             entry,
@@ -88,38 +89,38 @@
     }
 
     /// Records the outcome of a request.
-    pub fn note_outcome(&self, id: &str, outcome: CallerOutcome) {
+    pub fn record_outcome(&self, id: &str, outcome: CallerOutcome) {
         if let Some(record) = self.state.lock().requests.get_mut(id) {
             record.outcome = Some((Instant::now(), outcome));
         }
     }
 
     /// Records that an upstream starts to run a request.
-    pub fn note_run(&self, id: &str, upstream: &str) {
+    pub fn record_run(&self, id: &str, upstream: &str) {
         let mut state = self.state.lock();
         match state.requests.get_mut(id) {
             Some(record) => record.runs.push((upstream.into(), Instant::now())),
-            None => state.find("asked for", format!("{upstream} ran {id}, which nobody sent")),
+            None => state.report("asked for", format!("{upstream} ran {id}, which nobody sent")),
         }
     }
 
     /// Records that an upstream's drain was acknowledged.
-    pub fn note_left(&self, upstream: &str) {
-        self.state.lock().left.insert(upstream.into(), Instant::now());
+    pub fn record_drained(&self, upstream: &str) {
+        self.state.lock().drained.insert(upstream.into(), Instant::now());
     }
 
     /// Records that an entry is disturbed in a span of time.
-    pub fn note_disturbed(&self, entry: usize, from: Instant, until: Instant) {
+    pub fn record_disturbance(&self, entry: usize, from: Instant, until: Instant) {
         self.state.lock().disturbances.push(Disturbance { entry, from, until });
     }
 
     /// Records a fault in upstreams or in the connections to them for a span of time.
-    pub fn note_upstream_fault(&self, from: Instant, until: Instant) {
+    pub fn record_upstream_fault(&self, from: Instant, until: Instant) {
         self.state.lock().upstream_faults.push((from, until));
     }
 
     /// Records that an entry is told to shut down.
-    pub fn note_stop(&self, entry: usize) {
+    pub fn record_stop(&self, entry: usize) {
         self.state.lock().stops.push((entry, Instant::now()));
     }
 
@@ -130,8 +131,8 @@
     }
 
     /// Records a violation of a guarantee.
-    pub fn note_finding(&self, promise: &'static str, seen: String) {
-        self.state.lock().find(promise, seen);
+    pub fn record_finding(&self, guarantee: &'static str, observed: String) {
+        self.state.lock().report(guarantee, observed);
     }
 
     /// Returns how many requests were sent, and how many of them succeeded.
@@ -156,9 +157,9 @@
     }
 }
 
-impl BookState {
-    fn find(&mut self, promise: &'static str, seen: String) {
-        self.findings.push(SoakFinding { promise, seen });
+impl HistoryState {
+    fn report(&mut self, guarantee: &'static str, observed: String) {
+        self.findings.push(SoakFinding { guarantee, observed });
     }
 
     fn was_disturbed(&self, entry: usize, from: Instant, until: Instant) -> bool {
@@ -168,33 +169,36 @@
 
     fn check(&self, id: &str, record: &RequestRecord) -> Vec<SoakFinding> {
         let mut findings = Vec::new();
-        let mut find = |promise, seen| findings.push(SoakFinding { promise, seen });
+        let mut report = |guarantee, observed| findings.push(SoakFinding { guarantee, observed });
         let runs = record.runs.len();
         if !record.is_idempotent && runs > 1 {
-            find("at most once", format!("{id} ran {runs} times: {:?}", record.runs));
+            report("at most once", format!("{id} ran {runs} times: {:?}", record.runs));
         }
         match &record.outcome {
-            Some((_, CallerOutcome::Success(body))) if !is_answer_to(id, body) => {
+            Some((_, CallerOutcome::Success(body))) if !is_complete_answer(id, body) => {
                 let start: String = body.chars().take(60).collect();
-                find("own whole answer", format!("{id} got {} bytes: {start}", body.len()));
+                report("own whole answer", format!("{id} got {} bytes: {start}", body.len()));
             }
             Some((_, CallerOutcome::Success(_))) if runs == 0 => {
-                find("own whole answer", format!("{id} succeeded and never ran"));
+                report("own whole answer", format!("{id} succeeded and never ran"));
             }
             Some((_, CallerOutcome::NotRun)) if runs > 0 && !record.is_idempotent => {
-                find("not run means not run", format!("{id} ran at {:?}", record.runs));
+                report("not run means not run", format!("{id} ran at {:?}", record.runs));
             }
             Some((at, CallerOutcome::Cut)) if runs > 0 && self.was_cut_by_stop(record, *at) => {
-                find("shutdown cuts off nothing", format!("{id} at entry {}", record.entry));
+                report("shutdown cuts off nothing", format!("{id} at entry {}", record.entry));
             }
             _ => {}
         }
         for (upstream, at) in &record.runs {
-            let Some(left) = self.left.get(upstream) else { continue };
-            let late = at.saturating_duration_since(*left);
-            let sent_late = record.sent > *left + DRAIN_LIMIT;
-            if late > DRAIN_LIMIT && sent_late && !self.was_disturbed(record.entry, *left, *at) {
-                find("no work after leaving", format!("{id} at {upstream} {late:?} later"));
+            let Some(drained) = self.drained.get(upstream) else { continue };
+            let late = at.saturating_duration_since(*drained);
+            let was_sent_late = record.sent > *drained + DRAIN_LIMIT;
+            if late > DRAIN_LIMIT
+                && was_sent_late
+                && !self.was_disturbed(record.entry, *drained, *at)
+            {
+                report("no work after leaving", format!("{id} at {upstream} {late:?} later"));
             }
         }
         findings
@@ -205,26 +209,26 @@
         let is_stopped = |(entry, stop): &(usize, Instant)| {
             *entry == record.entry && *stop >= record.sent && *stop <= at
         };
-        let upstreams_well =
+        let upstreams_healthy =
             !self.upstream_faults.iter().any(|(from, until)| *from <= at && *until >= record.sent);
         self.stops.iter().any(is_stopped)
-            && upstreams_well
+            && upstreams_healthy
             && !self.was_disturbed(record.entry, record.sent, at)
     }
 }
 
 /// Returns the body of an upstream's answer to a request, padded to a length.
 #[must_use]
-pub(crate) fn answer_to(id: &str, length: usize) -> String {
+pub(crate) fn answer_body(id: &str, length: usize) -> String {
     let mut body = format!("{id} {length} ");
-    let missing = length.saturating_sub(body.len() + 1);
-    body.extend(std::iter::repeat_n('.', missing));
+    let padding = length.saturating_sub(body.len() + 1);
+    body.extend(std::iter::repeat_n('.', padding));
     body.push('!');
     body
 }
 
-fn is_answer_to(id: &str, body: &str) -> bool {
+fn is_complete_answer(id: &str, body: &str) -> bool {
     let mut words = body.splitn(3, ' ');
     let length = words.nth(1).and_then(|length| length.parse().ok());
-    body.starts_with(id) && length.is_some_and(|length| body == answer_to(id, length))
+    body.starts_with(id) && length.is_some_and(|length| body == answer_body(id, length))
 }
--- a/crates/pulley_soak/src/soak_caller.rs
+++ b/crates/pulley_soak/src/soak_caller.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::net::TcpStream;
 
-use crate::request_book::{CallerOutcome, RequestBook};
+use crate::request_history::{CallerOutcome, RequestHistory};
 
 /// Timeout for an answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(4);
@@ -81,14 +81,14 @@
 }
 
 /// Returns a request id that is unique in this process.
-pub(crate) fn next_id() -> String {
+pub(crate) fn next_request_id() -> String {
     format!("r{}", NEXT_REQUEST.fetch_add(1, Ordering::Relaxed))
 }
 
 /// Sends requests to entries until `stopped` is set.
-pub(crate) async fn call_on(
+pub(crate) async fn run_caller(
     entries: Arc<[SocketAddr]>,
-    book: Arc<RequestBook>,
+    history: Arc<RequestHistory>,
     seed: u64,
     stopped: Arc<AtomicBool>,
 ) {
@@ -108,12 +108,12 @@
             4 => ("GET", "/file"),
             _ => ("GET", "/read"),
         };
-        let id = next_id();
-        book.note_sent(&id, *entry, method == "GET");
+        let id = next_request_id();
+        history.record_sent(&id, *entry, method == "GET");
         let outcome = outcome_of(open.send(method, path, &id).await);
-        let is_over = matches!(outcome, CallerOutcome::Cut);
-        book.note_outcome(&id, outcome);
-        if is_over {
+        let is_cut = matches!(outcome, CallerOutcome::Cut);
+        history.record_outcome(&id, outcome);
+        if is_cut {
             link = None;
         }
     }
--- a/crates/pulley_soak/src/soak_operator.rs
+++ b/crates/pulley_soak/src/soak_operator.rs
@@ -15,32 +15,33 @@
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 
-use crate::request_book::RequestBook;
-use crate::soak_caller::{CallerLink, next_id};
+use crate::request_history::RequestHistory;
+use crate::soak_caller::{CallerLink, next_request_id};
 
 /// The installation's key. Its hosts listen only on loopback, and only during the soak run.
 pub(crate) const KEY: &str = "the-key-of-a-soak-on-loopback-0123456789";
 
-/// Time within which an accepted version must be in force on every entry that answers.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
+/// Time within which an accepted version must be in force on an entry, unless the entry is not
+/// ready.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How often each entry is checked for the version that it serves.
-const LOOK_PACE: Duration = Duration::from_millis(200);
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
 /// Timeout for an answer before the change is sent again, and the delay before that.
-const ANSWER_LIMIT: Duration = Duration::from_secs(3);
-const RESEND_PAUSE: Duration = Duration::from_millis(100);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
 /// The versions sent and accepted so far.
 #[derive(Debug, Default)]
-pub(crate) struct VersionBook {
+pub(crate) struct VersionState {
     /// The newest version sent, and the newest accepted one with the time of its answer.
     state: Mutex<(u64, Option<(u64, Instant)>)>,
     /// Number of extra changes requested, in addition to the periodic ones.
-    pub(crate) wanted: AtomicU32,
+    pub(crate) extra_changes: AtomicU32,
 }
 
-impl VersionBook {
+impl VersionState {
     fn sent(&self) -> u64 {
         self.state.lock().0
     }
@@ -64,38 +65,43 @@
 }
 
 /// Sends changes one after another. Each is sent again through the next host until it is accepted.
-pub(crate) async fn change_on(
+pub(crate) async fn apply_changes(
     operators: Arc<[SocketAddr]>,
-    versions: Arc<VersionBook>,
-    book: Arc<RequestBook>,
+    versions: Arc<VersionState>,
+    history: Arc<RequestHistory>,
     stopped: Arc<AtomicBool>,
 ) {
     let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build_http();
     for version in 1_u64.. {
         versions.state.lock().0 = version;
-        let mut tries = operators.iter().cycle().skip(usize::try_from(version).unwrap_or(0));
+        let mut hosts = operators.iter().cycle().skip(usize::try_from(version).unwrap_or(0));
         while !stopped.load(Ordering::Relaxed) {
-            let Some(host) = tries.next() else { return };
-            let limit = tokio::time::timeout(ANSWER_LIMIT, apply(&client, *host, version));
+            let Some(host) = hosts.next() else { return };
+            let limit = tokio::time::timeout(ANSWER_TIMEOUT, apply(&client, *host, version));
             let answer = limit.await.ok().and_then(Result::ok).unwrap_or(Value::Null);
             if let Some(got) = answer.pointer("/accepted/version").and_then(Value::as_u64) {
                 if got != version {
-                    book.note_finding("one change, one version", format!("{version} is {got}"));
+                    history
+                        .record_finding("one change, one version", format!("{version} is {got}"));
                 }
                 versions.state.lock().1 = Some((version, Instant::now()));
                 break;
             }
             if answer.get("refused").is_some() {
-                let seen = format!("version {version}: {answer}");
-                book.note_finding("a resent change is never refused", seen);
+                let observed = format!("version {version}: {answer}");
+                history.record_finding("a resent change is never refused", observed);
                 return;
             }
-            tokio::time::sleep(RESEND_PAUSE).await;
+            tokio::time::sleep(RESEND_DELAY).await;
         }
         let next = Instant::now() + Duration::from_secs(2);
         while Instant::now() < next && !stopped.load(Ordering::Relaxed) {
-            let take = |wanted: u32| wanted.checked_sub(1);
-            if versions.wanted.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).is_ok() {
+            let take = |extra_changes: u32| extra_changes.checked_sub(1);
+            if versions
+                .extra_changes
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
+                .is_ok()
+            {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -124,48 +130,49 @@
 }
 
 /// Checks repeatedly which version one entry serves.
-pub(crate) async fn look_on(
+pub(crate) async fn monitor_entry(
     (entry, address): (usize, SocketAddr),
-    versions: Arc<VersionBook>,
-    book: Arc<RequestBook>,
+    versions: Arc<VersionState>,
+    history: Arc<RequestHistory>,
     stopped: Arc<AtomicBool>,
 ) {
     // The newest version served on the current connection. A new connection may reach a new
     // process, so it starts at 0.
-    let mut seen = 0;
+    let mut observed = 0;
     let mut link: Option<CallerLink> = None;
     while !stopped.load(Ordering::Relaxed) {
-        tokio::time::sleep(LOOK_PACE).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
         let Some((version, since)) = versions.accepted() else { continue };
         if link.is_none() {
-            seen = 0;
+            observed = 0;
             link = CallerLink::open(address).await.ok();
         }
         let Some(open) = &mut link else { continue };
         let asked = Instant::now();
-        let Ok(is_served) = serves(open, version, entry, &book).await else {
+        let Ok(is_served) = serves(open, version, entry, &history).await else {
             link = None;
             continue;
         };
-        let is_due = asked > since + IN_FORCE_LIMIT;
+        let is_due = asked > since + IN_FORCE_TIMEOUT;
         let newest_sent = versions.sent();
-        let is_calm = !book.was_disturbed(entry, since, Instant::now());
+        let is_undisturbed = !history.was_disturbed(entry, since, Instant::now());
         match is_served {
-            Some(true) => seen = seen.max(version),
-            Some(false) if newest_sent == version && is_due && is_calm => {
+            Some(true) => observed = observed.max(version),
+            Some(false) if newest_sent == version && is_due && is_undisturbed => {
                 let late = since.elapsed();
-                book.note_finding("in force", format!("{version} not at {entry} after {late:?}"));
+                history
+                    .record_finding("in force", format!("{version} not at {entry} after {late:?}"));
             }
-            Some(false) if newest_sent == version && seen >= version => {
-                book.note_finding("never back", format!("entry {entry} forgot {version}"));
+            Some(false) if newest_sent == version && observed >= version => {
+                history.record_finding("never back", format!("entry {entry} forgot {version}"));
             }
             _ => {}
         }
-        if version > 1 && seen >= version {
-            let before = serves(open, version - 1, entry, &book).await;
+        if version > 1 && observed >= version {
+            let before = serves(open, version - 1, entry, &history).await;
             if matches!(before, Ok(Some(true))) {
-                let seen = format!("entry {entry} serves {} after {version}", version - 1);
-                book.note_finding("never back", seen);
+                let observed = format!("entry {entry} serves {} after {version}", version - 1);
+                history.record_finding("never back", observed);
             }
         }
     }
@@ -176,10 +183,10 @@
     link: &mut CallerLink,
     version: u64,
     entry: usize,
-    book: &RequestBook,
+    history: &RequestHistory,
 ) -> Result<Option<bool>> {
-    let id = next_id();
-    book.note_sent(&id, entry, true);
+    let id = next_request_id();
+    history.record_sent(&id, entry, true);
     let answer = link.send("GET", &format!("/mark-{version}/"), &id).await?;
     Ok(match answer.status {
         404 => Some(false),
--- a/crates/pulley_soak/src/soak_run.rs
+++ b/crates/pulley_soak/src/soak_run.rs
@@ -14,31 +14,31 @@
 use tempfile::TempDir;
 use tokio::task::JoinSet;
 
-use crate::soak_operator::{KEY, VersionBook, change_on, look_on};
+use crate::soak_operator::{KEY, VersionState, apply_changes, monitor_entry};
 use crate::soak_upstream::SoakUpstream;
 use crate::{
-    DaemonProcess, FaultSchedule, ProxyMode, RequestBook, ScheduledFault, SoakFault, SoakFinding,
+    DaemonProcess, FaultSchedule, ProxyMode, RequestHistory, ScheduledFault, SoakFault, SoakFinding,
 };
 
 /// Timeout for a new installation to serve its first requests.
 const START_LIMIT: Duration = Duration::from_secs(30);
 
 /// How long after a disturbance an entry may take to recover.
-const SETTLE: Duration = Duration::from_secs(4);
+const RECOVERY_SPAN: Duration = Duration::from_secs(4);
 
 /// Time limit of a daemon's drain at shutdown. A process that runs for twice this time is killed.
 const DRAIN_GRACE: Duration = Duration::from_secs(5);
 
 /// How long an upstream continues to serve after it has announced that it drains.
-const LEAVE_SPAN: Duration = Duration::from_secs(5);
+const DRAIN_SPAN: Duration = Duration::from_secs(5);
 
 /// Minimum fraction of requests that must succeed. A run in which almost nothing succeeds would
 /// check almost nothing.
-const LEAST_SERVED: f64 = 0.2;
+const MIN_SUCCESS_RATIO: f64 = 0.2;
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
-pub struct SoakPlan {
+pub struct SoakSettings {
     /// The seed of the schedule of faults.
     pub seed: u64,
     /// How long the run lasts.
@@ -74,10 +74,10 @@
 
 /// A run in progress.
 pub struct SoakRun {
-    plan: SoakPlan,
+    settings: SoakSettings,
     folder: TempDir,
-    book: Arc<RequestBook>,
-    versions: Arc<VersionBook>,
+    history: Arc<RequestHistory>,
+    versions: Arc<VersionState>,
     stopped: Arc<AtomicBool>,
     daemons: Vec<SharedDaemon>,
     upstreams: Vec<Arc<tokio::sync::Mutex<SoakUpstream>>>,
@@ -90,60 +90,70 @@
     ///
     /// # Errors
     /// If the installation cannot be started.
-    pub async fn play(plan: SoakPlan) -> Result<SoakReport> {
-        let mut run = Self::start(plan).await?;
-        let sizes = (run.daemons.len(), run.plan.replicas, run.upstreams.len());
-        let schedule = FaultSchedule::draw(run.plan.seed, run.plan.span, sizes);
+    pub async fn execute(settings: SoakSettings) -> Result<SoakReport> {
+        let mut run = Self::start(settings).await?;
+        let sizes = (run.daemons.len(), run.settings.replicas, run.upstreams.len());
+        let schedule = FaultSchedule::draw(run.settings.seed, run.settings.span, sizes);
         let began = Instant::now();
         for ScheduledFault { at, fault } in &schedule.0 {
             tokio::time::sleep((*at).saturating_sub(began.elapsed())).await;
             run.inject(*fault);
         }
-        tokio::time::sleep(run.plan.span.saturating_sub(began.elapsed())).await;
-        run.end(schedule.0.len()).await
+        tokio::time::sleep(run.settings.span.saturating_sub(began.elapsed())).await;
+        run.finish(schedule.0.len()).await
     }
 
-    async fn start(plan: SoakPlan) -> Result<Self> {
+    async fn start(settings: SoakSettings) -> Result<Self> {
         let folder = TempDir::new()?;
-        let daemons = start_daemons(&plan, &folder)?;
+        let daemons = start_daemons(&settings, &folder)?;
         let addresses = |kind: usize| -> Arc<[SocketAddr]> {
             daemons.iter().map(|daemon| daemon.lock().addresses[kind]).collect()
         };
         let (callers, announce, operators) = (addresses(0), addresses(1), addresses(2));
-        let book = Arc::new(RequestBook::default());
-        let (versions, stopped) = (Arc::new(VersionBook::default()), Arc::default());
+        let history = Arc::new(RequestHistory::default());
+        let (versions, stopped) = (Arc::new(VersionState::default()), Arc::default());
         let mut upstreams = Vec::new();
-        for place in 0..plan.upstreams {
+        for index in 0..settings.upstreams {
             let upstream =
-                SoakUpstream::start(place, Arc::clone(&announce), Arc::clone(&book)).await?;
+                SoakUpstream::start(index, Arc::clone(&announce), Arc::clone(&history)).await?;
             upstreams.push(Arc::new(tokio::sync::Mutex::new(upstream)));
         }
         let (tasks, faults) = (JoinSet::new(), JoinSet::new());
-        let mut run =
-            Self { plan, folder, book, versions, stopped, daemons, upstreams, tasks, faults };
-        run.spawn_work(&callers, &operators);
+        let mut run = Self {
+            settings,
+            folder,
+            history,
+            versions,
+            stopped,
+            daemons,
+            upstreams,
+            tasks,
+            faults,
+        };
+        run.spawn_tasks(&callers, &operators);
         run.await_service().await?;
         Ok(run)
     }
 
-    fn spawn_work(&mut self, callers: &Arc<[SocketAddr]>, operators: &Arc<[SocketAddr]>) {
+    fn spawn_tasks(&mut self, callers: &Arc<[SocketAddr]>, operators: &Arc<[SocketAddr]>) {
         let stopped = || Arc::clone(&self.stopped);
-        let book = || Arc::clone(&self.book);
+        let history = || Arc::clone(&self.history);
         let versions = || Arc::clone(&self.versions);
-        self.tasks.spawn(change_on(Arc::clone(operators), versions(), book(), stopped()));
+        self.tasks.spawn(apply_changes(Arc::clone(operators), versions(), history(), stopped()));
         for entry in callers.iter().copied().enumerate() {
-            self.tasks.spawn(look_on(entry, versions(), book(), stopped()));
+            self.tasks.spawn(monitor_entry(entry, versions(), history(), stopped()));
         }
-        for number in 0..self.plan.callers {
-            let seed = self.plan.seed ^ (number as u64) << 32;
-            let calls = crate::soak_caller::call_on(Arc::clone(callers), book(), seed, stopped());
+        for number in 0..self.settings.callers {
+            let seed = self.settings.seed ^ (number as u64) << 32;
+            let calls =
+                crate::soak_caller::run_caller(Arc::clone(callers), history(), seed, stopped());
             self.tasks.spawn(calls);
         }
     }
 
     async fn await_service(&self) -> Result<()> {
         let began = Instant::now();
-        while self.book.counts().1 < 10 {
+        while self.history.counts().1 < 10 {
             if began.elapsed() > START_LIMIT {
                 bail!("the installation does not serve");
             }
@@ -152,16 +162,16 @@
         Ok(())
     }
 
-    async fn end(mut self, faults: usize) -> Result<SoakReport> {
+    async fn finish(mut self, faults: usize) -> Result<SoakReport> {
         while self.faults.join_next().await.is_some() {}
         self.stopped.store(true, Ordering::Relaxed);
         while self.tasks.join_next().await.is_some() {}
-        let counts = self.book.counts();
-        let mut findings = self.book.findings();
+        let counts = self.history.counts();
+        let mut findings = self.history.findings();
         findings.extend(self.daemon_findings());
-        if (counts.1 as f64) < LEAST_SERVED * counts.0 as f64 {
-            let seen = format!("{} of {} requests succeeded", counts.1, counts.0);
-            findings.push(SoakFinding { promise: "it serves", seen });
+        if (counts.1 as f64) < MIN_SUCCESS_RATIO * counts.0 as f64 {
+            let observed = format!("{} of {} requests succeeded", counts.1, counts.0);
+            findings.push(SoakFinding { guarantee: "it serves", observed });
         }
         let versions = self.versions.accepted().map_or(0, |(version, _)| version);
         self.upstreams.clear();
@@ -174,13 +184,13 @@
         for daemon in &self.daemons {
             let mut daemon = daemon.lock();
             if daemon.has_failed() {
-                let seen = format!("{} has ended", daemon.host);
-                findings.push(SoakFinding { promise: "a daemon runs on", seen });
+                let observed = format!("{} has ended", daemon.host);
+                findings.push(SoakFinding { guarantee: "a daemon runs on", observed });
             }
             let log = daemon.log();
             for line in log.lines().filter(|line| line.contains("panicked at")) {
-                let seen = format!("{}: {line}", daemon.host);
-                findings.push(SoakFinding { promise: "nothing panics", seen });
+                let observed = format!("{}: {line}", daemon.host);
+                findings.push(SoakFinding { guarantee: "nothing panics", observed });
             }
         }
         findings
@@ -204,37 +214,37 @@
             SoakFault::Proxy { upstream, mode, span } => self.disturb(upstream, mode, span),
             SoakFault::Drain { upstream } => self.drain(upstream),
             SoakFault::Crash { upstream, down } => self.crash(upstream, down),
-            SoakFault::Storm { changes } => {
-                self.versions.wanted.fetch_add(changes, Ordering::Relaxed);
+            SoakFault::ChangeBurst { changes } => {
+                self.versions.extra_changes.fetch_add(changes, Ordering::Relaxed);
             }
         }
     }
 
     /// Records that a daemon is disturbed. If it is a replica, all daemons may be.
-    fn note_disturbed(&self, host: usize, span: Duration) {
+    fn record_disturbance(&self, host: usize, span: Duration) {
         let now = Instant::now();
-        let until = now + span + SETTLE;
-        let others = if host < self.plan.replicas { self.daemons.len() } else { 0 };
+        let until = now + span + RECOVERY_SPAN;
+        let others = if host < self.settings.replicas { self.daemons.len() } else { 0 };
         for entry in (0..others).chain([host]) {
-            self.book.note_disturbed(entry, now, until);
+            self.history.record_disturbance(entry, now, until);
         }
     }
 
     /// Records a finding if a daemon has ended unexpectedly. Called before it is stopped or
     /// restarted.
-    fn note_failed(&self, host: usize) {
+    fn record_unexpected_end(&self, host: usize) {
         let mut daemon = self.daemons[host].lock();
         if daemon.has_failed() {
-            self.book.note_finding("a daemon runs on", format!("{} has ended", daemon.host));
+            self.history.record_finding("a daemon runs on", format!("{} has ended", daemon.host));
         }
     }
 
     fn kill(&mut self, hosts: &[usize], down: Duration, wipes: bool) {
         for host in hosts {
-            self.note_failed(*host);
-            self.note_disturbed(*host, down);
+            self.record_unexpected_end(*host);
+            self.record_disturbance(*host, down);
             let daemon = Arc::clone(&self.daemons[*host]);
-            let book = Arc::clone(&self.book);
+            let history = Arc::clone(&self.history);
             daemon.lock().kill();
             self.faults.spawn(async move {
                 tokio::time::sleep(down).await;
@@ -245,23 +255,23 @@
                     }
                     daemon.restart()
                 });
-                note_start(&book, restarted.await);
+                record_failed_start(&history, restarted.await);
             });
         }
     }
 
     fn stop(&mut self, host: usize) {
-        self.note_failed(host);
+        self.record_unexpected_end(host);
         let daemon = Arc::clone(&self.daemons[host]);
-        let book = Arc::clone(&self.book);
+        let history = Arc::clone(&self.history);
         if daemon.lock().stop() {
             // A second signal ends the daemon's drain early, as documented for operators, and may
             // abort requests.
-            self.note_disturbed(host, Duration::ZERO);
+            self.record_disturbance(host, Duration::ZERO);
         } else {
-            self.book.note_stop(host);
+            self.history.record_stop(host);
         }
-        let (count, replicas) = (self.daemons.len(), self.plan.replicas);
+        let (count, replicas) = (self.daemons.len(), self.settings.replicas);
         self.faults.spawn(async move {
             let began = Instant::now();
             while daemon.lock().is_running() && began.elapsed() < DRAIN_GRACE * 2 {
@@ -269,22 +279,22 @@
             }
             // The daemon counts as disturbed from its end on. Requests in flight before that had to
             // be answered.
-            let (now, until) = (Instant::now(), Instant::now() + SETTLE);
+            let (now, until) = (Instant::now(), Instant::now() + RECOVERY_SPAN);
             let others = if host < replicas { count } else { 0 };
             for entry in (0..others).chain([host]) {
-                book.note_disturbed(entry, now, until);
+                history.record_disturbance(entry, now, until);
             }
             let restarted = tokio::task::spawn_blocking(move || {
                 let mut daemon = daemon.lock();
                 daemon.kill();
                 daemon.restart()
             });
-            note_start(&book, restarted.await);
+            record_failed_start(&history, restarted.await);
         });
     }
 
     fn pause(&mut self, host: usize, span: Duration) {
-        self.note_disturbed(host, span);
+        self.record_disturbance(host, span);
         let daemon = Arc::clone(&self.daemons[host]);
         daemon.lock().signal(Signal::SIGSTOP);
         self.faults.spawn(async move {
@@ -296,7 +306,7 @@
     fn disturb(&mut self, upstream: usize, mode: ProxyMode, span: Duration) {
         // A connection that has dropped bytes stays silent until one of its ends closes it.
         let lasts = span + Duration::from_secs(4);
-        self.book.note_upstream_fault(Instant::now(), Instant::now() + lasts);
+        self.history.record_upstream_fault(Instant::now(), Instant::now() + lasts);
         let upstream = Arc::clone(&self.upstreams[upstream]);
         self.faults.spawn(async move {
             upstream.lock().await.proxy.set(mode);
@@ -307,20 +317,20 @@
 
     fn drain(&mut self, upstream: usize) {
         let upstream = Arc::clone(&self.upstreams[upstream]);
-        let book = Arc::clone(&self.book);
+        let history = Arc::clone(&self.history);
         self.faults.spawn(async move {
             if upstream.lock().await.drain().is_none() {
                 return;
             }
-            tokio::time::sleep(LEAVE_SPAN).await;
-            book.note_upstream_fault(Instant::now(), Instant::now() + Duration::from_secs(1));
+            tokio::time::sleep(DRAIN_SPAN).await;
+            history.record_upstream_fault(Instant::now(), Instant::now() + Duration::from_secs(1));
             let _ = upstream.lock().await.launch().await;
         });
     }
 
     fn crash(&mut self, upstream: usize, down: Duration) {
         let until = Instant::now() + down + Duration::from_secs(1);
-        self.book.note_upstream_fault(Instant::now(), until);
+        self.history.record_upstream_fault(Instant::now(), until);
         let upstream = Arc::clone(&self.upstreams[upstream]);
         self.faults.spawn(async move {
             upstream.lock().await.crash();
@@ -330,22 +340,22 @@
     }
 }
 
-fn note_start(
-    book: &RequestBook,
+fn record_failed_start(
+    history: &RequestHistory,
     restarted: std::result::Result<Result<()>, tokio::task::JoinError>,
 ) {
     if let Ok(Err(fault)) = restarted {
-        book.note_finding("a daemon starts again", format!("{fault:#}"));
+        history.record_finding("a daemon starts again", format!("{fault:#}"));
     }
 }
 
-fn start_daemons(plan: &SoakPlan, folder: &TempDir) -> Result<Vec<SharedDaemon>> {
+fn start_daemons(settings: &SoakSettings, folder: &TempDir) -> Result<Vec<SharedDaemon>> {
     let secret = folder.path().join("secret");
     fs::write(&secret, format!("{KEY}\n"))?;
-    let founders: Vec<String> = (1..=plan.replicas).map(|n| format!("h{n}=m{n}")).collect();
+    let founders: Vec<String> = (1..=settings.replicas).map(|n| format!("h{n}=m{n}")).collect();
     let mut daemons: Vec<DaemonProcess> = Vec::new();
-    for number in 1..=plan.replicas + plan.entries {
-        let roles = if number <= plan.replicas { "entry,replica" } else { "entry" };
+    for number in 1..=settings.replicas + settings.entries {
+        let roles = if number <= settings.replicas { "entry,replica" } else { "entry" };
         let mut flags = Vec::new();
         for (name, value) in [
             ("--zone", "z1"),
@@ -364,7 +374,7 @@
             flags.extend(["--seeds".to_owned(), first.addresses[3].to_string()]);
         }
         let host = format!("h{number}");
-        daemons.push(DaemonProcess::start(&host, &plan.program, folder.path(), flags)?);
+        daemons.push(DaemonProcess::start(&host, &settings.program, folder.path(), flags)?);
     }
     let seeds: Vec<String> =
         daemons.iter().take(3).map(|daemon| daemon.addresses[3].to_string()).collect();
--- a/crates/pulley_soak/src/soak_upstream.rs
+++ b/crates/pulley_soak/src/soak_upstream.rs
@@ -22,13 +22,13 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use crate::FaultProxy;
-use crate::request_book::{RequestBook, answer_to};
+use crate::request_history::{RequestHistory, answer_body};
 
 /// How often an upstream announces itself.
-const ANNOUNCE_PACE: Duration = Duration::from_millis(500);
+const ANNOUNCE_PERIOD: Duration = Duration::from_millis(500);
 
 /// Timeout for the acknowledgement of an announcement.
-const ANNOUNCE_LIMIT: Duration = Duration::from_secs(2);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Range of the time that an upstream takes to run a request, in milliseconds.
 const WORK_MS: std::ops::Range<u64> = 2..40;
@@ -41,10 +41,10 @@
 #[derive(Debug)]
 pub(crate) struct SoakUpstream {
     pub(crate) proxy: FaultProxy,
-    place: usize,
+    index: usize,
     starts: u64,
     announce_to: Arc<[SocketAddr]>,
-    book: Arc<RequestBook>,
+    history: Arc<RequestHistory>,
     running: Option<RunningUpstream>,
 }
 
@@ -60,13 +60,13 @@
 impl SoakUpstream {
     /// Starts an upstream behind its own proxy.
     pub(crate) async fn start(
-        place: usize,
+        index: usize,
         announce_to: Arc<[SocketAddr]>,
-        book: Arc<RequestBook>,
+        history: Arc<RequestHistory>,
     ) -> Result<Self> {
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-        let proxy = FaultProxy::start(nobody).await?;
-        let mut upstream = Self { proxy, place, starts: 0, announce_to, book, running: None };
+        let unset_target = SocketAddr::from(([127, 0, 0, 1], 9));
+        let proxy = FaultProxy::start(unset_target).await?;
+        let mut upstream = Self { proxy, index, starts: 0, announce_to, history, running: None };
         upstream.launch().await?;
         Ok(upstream)
     }
@@ -76,24 +76,24 @@
         self.crash();
         self.starts += 1;
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        self.proxy.aim(listener.local_addr()?);
-        let id = format!("u{}-{}", self.place, self.starts);
+        self.proxy.set_target(listener.local_addr()?);
+        let id = format!("u{}-{}", self.index, self.starts);
         let (stop, stopped) = watch::channel(false);
         let phase = Arc::new(Mutex::new("ready"));
-        let serving = serve(listener, id.clone(), Arc::clone(&self.book), stopped);
+        let serving = serve(listener, id.clone(), Arc::clone(&self.history), stopped);
         let announcing = Announcer {
             id: id.clone(),
             address: self.proxy.address,
             phase: Arc::clone(&phase),
             announce_to: Arc::clone(&self.announce_to),
-            book: Arc::clone(&self.book),
+            history: Arc::clone(&self.history),
         };
         self.running = Some(RunningUpstream {
             id,
             phase,
             stop,
             serving: tokio::spawn(serving),
-            announcing: tokio::spawn(announcing.run(self.place)),
+            announcing: tokio::spawn(announcing.run(self.index)),
         });
         Ok(())
     }
@@ -124,14 +124,14 @@
 async fn serve(
     listener: TcpListener,
     id: String,
-    book: Arc<RequestBook>,
+    history: Arc<RequestHistory>,
     stopped: watch::Receiver<bool>,
 ) {
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
-        let (id, book, mut stopped) = (id.clone(), Arc::clone(&book), stopped.clone());
-        let service = service_fn(move |request| answer(request, id.clone(), Arc::clone(&book)));
+        let (id, history, mut stopped) = (id.clone(), Arc::clone(&history), stopped.clone());
+        let service = service_fn(move |request| answer(request, id.clone(), Arc::clone(&history)));
         connections.spawn(async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             tokio::select! {
@@ -145,7 +145,7 @@
 async fn answer(
     request: Request<Incoming>,
     upstream: String,
-    book: Arc<RequestBook>,
+    history: Arc<RequestHistory>,
 ) -> std::result::Result<Response<Full<Bytes>>, Infallible> {
     let path = request.uri().path().to_owned();
     let header = request.headers().get("x-request-id").and_then(|id| id.to_str().ok());
@@ -153,13 +153,13 @@
         return Ok(Response::new(Full::new(Bytes::new())));
     };
     if path != "/health" {
-        book.note_run(&id, &upstream);
+        history.record_run(&id, &upstream);
         let work = Duration::from_millis(rand::rng().random_range(WORK_MS));
         let _ = request.into_body().collect().await;
         tokio::time::sleep(work).await;
     }
     let length = if path.starts_with("/file") { LONG_ANSWER } else { SHORT_ANSWER };
-    Ok(Response::new(Full::new(Bytes::from(answer_to(&id, length)))))
+    Ok(Response::new(Full::new(Bytes::from(answer_body(&id, length)))))
 }
 
 /// Announces an upstream until it is aborted.
@@ -168,17 +168,17 @@
     address: SocketAddr,
     phase: Arc<Mutex<&'static str>>,
     announce_to: Arc<[SocketAddr]>,
-    book: Arc<RequestBook>,
+    history: Arc<RequestHistory>,
 }
 
 impl Announcer {
-    async fn run(self, place: usize) {
+    async fn run(self, index: usize) {
         let client: Client<_, Full<Bytes>> =
             Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build_http();
-        let mut has_left = false;
+        let mut has_drained = false;
         for sequence in 1_usize.. {
             let phase = *self.phase.lock();
-            let host = self.announce_to[(sequence + place) % self.announce_to.len()];
+            let host = self.announce_to[(sequence + index) % self.announce_to.len()];
             let body = json!({
                 "id": self.id, "address": self.address, "zone": "z1", "pool": "shop", "slots": 8,
                 "connections": 500, "incarnation": 1, "sequence": sequence, "phase": phase,
@@ -187,14 +187,15 @@
                 .header("content-type", "application/json")
                 .body(Full::new(Bytes::from(body.to_string())));
             let Ok(request) = request else { return };
-            let answered = tokio::time::timeout(ANNOUNCE_LIMIT, client.request(request)).await;
-            let is_taken = matches!(answered, Ok(Ok(answer)) if answer.status() == StatusCode::OK);
-            if is_taken && phase == "draining" && !has_left {
-                has_left = true;
-                self.book.note_left(&self.id);
+            let answered = tokio::time::timeout(ANNOUNCE_TIMEOUT, client.request(request)).await;
+            let is_acknowledged =
+                matches!(answered, Ok(Ok(answer)) if answer.status() == StatusCode::OK);
+            if is_acknowledged && phase == "draining" && !has_drained {
+                has_drained = true;
+                self.history.record_drained(&self.id);
             }
             // Without an acknowledgement, the next host is tried soon.
-            let pause = if is_taken { ANNOUNCE_PACE } else { ANNOUNCE_PACE / 10 };
+            let pause = if is_acknowledged { ANNOUNCE_PERIOD } else { ANNOUNCE_PERIOD / 10 };
             tokio::time::sleep(pause).await;
         }
     }
--- a/crates/pulley_soak/tests/checks.rs
+++ b/crates/pulley_soak/tests/checks.rs
@@ -3,66 +3,66 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use pulley_soak::{CallerOutcome, FaultProxy, FaultSchedule, ProxyMode, RequestBook};
+use pulley_soak::{CallerOutcome, FaultProxy, FaultSchedule, ProxyMode, RequestHistory};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-fn promises(book: &RequestBook) -> Vec<&'static str> {
-    book.findings().iter().map(|finding| finding.promise).collect()
+fn violated_guarantees(history: &RequestHistory) -> Vec<&'static str> {
+    history.findings().iter().map(|finding| finding.guarantee).collect()
 }
 
 /// Returns a complete answer to a request, as stand-in upstreams send it.
-fn whole(id: &str) -> CallerOutcome {
+fn complete_answer(id: &str) -> CallerOutcome {
     CallerOutcome::Success(format!("{id} 20 {}!", ".".repeat(20 - id.len() - 5)))
 }
 
 // An entry sends a refund to two upstreams, so it is recorded twice.
 #[test]
-fn a_second_run_of_work_that_may_run_once_is_found() {
-    let book = RequestBook::default();
-    book.note_sent("r1", 0, false);
-    book.note_run("r1", "u1");
-    assert_eq!(promises(&book), Vec::<&str>::new());
-    book.note_run("r1", "u2");
-    assert_eq!(promises(&book), ["at most once"]);
+fn a_second_run_of_non_idempotent_work_is_found() {
+    let history = RequestHistory::default();
+    history.record_sent("r1", 0, false);
+    history.record_run("r1", "u1");
+    assert_eq!(violated_guarantees(&history), Vec::<&str>::new());
+    history.record_run("r1", "u2");
+    assert_eq!(violated_guarantees(&history), ["at most once"]);
 }
 
 // A caller is told that its order was not run, but the order runs later.
 #[test]
-fn a_refusal_of_what_runs_later_is_found() {
-    let book = RequestBook::default();
-    book.note_sent("r1", 0, false);
-    book.note_outcome("r1", CallerOutcome::NotRun);
-    assert_eq!(promises(&book), Vec::<&str>::new());
-    book.note_run("r1", "u1");
-    assert_eq!(promises(&book), ["not run means not run"]);
+fn a_run_after_a_not_run_verdict_is_found() {
+    let history = RequestHistory::default();
+    history.record_sent("r1", 0, false);
+    history.record_outcome("r1", CallerOutcome::NotRun);
+    assert_eq!(violated_guarantees(&history), Vec::<&str>::new());
+    history.record_run("r1", "u1");
+    assert_eq!(violated_guarantees(&history), ["not run means not run"]);
 }
 
 // A caller gets the answer to another request, a truncated answer, or an answer that no upstream
 // sent.
 #[test]
-fn foreign_and_cut_answers_are_found() {
-    for wrong in [whole("r2"), CallerOutcome::Success("r1 20 ...".to_owned())] {
-        let book = RequestBook::default();
-        book.note_sent("r1", 0, true);
-        book.note_run("r1", "u1");
-        book.note_outcome("r1", wrong);
-        assert_eq!(promises(&book), ["own whole answer"]);
+fn foreign_truncated_and_invented_answers_are_found() {
+    for wrong in [complete_answer("r2"), CallerOutcome::Success("r1 20 ...".to_owned())] {
+        let history = RequestHistory::default();
+        history.record_sent("r1", 0, true);
+        history.record_run("r1", "u1");
+        history.record_outcome("r1", wrong);
+        assert_eq!(violated_guarantees(&history), ["own whole answer"]);
     }
-    let book = RequestBook::default();
-    book.note_sent("r1", 0, true);
-    book.note_outcome("r1", whole("r1"));
-    assert_eq!(promises(&book), ["own whole answer"]);
-    book.note_run("r1", "u1");
-    assert_eq!(promises(&book), Vec::<&str>::new());
+    let history = RequestHistory::default();
+    history.record_sent("r1", 0, true);
+    history.record_outcome("r1", complete_answer("r1"));
+    assert_eq!(violated_guarantees(&history), ["own whole answer"]);
+    history.record_run("r1", "u1");
+    assert_eq!(violated_guarantees(&history), Vec::<&str>::new());
 }
 
 // An upstream runs a request that no caller sent.
 #[test]
-fn work_that_nobody_asked_for_is_found() {
-    let book = RequestBook::default();
-    book.note_run("r1", "u1");
-    assert_eq!(promises(&book), ["asked for"]);
+fn work_that_no_caller_sent_is_found() {
+    let history = RequestHistory::default();
+    history.record_run("r1", "u1");
+    assert_eq!(violated_guarantees(&history), ["asked for"]);
 }
 
 // An entry is told to shut down and closes a connection before it has sent a pending answer. This
@@ -70,19 +70,19 @@
 // upstream had a fault.
 #[test]
 fn an_answer_cut_off_by_a_shutdown_is_found() {
-    let cut = |spoil: &dyn Fn(&RequestBook)| {
-        let book = RequestBook::default();
-        spoil(&book);
-        book.note_sent("r1", 0, true);
-        book.note_run("r1", "u1");
-        book.note_stop(0);
-        book.note_outcome("r1", CallerOutcome::Cut);
-        promises(&book)
+    let cut = |disturb: &dyn Fn(&RequestHistory)| {
+        let history = RequestHistory::default();
+        disturb(&history);
+        history.record_sent("r1", 0, true);
+        history.record_run("r1", "u1");
+        history.record_stop(0);
+        history.record_outcome("r1", CallerOutcome::Cut);
+        violated_guarantees(&history)
     };
     assert_eq!(cut(&|_| {}), ["shutdown cuts off nothing"]);
     let soon = Instant::now() + Duration::from_secs(5);
-    assert!(cut(&|book| book.note_disturbed(0, Instant::now(), soon)).is_empty());
-    assert!(cut(&|book| book.note_upstream_fault(Instant::now(), soon)).is_empty());
+    assert!(cut(&|history| history.record_disturbance(0, Instant::now(), soon)).is_empty());
+    assert!(cut(&|history| history.record_upstream_fault(Instant::now(), soon)).is_empty());
 }
 
 // A seed whose run had findings must give the same schedule of faults again.
@@ -126,7 +126,7 @@
     let proxy = FaultProxy::start(echo().await).await.expect("a port");
     let mut first = TcpStream::connect(proxy.address).await.expect("it listens");
     assert!(matches!(exchange(&mut first).await, Some(Ok(4))));
-    proxy.set(ProxyMode::LosesAnswers);
+    proxy.set(ProxyMode::DropAnswers);
     assert!(exchange(&mut first).await.is_none());
     proxy.set(ProxyMode::Pass);
     assert!(exchange(&mut first).await.is_none());
--- a/crates/pulley_soak/tests/seeded_runs.rs
+++ b/crates/pulley_soak/tests/seeded_runs.rs
@@ -3,11 +3,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use pulley_soak::{SoakPlan, SoakRun};
+use pulley_soak::{SoakRun, SoakSettings};
 
 const SEEDS: &str = include_str!("seeds.txt");
 
-/// How long each run lasts. A seed's faults depend on it and on the sizes in [`plan`].
+/// How long each run lasts. A seed's faults depend on it and on the sizes in [`settings`].
 const SPAN: Duration = Duration::from_secs(20);
 
 /// Returns the path of the daemon, which `scripts/test` builds before the tests.
@@ -19,21 +19,21 @@
     program
 }
 
-fn plan(seed: u64) -> SoakPlan {
+fn settings(seed: u64) -> SoakSettings {
     let (span, program) = (SPAN, daemon());
-    SoakPlan { seed, span, replicas: 3, entries: 2, upstreams: 4, callers: 12, program }
+    SoakSettings { seed, span, replicas: 3, entries: 2, upstreams: 4, callers: 12, program }
 }
 
 // Daemons are killed, stopped, paused and lose their data. Upstreams drain, crash and go silent,
 // and the sheet changes, with overlapping faults. Callers must get their own complete answer or a
 // correct verdict, and accepted changes must be in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_promise_is_broken_under_the_kept_seeds() {
+async fn no_guarantee_is_violated_under_the_kept_seeds() {
     let lines = SEEDS.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
     let seeds = lines.filter(|line| !line.is_empty()).map(|line| line.parse().expect("a seed"));
     // The runs are concurrent, as they mostly wait.
     let runs: Vec<_> =
-        seeds.map(|seed: u64| (seed, tokio::spawn(SoakRun::play(plan(seed))))).collect();
+        seeds.map(|seed: u64| (seed, tokio::spawn(SoakRun::execute(settings(seed))))).collect();
     for (seed, run) in runs {
         let report = run.await.expect("no panic").expect("the installation starts");
         let findings: Vec<String> = report.findings.iter().map(ToString::to_string).collect();
