--- a/crates/pulley_soak/src/fault_proxy.rs
+++ b/crates/pulley_soak/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before an upstream, whose connections can be made to misbehave.
+//! A loopback proxy in front of an upstream that injects connection faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,28 +13,28 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How the connections through a proxy behave.
+/// The fault that a proxy injects into its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// They pass on what comes.
+    /// Forwards all bytes.
     #[default]
     Pass,
-    /// They pass it on later.
+    /// Forwards all bytes after a delay.
     Delay(Duration),
-    /// Open ones are reset, new ones as well.
+    /// Resets open and new connections.
     Reset,
-    /// What entries send is lost; the connection stays open, and silent for good.
-    LosesRequests,
-    /// What upstreams send is lost; the connection stays open, and silent for good.
-    LosesAnswers,
-    /// Both are lost.
-    Silent,
+    /// Drops what entries send. Affected connections stay open and drop it permanently.
+    DropRequests,
+    /// Drops what upstreams send. Affected connections stay open and drop it permanently.
+    DropAnswers,
+    /// Drops what both sides send.
+    DropAll,
 }
 
 /// A proxy that runs until it is dropped.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where entries connect to.
+    /// The address that entries connect to.
     pub address: SocketAddr,
     mode: watch::Sender<ProxyMode>,
     target: Arc<Mutex<SocketAddr>>,
@@ -42,10 +42,10 @@
 }
 
 impl FaultProxy {
-    /// Listens on a port of the system's choice, and passes on to a target.
+    /// Listens on a port chosen by the operating system, and forwards connections to a target.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// If no port can be bound.
     pub async fn start(target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -55,13 +55,13 @@
         Ok(Self { address, mode, target, task })
     }
 
-    /// Changes how its connections behave.
+    /// Sets the fault that its connections have.
     pub fn set(&self, mode: ProxyMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Passes new connections on to another address.
-    pub fn aim(&self, target: SocketAddr) {
+    /// Forwards new connections to another address.
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock() = target;
     }
 }
@@ -83,48 +83,49 @@
             continue;
         }
         let target = *target.lock();
-        tokio::spawn(connect_both(stream, target, modes.clone()));
+        tokio::spawn(proxy_connection(stream, target, modes.clone()));
     }
 }
 
-async fn connect_both(entry: TcpStream, target: SocketAddr, modes: watch::Receiver<ProxyMode>) {
+async fn proxy_connection(entry: TcpStream, target: SocketAddr, modes: watch::Receiver<ProxyMode>) {
     let Ok(upstream) = TcpStream::connect(target).await else {
         reset(&entry);
         return;
     };
     let _ = (entry.set_nodelay(true), upstream.set_nodelay(true));
     let mut resets = modes.clone();
-    let is_reset = async move {
+    let reset_requested = async move {
         let _ = resets.wait_for(|mode| *mode == ProxyMode::Reset).await;
     };
-    let linger = [&entry, &upstream].map(|stream| SockRef::from(stream).try_clone());
+    let sockets = [&entry, &upstream].map(|stream| SockRef::from(stream).try_clone());
     let (entry_in, entry_out) = entry.into_split();
     let (upstream_in, upstream_out) = upstream.into_split();
-    let requests = [ProxyMode::LosesRequests, ProxyMode::Silent];
-    let answers = [ProxyMode::LosesAnswers, ProxyMode::Silent];
+    let requests = [ProxyMode::DropRequests, ProxyMode::DropAll];
+    let answers = [ProxyMode::DropAnswers, ProxyMode::DropAll];
     tokio::select! {
-        () = pass_on(entry_in, upstream_out, modes.clone(), requests) => {}
-        () = pass_on(upstream_in, entry_out, modes.clone(), answers) => {}
-        () = is_reset => {
-            for socket in linger.into_iter().flatten() {
+        () = forward(entry_in, upstream_out, modes.clone(), requests) => {}
+        () = forward(upstream_in, entry_out, modes.clone(), answers) => {}
+        () = reset_requested => {
+            for socket in sockets.into_iter().flatten() {
                 let _ = socket.set_linger(Some(Duration::ZERO));
             }
         }
     }
 }
 
-/// Passes bytes on one way until that way ends; once it has lost some, it loses all that follow.
-async fn pass_on(
+/// Forwards bytes in one direction until its source closes. After it has dropped any bytes, it
+/// drops all that follow.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     modes: watch::Receiver<ProxyMode>,
-    losing: [ProxyMode; 2],
+    dropping: [ProxyMode; 2],
 ) {
     let mut buffer = vec![0; 16 * 1_024];
     let mut is_silent = false;
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
         let mode = *modes.borrow();
-        is_silent |= losing.contains(&mode);
+        is_silent |= dropping.contains(&mode);
         if is_silent {
             continue;
         }
@@ -136,7 +137,7 @@
         }
     }
     if is_silent {
-        // The end of what came is lost like the rest.
+        // The close of the source is not forwarded either.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/pulley_soak/src/lib.rs
+++ b/crates/pulley_soak/src/lib.rs
@@ -1,14 +1,14 @@
-//! A soak: real daemons, faults from outside, and a check of every promise that callers and upstreams
-//! can see broken.
+//! A soak test: real daemons, injected faults, and a check of every guarantee whose violation
+//! callers and upstreams can observe.
 //!
-//! [`SoakRun`] starts daemons, stand-in upstreams behind [`FaultProxy`], callers and one operator;
-//! [`FaultSchedule`] draws the faults from a seed; [`RequestBook`] holds what each side saw of each
-//! request and says what must not have been.
+//! [`SoakRun`] starts daemons, stand-in upstreams behind a [`FaultProxy`] each, callers and one
+//! operator. [`FaultSchedule`] draws the faults from a seed. [`RequestHistory`] records what
+//! callers and upstreams observe of each request and reports violations.
 
 mod daemon_process;
 mod fault_proxy;
 mod fault_schedule;
-mod request_book;
+mod request_history;
 mod soak_caller;
 mod soak_operator;
 mod soak_run;
@@ -17,5 +17,5 @@
 pub use daemon_process::DaemonProcess;
 pub use fault_proxy::{FaultProxy, ProxyMode};
 pub use fault_schedule::{FaultSchedule, ScheduledFault, SoakFault};
-pub use request_book::{CallerOutcome, RequestBook, SoakFinding};
-pub use soak_run::{SoakPlan, SoakReport, SoakRun};
+pub use request_history::{CallerOutcome, RequestHistory, SoakFinding};
+pub use soak_run::{SoakReport, SoakRun, SoakSettings};
--- a/crates/pulley_soak/src/request_book.rs
+++ b/crates/pulley_soak/src/request_history.rs
@@ -1,4 +1,4 @@
-//! What callers and upstreams saw of each request, and what must not have been.
+//! Records what callers and upstreams observe of each request, and checks the system's guarantees.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -7,34 +7,34 @@
 use pulley_core::process::FastMap;
 use smol_str::SmolStr;
 
-/// How long a leaving upstream may still get new work after its leaving was acknowledged.
+/// How long an upstream may still get new work after its drain was acknowledged.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// What became of a request, as its caller saw it.
+/// The outcome of a request as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// A success, with this body; whole by its length.
+    /// Success with this body, which is complete by its length.
     Success(String),
-    /// The system said that it was not run.
+    /// The system answered that the request was not run.
     NotRun,
-    /// It may have run: a failure, or no answer.
+    /// Any other answer. The request may have run.
     Unknown,
-    /// The connection ended without an answer.
+    /// The connection closed without a complete answer, or the answer did not come in time.
     Cut,
 }
 
-/// Something that must not have been.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakFinding {
-    /// Which promise was broken, in a word.
-    pub promise: &'static str,
-    /// What was seen.
-    pub seen: String,
+    /// The guarantee that was violated, in short.
+    pub guarantee: &'static str,
+    /// What was observed.
+    pub observed: String,
 }
 
 impl fmt::Display for SoakFinding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.promise, self.seen)
+        write!(f, "{}: {}", self.guarantee, self.observed)
     }
 }
 
@@ -47,7 +47,8 @@
     runs: Vec<(SmolStr, Instant)>,
 }
 
-/// A time in which an entry was disturbed, so that promises with a bound do not hold for it.
+/// A span of time in which an entry was disturbed. Guarantees with time limits do not apply to it
+/// then.
 #[derive(Clone, Copy, Debug)]
 struct Disturbance {
     entry: usize,
@@ -55,27 +56,28 @@
     until: Instant,
 }
 
-/// What both sides saw.
+/// The requests of a run as callers and upstreams observed them.
 #[derive(Debug, Default)]
-pub struct RequestBook {
-    state: Mutex<BookState>,
+pub struct RequestHistory {
+    state: Mutex<HistoryState>,
 }
 
 #[derive(Debug, Default)]
-struct BookState {
+struct HistoryState {
     requests: FastMap<SmolStr, RequestRecord>,
-    left: FastMap<SmolStr, Instant>,
+    drained: FastMap<SmolStr, Instant>,
     disturbances: Vec<Disturbance>,
-    /// When each entry was told to shut down while nothing else was wrong with it.
+    /// When each entry was told to shut down. A second signal, which ends the drain early, is not
+    /// recorded.
     stops: Vec<(usize, Instant)>,
-    /// Times in which upstreams or the way to them were disturbed.
+    /// Spans of time with faults in upstreams or in the connections to them.
     upstream_faults: Vec<(Instant, Instant)>,
     findings: Vec<SoakFinding>,
 }
 
-impl RequestBook {
-    /// Notes that a caller sends a request to an entry.
-    pub fn note_sent(&self, id: &str, entry: usize, is_idempotent: bool) {
+impl RequestHistory {
+    /// Records that a caller sends a request to an entry.
+    pub fn record_sent(&self, id: &str, entry: usize, is_idempotent: bool) {
         let record = RequestRecord {
             is_idempotent,
             entry,
@@ -86,39 +88,39 @@
         self.state.lock().requests.insert(id.into(), record);
     }
 
-    /// Notes what a caller got.
-    pub fn note_outcome(&self, id: &str, outcome: CallerOutcome) {
+    /// Records the outcome of a request.
+    pub fn record_outcome(&self, id: &str, outcome: CallerOutcome) {
         if let Some(record) = self.state.lock().requests.get_mut(id) {
             record.outcome = Some((Instant::now(), outcome));
         }
     }
 
-    /// Notes that an upstream begins to work on a request.
-    pub fn note_run(&self, id: &str, upstream: &str) {
+    /// Records that an upstream starts to run a request.
+    pub fn record_run(&self, id: &str, upstream: &str) {
         let mut state = self.state.lock();
         match state.requests.get_mut(id) {
             Some(record) => record.runs.push((upstream.into(), Instant::now())),
-            None => state.find("asked for", format!("{upstream} ran {id}, which nobody sent")),
+            None => state.report("asked for", format!("{upstream} ran {id}, which nobody sent")),
         }
     }
 
-    /// Notes that an upstream's leaving was acknowledged.
-    pub fn note_left(&self, upstream: &str) {
-        self.state.lock().left.insert(upstream.into(), Instant::now());
+    /// Records that an upstream's drain was acknowledged.
+    pub fn record_drained(&self, upstream: &str) {
+        self.state.lock().drained.insert(upstream.into(), Instant::now());
     }
 
-    /// Notes that an entry is disturbed until a moment.
-    pub fn note_disturbed(&self, entry: usize, from: Instant, until: Instant) {
+    /// Records that an entry is disturbed in a span of time.
+    pub fn record_disturbance(&self, entry: usize, from: Instant, until: Instant) {
         self.state.lock().disturbances.push(Disturbance { entry, from, until });
     }
 
-    /// Notes that upstreams, or the ways to them, are disturbed until a moment.
-    pub fn note_upstream_fault(&self, from: Instant, until: Instant) {
+    /// Records a fault in upstreams or in the connections to them for a span of time.
+    pub fn record_upstream_fault(&self, from: Instant, until: Instant) {
         self.state.lock().upstream_faults.push((from, until));
     }
 
-    /// Notes that an entry is told to shut down.
-    pub fn note_stop(&self, entry: usize) {
+    /// Records that an entry is told to shut down.
+    pub fn record_stop(&self, entry: usize) {
         self.state.lock().stops.push((entry, Instant::now()));
     }
 
@@ -128,12 +130,12 @@
         self.state.lock().was_disturbed(entry, from, until)
     }
 
-    /// Notes that a promise was broken.
-    pub fn note_finding(&self, promise: &'static str, seen: String) {
-        self.state.lock().find(promise, seen);
+    /// Records a violation of a guarantee.
+    pub fn record_finding(&self, guarantee: &'static str, observed: String) {
+        self.state.lock().report(guarantee, observed);
     }
 
-    /// How many requests were sent, and how many succeeded.
+    /// Returns how many requests were sent, and how many of them succeeded.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let state = self.state.lock();
@@ -143,7 +145,7 @@
         (state.requests.len(), state.requests.values().filter(is_success).count())
     }
 
-    /// What must not have been, over all that was noted.
+    /// Checks everything recorded and returns all violations.
     #[must_use]
     pub fn findings(&self) -> Vec<SoakFinding> {
         let state = self.state.lock();
@@ -155,9 +157,9 @@
     }
 }
 
-impl BookState {
-    fn find(&mut self, promise: &'static str, seen: String) {
-        self.findings.push(SoakFinding { promise, seen });
+impl HistoryState {
+    fn report(&mut self, guarantee: &'static str, observed: String) {
+        self.findings.push(SoakFinding { guarantee, observed });
     }
 
     fn was_disturbed(&self, entry: usize, from: Instant, until: Instant) -> bool {
@@ -167,63 +169,66 @@
 
     fn check(&self, id: &str, record: &RequestRecord) -> Vec<SoakFinding> {
         let mut findings = Vec::new();
-        let mut find = |promise, seen| findings.push(SoakFinding { promise, seen });
+        let mut report = |guarantee, observed| findings.push(SoakFinding { guarantee, observed });
         let runs = record.runs.len();
         if !record.is_idempotent && runs > 1 {
-            find("at most once", format!("{id} ran {runs} times: {:?}", record.runs));
+            report("at most once", format!("{id} ran {runs} times: {:?}", record.runs));
         }
         match &record.outcome {
-            Some((_, CallerOutcome::Success(body))) if !is_answer_to(id, body) => {
+            Some((_, CallerOutcome::Success(body))) if !is_complete_answer(id, body) => {
                 let start: String = body.chars().take(60).collect();
-                find("own whole answer", format!("{id} got {} bytes: {start}", body.len()));
+                report("own whole answer", format!("{id} got {} bytes: {start}", body.len()));
             }
             Some((_, CallerOutcome::Success(_))) if runs == 0 => {
-                find("own whole answer", format!("{id} succeeded and never ran"));
+                report("own whole answer", format!("{id} succeeded and never ran"));
             }
             Some((_, CallerOutcome::NotRun)) if runs > 0 && !record.is_idempotent => {
-                find("not run means not run", format!("{id} ran at {:?}", record.runs));
+                report("not run means not run", format!("{id} ran at {:?}", record.runs));
             }
             Some((at, CallerOutcome::Cut)) if runs > 0 && self.was_cut_by_stop(record, *at) => {
-                find("shutdown cuts off nothing", format!("{id} at entry {}", record.entry));
+                report("shutdown cuts off nothing", format!("{id} at entry {}", record.entry));
             }
             _ => {}
         }
         for (upstream, at) in &record.runs {
-            let Some(left) = self.left.get(upstream) else { continue };
-            let late = at.saturating_duration_since(*left);
-            let sent_late = record.sent > *left + DRAIN_LIMIT;
-            if late > DRAIN_LIMIT && sent_late && !self.was_disturbed(record.entry, *left, *at) {
-                find("no work after leaving", format!("{id} at {upstream} {late:?} later"));
+            let Some(drained) = self.drained.get(upstream) else { continue };
+            let late = at.saturating_duration_since(*drained);
+            let was_sent_late = record.sent > *drained + DRAIN_LIMIT;
+            if late > DRAIN_LIMIT
+                && was_sent_late
+                && !self.was_disturbed(record.entry, *drained, *at)
+            {
+                report("no work after leaving", format!("{id} at {upstream} {late:?} later"));
             }
         }
         findings
     }
 
-    /// Whether a request was cut off around a shutdown of its entry, with nothing else wrong.
+    /// Whether a request was cut off by a shutdown of its entry, without any other fault.
     fn was_cut_by_stop(&self, record: &RequestRecord, at: Instant) -> bool {
         let is_stopped = |(entry, stop): &(usize, Instant)| {
             *entry == record.entry && *stop >= record.sent && *stop <= at
         };
-        let upstreams_well =
+        let upstreams_healthy =
             !self.upstream_faults.iter().any(|(from, until)| *from <= at && *until >= record.sent);
         self.stops.iter().any(is_stopped)
-            && upstreams_well
+            && upstreams_healthy
             && !self.was_disturbed(record.entry, record.sent, at)
     }
 }
 
-/// The body that an upstream answers a request with, padded to a length.
+/// Returns the body of an upstream's answer to a request, padded to a length.
 #[must_use]
-pub(crate) fn answer_to(id: &str, length: usize) -> String {
+pub(crate) fn answer_body(id: &str, length: usize) -> String {
     let mut body = format!("{id} {length} ");
-    let missing = length.saturating_sub(body.len() + 1);
-    body.extend(std::iter::repeat_n('.', missing));
+    let padding = length.saturating_sub(body.len() + 1);
+    body.extend(std::iter::repeat_n('.', padding));
     body.push('!');
     body
 }
 
-fn is_answer_to(id: &str, body: &str) -> bool {
+fn is_complete_answer(id: &str, body: &str) -> bool {
     let mut words = body.splitn(3, ' ');
     let length = words.nth(1).and_then(|length| length.parse().ok());
-    body.starts_with(id) && length.is_some_and(|length| body == answer_to(id, length))
+    body.starts_with(id) && length.is_some_and(|length| body == answer_body(id, length))
 }
--- a/crates/pulleyd/src/connection/caller_listener.rs
+++ b/crates/pulleyd/src/connection/caller_listener.rs
@@ -23,33 +23,35 @@
 use crate::process::TimerSubscription;
 use crate::request::{FirstArrival, RequestForwarder, TrafficContext, TrafficCounters};
 
-/// What binding returns.
+/// The result of binding the listener.
 type Result<T> = std::result::Result<T, io::Error>;
 
-/// How long accepting pauses after it failed, so that a lack of descriptors is no busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, so that a lack of file descriptors causes no busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a caller's connection is quiet before the system asks whether it is still there.
-const KEEPALIVE_QUIET: Duration = Duration::from_secs(30);
+/// How long a caller's connection is idle before the operating system sends keepalive probes.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(30);
 
-/// How long sent bytes may stay unacknowledged by a caller.
+/// How long sent bytes may stay unacknowledged by a caller before the connection is closed.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(30);
 
-/// How often an HTTP/2 caller is asked whether it is still there, and how long it may take.
+/// Interval of HTTP/2 keepalive pings to a caller, and the timeout for each answer.
 const PING_PERIOD: Duration = Duration::from_secs(20);
 
-/// Requests at once on one HTTP/2 connection; a caller with more opens another one.
+/// Maximum concurrent requests on one HTTP/2 connection. A caller with more opens another one.
 const STREAM_LIMIT: u32 = 256;
 
-/// Connections beyond the limit that still get an answer, as a part of the limit: an eighth.
-const REFUSED_PART: usize = 8;
+/// Divides the connection limit to give the number of connections beyond it that still get a
+/// refusal as their answer: one eighth.
+const REFUSAL_MARGIN_DIVISOR: usize = 8;
 
-/// How a drain has ended.
+/// The result of draining the callers' connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Callers' connections that were cut off.
+    /// Number of callers' connections that were closed by force.
     pub connections: usize,
-    /// Requests in progress that were cut off; above 0 the process should end with a failure.
+    /// Number of requests in progress that were aborted. If it is above 0, the process should exit
+    /// with a failure.
     pub requests: usize,
 }
 
@@ -63,8 +65,8 @@
 /// let report = listener.serve(first_signal, grace).await;
 /// ```
 ///
-/// Before the shutdown signal the host should already be not ready for long enough that the
-/// platform's balancer has taken notice; [`Self::serve_until`] also ends early on a second signal.
+/// Before the shutdown signal, the host should report not ready for long enough that the platform's
+/// balancer has noticed. [`Self::serve_until`] also ends early on a second signal.
 #[derive(Debug)]
 pub struct CallerListener {
     listener: TcpListener,
@@ -72,34 +74,34 @@
 }
 
 impl CallerListener {
-    /// Binds to an address; port 0 lets the system choose.
+    /// Binds to an address. With port 0 the operating system chooses the port.
     ///
     /// # Errors
-    /// The operating system's, if the address cannot be bound.
+    /// The operating system's error if the address cannot be bound.
     pub async fn bind(address: SocketAddr, context: Arc<TrafficContext>) -> Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener, context })
     }
 
-    /// The address it listens on.
+    /// Returns the address it listens on.
     ///
     /// # Errors
-    /// The operating system's.
+    /// The operating system's error if it cannot report the address.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves callers until `shutdown` is ready, then finishes what is in flight for at most
+    /// Serves callers until `shutdown` is ready, then finishes requests in flight for at most
     /// `grace`.
     pub async fn serve(self, shutdown: impl Future<Output = ()>, grace: Duration) -> DrainReport {
         self.serve_until(shutdown, grace, std::future::pending()).await
     }
 
-    /// Serves callers until `shutdown` is ready, then finishes what is in flight for at most
-    /// `grace` and only until `cut` is ready.
+    /// Serves callers until `shutdown` is ready, then finishes requests in flight until `grace` has
+    /// passed or `cut` is ready.
     ///
-    /// After the signal nothing new is accepted, HTTP/2 callers get GOAWAY and HTTP/1.1 ones
-    /// `Connection: close`. What is left in the end is cut off, counted and logged.
+    /// After the signal no new connection is accepted. HTTP/2 callers get GOAWAY and HTTP/1.1
+    /// callers `Connection: close`. Whatever remains at the end is aborted, counted and logged.
     pub async fn serve_until(
         self,
         shutdown: impl Future<Output = ()>,
@@ -107,49 +109,50 @@
         cut: impl Future<Output = ()>,
     ) -> DrainReport {
         let Self { listener, context } = self;
-        let callers = CallerSet::new(Arc::clone(&context));
-        let upkeep = tokio::spawn(Arc::clone(&context.connections).run());
+        let connections = CallerConnections::new(Arc::clone(&context));
+        let maintenance = tokio::spawn(Arc::clone(&context.connections).run());
         let mut shutdown = pin!(shutdown);
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, peer)) => callers.serve(stream, peer),
+                    Ok((stream, peer)) => connections.serve(stream, peer),
                     Err(fault) => pause_accepting(&context, &fault).await,
                 },
                 () = &mut shutdown => break,
             }
         }
-        // What the system has accepted on our behalf would be reset if the listener just closed.
+        // Connections in the accept backlog would be reset if the listener just closed.
         while let Some(Ok((stream, peer))) = listener.accept().now_or_never() {
-            callers.serve(stream, peer);
+            connections.serve(stream, peer);
         }
         drop(listener);
-        let report = callers.drain(grace, cut).await;
-        upkeep.abort();
+        let report = connections.drain(grace, cut).await;
+        maintenance.abort();
         report
     }
 }
 
 /// The callers' connections of one listener.
-struct CallerSet {
+struct CallerConnections {
     context: Arc<TrafficContext>,
     graceful: GracefulShutdown,
-    tasks: Arc<CallerTasks>,
+    tasks: Arc<ConnectionTasks>,
 }
 
-/// The tasks of the callers' connections, for cutting them off.
+/// The tasks of the callers' connections, kept so that they can be aborted.
 #[derive(Default)]
-struct CallerTasks {
+struct ConnectionTasks {
     running: Mutex<FastMap<u64, AbortHandle>>,
     next_number: AtomicU64,
 }
 
-impl CallerTasks {
+impl ConnectionTasks {
     /// Spawns a connection's task and keeps its handle until it ends.
     fn spawn(self: &Arc<Self>, work: impl Future<Output = ()> + Send + 'static) {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let tasks = Arc::clone(self);
-        // Held while spawning, so that a task that ends at once does not end before it is noted.
+        // The lock is held while spawning, so that a task that ends at once cannot remove its
+        // handle before it was inserted.
         let mut running = self.running.lock();
         let task = tokio::spawn(async move {
             work.await;
@@ -158,26 +161,27 @@
         running.insert(number, task.abort_handle());
     }
 
-    fn cut_off(&self) {
+    fn abort_all(&self) {
         self.running.lock().values().for_each(AbortHandle::abort);
     }
 }
 
-impl CallerSet {
+impl CallerConnections {
     fn new(context: Arc<TrafficContext>) -> Self {
         Self { context, graceful: GracefulShutdown::new(), tasks: Arc::default() }
     }
 
-    /// Serves one connection, or refuses its first request if the process is at its limit.
+    /// Serves one connection, or refuses its requests if the process is at its connection limit.
     ///
-    /// Load it is for: callers that reconnect all at once after a network fault. Each connection
-    /// costs memory; past the limit a refusal as not run costs the caller one round trip, where
-    /// accepting it could cost all callers their process. Far past it even that is too much, and
-    /// the connection is closed unanswered.
+    /// Load: callers that all reconnect at once after a network fault. Each connection costs
+    /// memory. Beyond the limit, a refusal with the verdict "not run" costs the caller one round
+    /// trip, while serving it could exhaust the memory of the process that all callers use. Far
+    /// beyond the limit even a refusal costs too much, and the connection is closed without an
+    /// answer.
     fn serve(&self, stream: TcpStream, peer: SocketAddr) {
         let limit = self.context.limits.caller_connections;
-        let seat = ConnectionSeat::take(&self.context.counters);
-        if seat.before >= limit + limit / REFUSED_PART {
+        let guard = ConnectionGuard::acquire(&self.context.counters);
+        if guard.open_before >= limit + limit / REFUSAL_MARGIN_DIVISOR {
             TrafficCounters::add(&self.context.counters.callers_refused);
             return;
         }
@@ -186,11 +190,11 @@
             return;
         }
         let mut forwarder = RequestForwarder::new(Arc::clone(&self.context)).with_caller(peer.ip());
-        if seat.before >= limit {
+        if guard.open_before >= limit {
             TrafficCounters::add(&self.context.counters.callers_refused);
             forwarder = forwarder.refusing_all();
         }
-        self.spawn(stream, peer, forwarder, seat);
+        self.spawn(stream, peer, forwarder, guard);
     }
 
     fn spawn(
@@ -198,7 +202,7 @@
         stream: TcpStream,
         peer: SocketAddr,
         forwarder: RequestForwarder,
-        seat: ConnectionSeat,
+        guard: ConnectionGuard,
     ) {
         let arrival = forwarder.arrival();
         let header_timeout = self.context.header_timeout();
@@ -206,10 +210,12 @@
         let connection = builder.serve_connection(TokioIo::new(stream), forwarder).into_owned();
         let watched = self.graceful.watch(connection);
         let logger = self.context.logger.clone();
-        let first_limit = self.context.timer.after(header_timeout);
+        let first_timeout = self.context.timer.after(header_timeout);
         self.tasks.spawn(async move {
-            let _seat = seat;
-            if let Some(Err(fault)) = until_first_limit(watched, first_limit, arrival).await {
+            let _guard = guard;
+            if let Some(Err(fault)) =
+                with_first_request_timeout(watched, first_timeout, arrival).await
+            {
                 debug!(logger, "caller-connection-ended"; "peer" => %peer, "error" => %fault);
             }
         });
@@ -226,78 +232,81 @@
         if !ended {
             report.connections = context.counters.caller_connections.load(Ordering::Relaxed);
         }
-        // A keyed request goes on after its caller has left, so it is waited for as well.
-        report.requests = remaining_requests(&context, deadline, ended).await;
-        tasks.cut_off();
+        // A request with an idempotency key continues after its caller has disconnected, so the
+        // drain waits for it as well.
+        report.requests = wait_for_requests(&context, deadline, ended).await;
+        tasks.abort_all();
         info!(context.logger, "callers-drained";
             "cut_connections" => report.connections, "cut_requests" => report.requests);
         report
     }
 }
 
-/// Runs a connection; `None` if its caller connected and then sent no request in time.
+/// Runs a connection. Returns `None` if its caller sent no request before the timeout.
 ///
-/// Without this a caller that says nothing would hold its connection for good: the library's limit
-/// on headers begins with their first byte.
-async fn until_first_limit<C: Future>(
+/// Without this timeout a caller that sends nothing would hold its connection forever, because the
+/// HTTP library's header timeout starts with the first byte of the headers.
+async fn with_first_request_timeout<C: Future>(
     connection: C,
-    first_limit: TimerSubscription,
+    first_timeout: TimerSubscription,
     arrival: FirstArrival,
 ) -> Option<C::Output> {
     let mut connection = pin!(connection);
-    let mut first_limit = Some(first_limit);
+    let mut first_timeout = Some(first_timeout);
     poll_fn(|context| {
         if let Poll::Ready(ended) = connection.as_mut().poll(context) {
             return Poll::Ready(Some(ended));
         }
         if arrival.has_come() {
-            first_limit = None;
+            first_timeout = None;
         }
-        let Some(limit) = &mut first_limit else { return Poll::Pending };
+        let Some(limit) = &mut first_timeout else { return Poll::Pending };
         Pin::new(limit).poll(context).map(|_| None)
     })
     .await
 }
 
-/// Waits for requests that go on without their callers; counts what is left in the end.
-async fn remaining_requests(
+/// Waits for requests that continue without their callers. Returns how many remain in the end.
+async fn wait_for_requests(
     context: &TrafficContext,
     deadline: pulley_core::Moment,
     may_wait: bool,
 ) -> usize {
-    /// How often the count is looked at.
-    const LOOK_PERIOD: Duration = Duration::from_millis(10);
+    /// How often the number of requests is read.
+    const POLL_PERIOD: Duration = Duration::from_millis(10);
 
     loop {
         let requests = context.counters.in_progress.load(Ordering::Relaxed);
         if requests == 0 || !may_wait || context.clock.now() >= deadline {
             return requests;
         }
-        let _ = context.timer.after(LOOK_PERIOD).await;
+        let _ = context.timer.after(POLL_PERIOD).await;
     }
 }
 
-/// A caller's connection among those counted.
-struct ConnectionSeat {
+/// Counts one caller's connection for as long as it is held.
+struct ConnectionGuard {
     counters: Arc<TrafficCounters>,
-    before: usize,
+    open_before: usize,
 }
 
-impl ConnectionSeat {
-    fn take(counters: &Arc<TrafficCounters>) -> Self {
-        let before = counters.caller_connections.fetch_add(1, Ordering::Relaxed);
-        Self { counters: Arc::clone(counters), before }
+impl ConnectionGuard {
+    fn acquire(counters: &Arc<TrafficCounters>) -> Self {
+        let open_before = counters.caller_connections.fetch_add(1, Ordering::Relaxed);
+        Self { counters: Arc::clone(counters), open_before }
     }
 }
 
-impl Drop for ConnectionSeat {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.counters.caller_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The library's limit on headers is the process's own. It holds for as long as the connection, and
-/// the plan in force, which may allow less, is another by then: that is looked at with each request.
+/// Builds the HTTP server with the process's limit on headers.
+///
+/// This limit applies for the whole life of a connection. The plan in force may allow less and can
+/// change during that time, so its limit is checked with each request.
 fn server_builder(header_bytes: u64, header_timeout: Duration) -> auto::Builder<TokioExecutor> {
     let header_list = u32::try_from(header_bytes).unwrap_or(u32::MAX);
     let header_bytes = usize::try_from(header_bytes).unwrap_or(usize::MAX);
@@ -306,7 +315,8 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
-        // Up to the limit the answer is our own with its verdict; beyond twice it, the library's.
+        // Between the limit and twice the limit, this process refuses with a verdict. Beyond that,
+        // the HTTP library answers.
         .max_buf_size(header_bytes.saturating_mul(2).max(16 * 1024));
     builder
         .http2()
@@ -318,11 +328,11 @@
     builder
 }
 
-/// Lets the system notice callers that are gone without a word.
+/// Makes the operating system detect callers that vanished without closing the connection.
 fn set_options(stream: &TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_QUIET))?;
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE))?;
     #[cfg(target_os = "linux")]
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
     Ok(())
@@ -330,5 +340,5 @@
 
 async fn pause_accepting(context: &TrafficContext, fault: &io::Error) {
     warn!(context.logger, "accept-failed"; "error" => %fault);
-    let _ = context.timer.after(ACCEPT_PAUSE).await;
+    let _ = context.timer.after(ACCEPT_RETRY_DELAY).await;
 }
--- a/crates/pulleyd/src/connection/peer_datagrams.rs
+++ b/crates/pulleyd/src/connection/peer_datagrams.rs
@@ -1,4 +1,4 @@
-//! Authenticated datagrams between hosts, for messages of which only the latest matters.
+//! Authenticated UDP datagrams between hosts, for messages of which only the latest matters.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,42 +16,43 @@
 use super::peer_frame::{DATAGRAM_LIMIT, FrameClass, InboundDatagram};
 use super::peer_key_ring::KeyRing;
 
-/// The first byte of every datagram; a later format gets another.
-const FORMAT: u8 = 1;
+/// The first byte of a datagram that carries one message. A later format would use another value.
+const SINGLE_FORMAT: u8 = 1;
 /// The first byte of a datagram that carries several messages.
 const BUNDLE_FORMAT: u8 = 2;
-/// Class and length before each message of a bundle.
-const PART_HEADER: usize = 3;
-/// The tag's length: HMAC-SHA256 cut to half, as RFC 2104 section 5 allows.
+/// Bytes of the class and length that precede each message of a bundle.
+const PART_HEADER_LENGTH: usize = 3;
+/// Length of the tag: HMAC-SHA256 truncated to half, as RFC 2104 section 5 allows.
 const TAG_LENGTH: usize = 16;
-/// What tells a datagram's tag from a link's proof under the same key.
-const CONTEXT: &[u8] = b"datagram";
-/// Format, class, length of the sender's name, the longest name, and the tag.
-const OVERHEAD: usize = 3 + 64 + TAG_LENGTH;
-/// How many datagrams are read before other tasks of the control thread get their turn.
+/// Domain separator between the tags of datagrams and the proofs of links under the same key.
+const TAG_CONTEXT: &[u8] = b"datagram";
+/// Maximum bytes around a body: format, class, length of the sender's name, the longest name, and
+/// the tag.
+const MAX_OVERHEAD: usize = 3 + 64 + TAG_LENGTH;
+/// Number of datagrams to read before yielding to other tasks of the control thread.
 const READ_BURST: usize = 64;
 
-/// How many datagrams went which way.
+/// Numbers of datagrams sent, received and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DatagramCounts {
-    /// Sent.
+    /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent, without the headers of UDP and IP.
     pub sent_bytes: u64,
-    /// Not sent: too large, or the socket's buffer was full.
+    /// Datagrams not sent, because they were too large or the socket's buffer was full.
     pub unsent: u64,
-    /// Received and genuine.
+    /// Datagrams received with a valid tag.
     pub received: u64,
-    /// Bytes received in genuine datagrams, without the headers of UDP and IP.
+    /// Bytes received in datagrams with a valid tag, without the headers of UDP and IP.
     pub received_bytes: u64,
-    /// Received, but malformed or with a wrong tag.
+    /// Datagrams received that were malformed or had a wrong tag.
     pub refused: u64,
-    /// Genuine, but dropped as the control thread was behind.
+    /// Messages with a valid tag that were dropped because the control thread's queue was full.
     pub dropped: u64,
 }
 
 #[derive(Debug, Default)]
-struct Counters {
+struct DatagramCounters {
     sent: AtomicU64,
     sent_bytes: AtomicU64,
     unsent: AtomicU64,
@@ -63,18 +64,19 @@
 
 /// The UDP socket of one host.
 ///
-/// Gossip and counts go this way: the latest message replaces earlier ones, so nothing is gained by
-/// waiting for a lost one behind a connection that has gone silent.
+/// Gossip and counts use datagrams. The latest message replaces earlier ones, so retransmitting a
+/// lost one over a connection that has gone silent would gain nothing.
 #[derive(Debug)]
 pub struct PeerDatagrams {
     socket: Arc<UdpSocket>,
     seal: DatagramSeal,
-    counters: Arc<Counters>,
+    counters: Arc<DatagramCounters>,
     reader: JoinHandle<()>,
 }
 
 impl PeerDatagrams {
-    /// Binds the socket and passes on what comes in; must be called within a tokio runtime.
+    /// Binds the socket and forwards received messages to `inbound`. Must be called within a tokio
+    /// runtime.
     ///
     /// # Errors
     /// If the address can't be bound.
@@ -84,50 +86,50 @@
         inbound: mpsc::Sender<InboundDatagram>,
     ) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind(listen).await?);
-        // Until the socket is known to take datagrams, every send would drop its own.
+        // Until the runtime knows that the socket is writable, every send would drop its datagram.
         socket.writable().await?;
-        let counters = Arc::new(Counters::default());
-        let reader = read_all(Arc::clone(&socket), seal.clone(), Arc::clone(&counters), inbound);
+        let counters = Arc::new(DatagramCounters::default());
+        let reader = receive_all(Arc::clone(&socket), seal.clone(), Arc::clone(&counters), inbound);
         let reader = tokio::spawn(reader);
         Ok(Self { socket, seal, counters, reader })
     }
 
-    /// The address bound.
+    /// Returns the bound address.
     ///
     /// # Errors
-    /// If the operating system can't tell.
+    /// If the operating system cannot report it.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     #[expect(
         clippy::must_use_candidate,
-        reason = "a lost datagram is no error: a later one follows"
+        reason = "a lost datagram is no error, as a later one follows"
     )]
-    /// Sends a message, or drops it if the socket takes none now; returns whether it was sent.
+    /// Sends a message, or drops it if the socket's buffer is full. Returns whether it was sent.
     pub fn send(&self, to: SocketAddr, class: FrameClass, body: &[u8]) -> bool {
         let sealed = (body.len() <= DATAGRAM_LIMIT).then(|| self.seal.seal(class, body));
         let sent = sealed.and_then(|datagram| self.socket.try_send_to(&datagram, to).ok());
-        self.note_sent(sent)
+        self.record_sent(sent)
     }
 
     /// Sends messages to one host, in one datagram if they fit.
     ///
-    /// Each datagram wakes both hosts and carries headers, a name and a tag of its own, which is
-    /// more than what is in it where little happens.
+    /// Each datagram wakes up both hosts and carries its own headers, name and tag. On a mostly
+    /// idle system that overhead is larger than the messages themselves.
     pub fn send_all(&self, to: SocketAddr, parts: &[(FrameClass, Bytes)]) {
-        let length: usize = parts.iter().map(|(_, body)| PART_HEADER + body.len()).sum();
+        let length: usize = parts.iter().map(|(_, body)| PART_HEADER_LENGTH + body.len()).sum();
         if parts.len() < 2 || length > DATAGRAM_LIMIT {
             for (class, body) in parts {
                 self.send(to, *class, body);
             }
             return;
         }
-        let sent = self.socket.try_send_to(&self.seal.seal_all(parts), to);
-        self.note_sent(sent.ok());
+        let sent = self.socket.try_send_to(&self.seal.seal_bundle(parts), to);
+        self.record_sent(sent.ok());
     }
 
-    fn note_sent(&self, length: Option<usize>) -> bool {
+    fn record_sent(&self, length: Option<usize>) -> bool {
         let Some(length) = length else {
             self.counters.unsent.fetch_add(1, Ordering::Relaxed);
             return false;
@@ -137,7 +139,7 @@
         true
     }
 
-    /// How many datagrams went which way so far.
+    /// Returns the numbers of datagrams so far.
     #[must_use]
     pub fn counts(&self) -> DatagramCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -159,7 +161,7 @@
     }
 }
 
-/// Puts the sender's name and a tag on datagrams, and takes them off.
+/// Adds the sender's name and an authentication tag to datagrams, and verifies and removes them.
 #[derive(Clone, Debug)]
 pub struct DatagramSeal {
     host: HostId,
@@ -168,53 +170,53 @@
 }
 
 impl DatagramSeal {
-    /// Makes the seal of one host.
+    /// Creates the seal of one host.
     #[must_use]
     pub fn new(host: HostId, cluster: ClusterId, key_ring: KeyRing) -> Self {
         Self { host, cluster, key_ring }
     }
 
-    /// Makes a datagram: format, class, the sender's name, the body, and a tag over all of it and
-    /// the installation's name.
+    /// Encodes a datagram of one message: format, class, the sender's name, the body, and a tag
+    /// over all of these and the name of the installation.
     #[must_use]
     pub fn seal(&self, class: FrameClass, body: &[u8]) -> Vec<u8> {
-        self.sealed([FORMAT, class as u8], body)
+        self.encode([SINGLE_FORMAT, class as u8], body)
     }
 
-    /// Makes a datagram of several messages; each has its class and length before it.
+    /// Encodes a datagram of several messages, each preceded by its class and length.
     #[must_use]
-    pub fn seal_all(&self, parts: &[(FrameClass, Bytes)]) -> Vec<u8> {
+    pub fn seal_bundle(&self, parts: &[(FrameClass, Bytes)]) -> Vec<u8> {
         let mut bundle = Vec::new();
         for (class, body) in parts {
             bundle.push(*class as u8);
             bundle.extend_from_slice(&(body.len() as u16).to_be_bytes());
             bundle.extend_from_slice(body);
         }
-        self.sealed([BUNDLE_FORMAT, 0], &bundle)
+        self.encode([BUNDLE_FORMAT, 0], &bundle)
     }
 
-    fn sealed(&self, [format, class]: [u8; 2], body: &[u8]) -> Vec<u8> {
+    fn encode(&self, [format, class]: [u8; 2], body: &[u8]) -> Vec<u8> {
         let name = self.host.as_str().as_bytes();
-        let mut datagram = Vec::with_capacity(OVERHEAD + body.len());
+        let mut datagram = Vec::with_capacity(MAX_OVERHEAD + body.len());
         datagram.extend_from_slice(&[format, class, name.len() as u8]);
         datagram.extend_from_slice(name);
         datagram.extend_from_slice(body);
-        let tag = self.key_ring.sign(&[CONTEXT, self.cluster.as_str().as_bytes(), &datagram]);
+        let tag = self.key_ring.sign(&[TAG_CONTEXT, self.cluster.as_str().as_bytes(), &datagram]);
         datagram.extend_from_slice(&tag[..TAG_LENGTH]);
         datagram
     }
 
-    /// Checks a datagram and takes it apart into its messages; nothing of it is looked at before
-    /// its tag. One message that cannot be read makes all of them unreadable.
+    /// Verifies a datagram and splits it into its messages. The tag is verified before anything
+    /// else is parsed. If one message cannot be read, the whole datagram is rejected.
     #[must_use]
     pub fn open(&self, datagram: &[u8]) -> Option<(HostId, Vec<(FrameClass, Bytes)>)> {
         let length = datagram.len().checked_sub(TAG_LENGTH)?;
-        if datagram.len() > DATAGRAM_LIMIT + OVERHEAD {
+        if datagram.len() > DATAGRAM_LIMIT + MAX_OVERHEAD {
             return None;
         }
         let (signed, tag) = datagram.split_at(length);
         let cluster = self.cluster.as_str().as_bytes();
-        if !self.key_ring.verify(&[CONTEXT, cluster, signed], tag) {
+        if !self.key_ring.verify(&[TAG_CONTEXT, cluster, signed], tag) {
             return None;
         }
         let [format, class, name_length, rest @ ..] = signed else {
@@ -223,7 +225,7 @@
         let (name, body) = rest.split_at_checked(usize::from(*name_length))?;
         let host = std::str::from_utf8(name).ok()?.parse().ok()?;
         let parts = match *format {
-            FORMAT => vec![(class_of(*class)?, Bytes::copy_from_slice(body))],
+            SINGLE_FORMAT => vec![(parse_class(*class)?, Bytes::copy_from_slice(body))],
             BUNDLE_FORMAT => open_bundle(body)?,
             _ => return None,
         };
@@ -231,7 +233,7 @@
     }
 }
 
-fn class_of(byte: u8) -> Option<FrameClass> {
+fn parse_class(byte: u8) -> Option<FrameClass> {
     FrameClass::try_from(u16::from(byte)).ok()
 }
 
@@ -240,23 +242,24 @@
     while let [class, high, low, rest @ ..] = bundle {
         let length = usize::from(u16::from_be_bytes([*high, *low]));
         let (body, next) = rest.split_at_checked(length)?;
-        parts.push((class_of(*class)?, Bytes::copy_from_slice(body)));
+        parts.push((parse_class(*class)?, Bytes::copy_from_slice(body)));
         bundle = next;
     }
     bundle.is_empty().then_some(parts)
 }
 
-async fn read_all(
+async fn receive_all(
     socket: Arc<UdpSocket>,
     seal: DatagramSeal,
-    counters: Arc<Counters>,
+    counters: Arc<DatagramCounters>,
     inbound: mpsc::Sender<InboundDatagram>,
 ) {
-    // One byte more than the largest, so that a larger one shows instead of being cut to size.
-    let mut buffer = vec![0_u8; DATAGRAM_LIMIT + OVERHEAD + 1];
+    // One byte more than the largest datagram, so that a larger one is detected instead of being
+    // truncated to a valid size.
+    let mut buffer = vec![0_u8; DATAGRAM_LIMIT + MAX_OVERHEAD + 1];
     let mut burst = 0;
     while !inbound.is_closed() {
-        // An error here is a peer's refused port, reported by ICMP: it concerns no other peer.
+        // An error here is a peer's closed port, reported by ICMP. It does not affect other peers.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             tokio::task::yield_now().await;
             continue;
--- a/crates/pulleyd/src/connection/peer_links.rs
+++ b/crates/pulleyd/src/connection/peer_links.rs
@@ -1,4 +1,4 @@
-//! The links of one host to others, over capnp-rpc.
+//! The links of one host to other hosts, over capnp-rpc.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,35 +16,37 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::peer_frame::{FRAME_LIMIT, FrameClass, InboundFrame};
-use super::peer_gate::{CallerActivity, GateContext, LinkGate};
-use super::peer_link_caller::{LinkCaller, LinkCounters, add, rpc_system};
+use super::peer_gate::{GateContext, LinkGate, PeerActivity};
 use super::peer_link_queue::{LinkQueue, QueuedFrame};
 use super::peer_link_settings::LinkSettings;
+use super::peer_outbound_link::{LinkCounters, OutboundLink, add, rpc_system};
 
-/// How many accepted connections may be open: each other host's, and as many that it replaces.
-const ACCEPT_LIMIT: usize = 2_048;
-/// How long a caller may take to prove itself.
-const PROOF_LIMIT: Duration = Duration::from_secs(2);
-/// After how many silent heartbeat intervals an accepted connection is closed. Its caller gives up
-/// sooner; this frees what a host left behind that vanished without closing.
-const SILENCE_FACTOR: u32 = 10;
+/// Maximum number of open accepted connections: one for each other host, and as many that are being
+/// replaced.
+const MAX_ACCEPTED_CONNECTIONS: usize = 2_048;
+/// Timeout for the authentication of a peer that connects.
+const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of heartbeat intervals without a call after which an accepted connection is closed. The
+/// peer that opened it gives up sooner. This frees the connections of hosts that vanished without
+/// closing them.
+const SILENCE_INTERVALS: u32 = 10;
 
-/// How the links of one host fared.
+/// Counters of the links of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LinkCounts {
     /// Links opened.
     pub opened: u64,
-    /// Links replaced because they had fallen silent.
+    /// Links replaced because they had gone silent.
     pub silent: u64,
-    /// Links that failed otherwise, or could not be opened.
+    /// Links that failed for other reasons, or could not be opened.
     pub failed: u64,
     /// Frames sent.
     pub frames: u64,
-    /// Bytes of their bodies.
+    /// Bytes of the bodies of these frames.
     pub bytes: u64,
-    /// Bytes of everything sent over links, answers and heartbeats included, without TCP's headers.
+    /// All bytes sent over links, including answers and heartbeats, without the headers of TCP.
     pub wire_bytes: u64,
-    /// Frames dropped from a queue.
+    /// Frames dropped because a queue was full or its link failed.
     pub dropped: u64,
 }
 
@@ -52,7 +54,7 @@
 struct LinkHandle {
     address: SocketAddr,
     queue: Rc<LinkQueue>,
-    linked: Rc<Cell<bool>>,
+    is_connected: Rc<Cell<bool>>,
     task: JoinHandle<()>,
 }
 
@@ -62,11 +64,11 @@
     }
 }
 
-/// The links of one host; they live on the control thread's `LocalSet`.
+/// The links of one host. They run on the control thread's `LocalSet`.
 ///
-/// Each host opens its own link to whom it sends to, when it first does; answers come over the
-/// other host's link. Frames of one link arrive in order; frames that were under way when a link
-/// failed are lost.
+/// A host opens its own link to each host it sends to, with the first frame. Replies come over the
+/// other host's link. Frames of one link arrive in order. Frames in flight when a link fails are
+/// lost.
 #[derive(Debug)]
 pub struct PeerLinks {
     settings: Rc<LinkSettings>,
@@ -78,8 +80,8 @@
 }
 
 impl PeerLinks {
-    /// Listens, and passes on the frames that authenticated hosts send. Must be called within a
-    /// `LocalSet`.
+    /// Starts to listen, and forwards the frames of authenticated hosts to `inbound`. Must be
+    /// called within a `LocalSet`.
     ///
     /// # Errors
     /// If the address can't be bound.
@@ -97,11 +99,11 @@
             inbound,
         };
         let counters = Rc::<LinkCounters>::default();
-        let silence = settings.heartbeat * SILENCE_FACTOR;
+        let silence_limit = settings.heartbeat * SILENCE_INTERVALS;
         let acceptor = tokio::task::spawn_local(accept_all(
             listener,
             Rc::new(context),
-            silence,
+            silence_limit,
             Rc::clone(&counters),
         ));
         Ok(Self {
@@ -114,13 +116,13 @@
         })
     }
 
-    /// The address that other hosts call.
+    /// Returns the address to which other hosts connect.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Notes where a host is; a link to another address of it is given up.
+    /// Sets the address of a host. A link to a former address of it is closed.
     pub fn set_address(&mut self, host: &HostId, address: SocketAddr) {
         self.addresses.insert(host.clone(), address);
         let mut links = self.links.borrow_mut();
@@ -129,14 +131,15 @@
         }
     }
 
-    /// Forgets a host that has gone, and gives up the link to it.
+    /// Removes a departed host, and closes the link to it.
     pub fn forget(&mut self, host: &HostId) {
         self.addresses.remove(host);
         self.links.borrow_mut().remove(host);
     }
 
-    /// Sends a frame, opening a link if there is none. Returns false if the frame was dropped: the
-    /// host's address is unknown, its queue is full, or the body is larger than [`FRAME_LIMIT`].
+    /// Queues a frame for a host, and opens a link if there is none. Returns false if the frame was
+    /// dropped because the host's address is unknown, its queue is full, or the body is larger than
+    /// [`FRAME_LIMIT`].
     pub fn send(&self, host: &HostId, class: FrameClass, body: Bytes) -> bool {
         let Some(address) = self.addresses.get(host).filter(|_| body.len() <= FRAME_LIMIT) else {
             return false;
@@ -144,27 +147,27 @@
         let mut links = self.links.borrow_mut();
         let open = links.get(host).is_some_and(|link| !link.task.is_finished());
         if !open {
-            links.insert(host.clone(), self.call(host, *address));
+            links.insert(host.clone(), self.open_link(host, *address));
         }
-        let taken =
+        let queued =
             links.get(host).is_some_and(|link| link.queue.push(QueuedFrame { class, body }));
-        if !taken {
+        if !queued {
             add(&self.counters.dropped, 1);
         }
-        taken
+        queued
     }
 
-    /// The hosts to which a link is open and proved.
+    /// Returns the hosts to which a link is open and authenticated.
     #[must_use]
-    pub fn linked(&self) -> Vec<HostId> {
+    pub fn connected_hosts(&self) -> Vec<HostId> {
         let links = self.links.borrow();
-        let open = links.iter().filter(|(_, link)| link.linked.get());
+        let open = links.iter().filter(|(_, link)| link.is_connected.get());
         let mut hosts: Vec<HostId> = open.map(|(host, _)| host.clone()).collect();
         hosts.sort();
         hosts
     }
 
-    /// How the links fared so far.
+    /// Returns the counters so far.
     #[must_use]
     pub fn counts(&self) -> LinkCounts {
         LinkCounts {
@@ -178,20 +181,20 @@
         }
     }
 
-    fn call(&self, host: &HostId, address: SocketAddr) -> LinkHandle {
+    fn open_link(&self, host: &HostId, address: SocketAddr) -> LinkHandle {
         let settings = Rc::clone(&self.settings);
         let queue = Rc::new(LinkQueue::new(settings.queue_frames, settings.queue_bytes));
-        let linked = Rc::new(Cell::new(false));
-        let caller = LinkCaller {
+        let is_connected = Rc::new(Cell::new(false));
+        let link = OutboundLink {
             settings,
             peer: host.clone(),
             address,
             queue: Rc::clone(&queue),
-            linked: Rc::clone(&linked),
+            is_connected: Rc::clone(&is_connected),
             counters: Rc::clone(&self.counters),
         };
-        let task = tokio::task::spawn_local(caller.run());
-        LinkHandle { address, queue, linked, task }
+        let task = tokio::task::spawn_local(link.run());
+        LinkHandle { address, queue, is_connected, task }
     }
 }
 
@@ -201,57 +204,58 @@
     }
 }
 
-/// Accepts connections; all of them end with this task.
+/// Accepts connections. All of them are closed when this task ends.
 async fn accept_all(
     listener: TcpListener,
     context: Rc<GateContext>,
-    silence: Duration,
+    silence_limit: Duration,
     counters: Rc<LinkCounters>,
 ) {
-    const PAUSE: Duration = Duration::from_millis(50);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
-        // Out of file descriptors: trying again at once would only spin.
+        // A typical cause is a lack of file descriptors. Retrying at once would be a busy loop.
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if connections.len() < ACCEPT_LIMIT && stream.set_nodelay(true).is_ok() {
-            connections.spawn_local(serve_caller(
+        if connections.len() < MAX_ACCEPTED_CONNECTIONS && stream.set_nodelay(true).is_ok() {
+            connections.spawn_local(serve_peer(
                 stream,
                 Rc::clone(&context),
-                silence,
+                silence_limit,
                 Rc::clone(&counters),
             ));
         }
     }
 }
 
-/// Serves one caller until it closes, proves nothing in time, or falls silent.
-async fn serve_caller(
+/// Serves one accepted connection until its peer closes it, fails to authenticate in time, or goes
+/// silent.
+async fn serve_peer(
     stream: TcpStream,
     context: Rc<GateContext>,
-    silence: Duration,
+    silence_limit: Duration,
     counters: Rc<LinkCounters>,
 ) {
-    let activity = Rc::new(CallerActivity::new());
+    let activity = Rc::new(PeerActivity::new());
     let gate: gate::Client = capnp_rpc::new_client(LinkGate::new(context, Rc::clone(&activity)));
     let system = rpc_system(stream, Side::Server, Some(gate.client), counters);
     tokio::select! {
         _ = system => {}
-        () = watch(&activity, silence) => {}
+        () = wait_until_silent(&activity, silence_limit) => {}
     }
 }
 
-/// Ends when a caller has not proved itself in time or has been silent for too long.
-async fn watch(activity: &CallerActivity, silence: Duration) {
-    tokio::time::sleep(PROOF_LIMIT).await;
-    while activity.has_entered() {
-        let quiet = activity.last().elapsed();
-        if quiet >= silence {
+/// Returns when the peer has not authenticated itself in time or has been silent for too long.
+async fn wait_until_silent(activity: &PeerActivity, silence_limit: Duration) {
+    tokio::time::sleep(AUTHENTICATION_TIMEOUT).await;
+    while activity.is_authenticated() {
+        let quiet = activity.last_seen().elapsed();
+        if quiet >= silence_limit {
             return;
         }
-        tokio::time::sleep(silence - quiet).await;
+        tokio::time::sleep(silence_limit - quiet).await;
     }
 }
--- a/crates/pulleyd/src/connection/peer_link_caller.rs
+++ b/crates/pulleyd/src/connection/peer_outbound_link.rs
@@ -1,4 +1,4 @@
-//! The side of a link that calls: connects, proves, delivers frames and watches for silence.
+//! The opening side of a link: connects, authenticates, delivers frames and detects silent links.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,40 +21,41 @@
 use tokio_util::io::InspectWriter;
 
 use super::peer_frame::FRAME_LIMIT;
-use super::peer_gate::{LinkNonces, LinkProof, NONCE_LENGTH, ProofSide};
+use super::peer_gate::{HandshakeRole, LinkNonces, LinkProof, NONCE_LENGTH};
 use super::peer_link_queue::{BATCH_BYTES, LinkQueue, QueuedFrame};
 use super::peer_link_settings::LinkSettings;
 
-/// How many calls may be unanswered before frames wait in the queue instead.
-const CALL_WINDOW: usize = 16;
-/// How many heartbeats may go unanswered until the link is replaced.
-const MISSED_LIMIT: u32 = 2;
-/// The slowest that a link is taken to be, in bytes a second: heartbeats wait behind what is on it.
-const SLOWEST_LINK: usize = 128 << 10;
-/// The longest that heartbeats may wait for what is on the link, before they count as unanswered.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// How long connecting and proving may take together.
-const ENTRY_LIMIT: Duration = Duration::from_secs(2);
-/// The first pause after a failure to connect; it doubles up to the last.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause: a host that is back is found again within a second.
-const LAST_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum number of unanswered calls. Beyond it, frames wait in the queue.
+const MAX_CALLS_IN_FLIGHT: usize = 16;
+/// Number of heartbeats that may stay unanswered before the link is replaced.
+const MISSED_HEARTBEAT_LIMIT: u32 = 2;
+/// The lowest assumed rate of a link, in bytes per second. Heartbeats are delayed by the bytes sent
+/// ahead of them.
+const SLOWEST_LINK_RATE: usize = 128 << 10;
+/// Maximum time that heartbeats may be delayed by bytes in flight before they count as unanswered.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(10);
+/// Timeout for connecting and authenticating together.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after the first failure to connect. It doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay, so that a host that is back is reached within a second.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Why a link ended.
 #[derive(Debug, Error)]
 pub(crate) enum LinkEnd {
-    /// Nothing was sent for long.
+    /// No frame was sent for longer than the idle limit.
     #[error("idle")]
     Idle,
-    /// Heartbeats went unanswered, though the connection is open.
+    /// Heartbeats stayed unanswered although the connection is open.
     #[error("silent")]
     Silent,
-    /// No connection within the limit.
-    #[error("no entry in time")]
+    /// Connecting and authenticating took too long.
+    #[error("connecting or authenticating took too long")]
     Timeout,
-    /// The other side's proof is wrong, or it is another host.
-    #[error("the other side is not who it should be")]
-    Impostor,
+    /// The peer's proof is wrong, or the peer is another host.
+    #[error("the peer could not be authenticated as the expected host")]
+    PeerMismatch,
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -80,27 +81,28 @@
     counter.set(counter.get() + count as u64);
 }
 
-/// What calling one host needs.
+/// The link that this host opens to one peer.
 #[derive(Debug)]
-pub(crate) struct LinkCaller {
+pub(crate) struct OutboundLink {
     pub(crate) settings: Rc<LinkSettings>,
     pub(crate) peer: HostId,
     pub(crate) address: SocketAddr,
     pub(crate) queue: Rc<LinkQueue>,
-    pub(crate) linked: Rc<Cell<bool>>,
+    pub(crate) is_connected: Rc<Cell<bool>>,
     pub(crate) counters: Rc<LinkCounters>,
 }
 
-/// Options for messages read from a connection: bounded, as they are read before any proof.
+/// Options for messages read from a connection. Their size is bounded, as they are read before the
+/// peer is authenticated.
 pub(crate) fn reader_options() -> ReaderOptions {
     const WORD: usize = 8;
     let mut options = ReaderOptions::new();
-    // A batch is at most its byte limit and one frame more; the rest is room for pointers.
+    // A batch is at most its byte limit plus one frame. The rest leaves room for pointers.
     options.traversal_limit_in_words(Some((FRAME_LIMIT + 4 * BATCH_BYTES) / WORD));
     options
 }
 
-/// Makes the RPC system of one connection, and counts the bytes that it sends.
+/// Creates the RPC system of one connection and counts the bytes that it sends.
 pub(crate) fn rpc_system(
     stream: TcpStream,
     side: Side,
@@ -117,7 +119,7 @@
     RpcSystem::new(Box::new(network), bootstrap)
 }
 
-/// Ends a task when dropped, and with it its connection.
+/// Aborts a task when dropped, which closes the connection that the task owns.
 struct TaskGuard(JoinHandle<()>);
 
 impl Drop for TaskGuard {
@@ -126,28 +128,28 @@
     }
 }
 
-/// A link whose two sides have proved themselves.
+/// A link whose two sides have authenticated each other.
 struct OpenLink {
     session: session::Client,
     _system: TaskGuard,
 }
 
-impl LinkCaller {
-    /// Keeps the link going until it is idle: a new connection follows each failed one.
+impl OutboundLink {
+    /// Keeps the link connected until it is idle. A failed connection is replaced by a new one.
     pub(crate) async fn run(self) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let idle = self.settings.idle_limit;
-            if timeout(idle, self.queue.filled()).await.is_err() {
+            if timeout(idle, self.queue.wait_for_frame()).await.is_err() {
                 return;
             }
-            let ended = match timeout(ENTRY_LIMIT, self.open()).await {
+            let ended = match timeout(HANDSHAKE_TIMEOUT, self.open()).await {
                 Ok(Ok(link)) => {
-                    pause = FIRST_PAUSE;
+                    backoff = INITIAL_BACKOFF;
                     add(&self.counters.opened, 1);
-                    self.linked.set(true);
+                    self.is_connected.set(true);
                     let ended = self.serve(&link).await;
-                    self.linked.set(false);
+                    self.is_connected.set(false);
                     ended
                 }
                 Ok(Err(ended)) => ended,
@@ -158,11 +160,11 @@
                 LinkEnd::Silent => add(&self.counters.silent, 1),
                 _ => add(&self.counters.failed, 1),
             }
-            // Frames for a host that can't be reached are stale when it can: whoever sent them
-            // sends the present state again.
+            // Frames for an unreachable host are stale once it is reachable again. Their senders
+            // then send the current state.
             add(&self.counters.dropped, self.queue.clear());
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LAST_PAUSE);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
@@ -171,10 +173,10 @@
         let mut system = rpc_system(stream, Side::Client, None, Rc::clone(&self.counters));
         let gate: gate::Client = system.bootstrap(Side::Server);
         let system = TaskGuard(tokio::task::spawn_local(async move {
-            // The calls on the link fail when it does; they report it.
+            // If the connection fails, the calls on the link fail as well and report the error.
             let _ = system.await;
         }));
-        let session = self.enter(&gate).await?;
+        let session = self.authenticate(&gate).await?;
         Ok(OpenLink { session, _system: system })
     }
 
@@ -189,61 +191,62 @@
         Ok(stream)
     }
 
-    /// Proves the own host and checks the other's proof, before a frame goes out.
-    async fn enter(&self, gate: &gate::Client) -> Result<session::Client, LinkEnd> {
+    /// Authenticates this host to the peer and the peer to this host, before any frame is sent.
+    async fn authenticate(&self, gate: &gate::Client) -> Result<session::Client, LinkEnd> {
         let settings = &self.settings;
         let challenge = gate.challenge_request().send().promise.await?;
-        let called: [u8; NONCE_LENGTH] =
-            challenge.get()?.get_nonce()?.try_into().map_err(|_| LinkEnd::Impostor)?;
-        let nonces = LinkNonces { caller: rand::random(), called };
+        let responder: [u8; NONCE_LENGTH] =
+            challenge.get()?.get_nonce()?.try_into().map_err(|_| LinkEnd::PeerMismatch)?;
+        let nonces = LinkNonces { initiator: rand::random(), responder };
         let (cluster, host, process) =
             (&settings.cluster, settings.host.as_str(), settings.process);
-        let ours = LinkProof { side: ProofSide::Caller, cluster, host, process, nonces };
+        let ours = LinkProof { role: HandshakeRole::Initiator, cluster, host, process, nonces };
         let mut request = gate.enter_request();
         let mut hello = request.get().init_hello();
         hello.set_cluster(cluster.as_str());
         hello.set_host(host);
         hello.set_process(process);
-        hello.set_nonce(&nonces.caller);
+        hello.set_nonce(&nonces.initiator);
         hello.set_proof(&ours.sign(&settings.key_ring));
         let response = request.send().promise.await?;
         let accepted = response.get()?.get_accepted()?;
-        let host = accepted.get_host()?.to_str().map_err(|_| LinkEnd::Impostor)?;
+        let host = accepted.get_host()?.to_str().map_err(|_| LinkEnd::PeerMismatch)?;
         let process = accepted.get_process();
-        let theirs = LinkProof { side: ProofSide::Called, cluster, host, process, nonces };
+        let theirs = LinkProof { role: HandshakeRole::Responder, cluster, host, process, nonces };
         let genuine = theirs.verify(&settings.key_ring, accepted.get_proof()?);
         if !genuine || host != self.peer.as_str() {
-            return Err(LinkEnd::Impostor);
+            return Err(LinkEnd::PeerMismatch);
         }
         Ok(accepted.get_session()?)
     }
 
-    /// Delivers frames until the link is idle, fails, or falls silent.
+    /// Delivers frames until the link is idle, fails, or goes silent.
     ///
-    /// Something between two hosts may lose track of a connection: TCP then calls it open for many
-    /// minutes and everything written to it vanishes. Every answer shows that the link lives; if
-    /// two heartbeats stay unanswered it is given up, and the next frame opens a new one. A large
-    /// frame on a slow link holds heartbeats up, so they have longer while it is under way.
+    /// A network device between two hosts may lose track of a connection. TCP then reports it as
+    /// open for many minutes, and everything written to it is lost. Every answer shows that the
+    /// link works. If two heartbeats stay unanswered, the link is closed, and the next frame opens
+    /// a new one. A large frame on a slow link delays heartbeats, so they get more time while it is
+    /// in flight.
     async fn serve(&self, link: &OpenLink) -> LinkEnd {
         let heartbeat = self.settings.heartbeat;
         let mut calls = FuturesUnordered::new();
         let mut ticker = interval_at(Instant::now() + heartbeat, heartbeat);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let (mut heard, mut missed, mut beat) = (true, 0, 0);
-        let mut under_way = 0;
+        let (mut answered, mut missed, mut sequence) = (true, 0, 0);
+        let mut in_flight = 0;
         let mut last_frame = Instant::now();
         loop {
             tokio::select! {
-                () = self.queue.filled(), if calls.len() < CALL_WINDOW => {
+                () = self.queue.wait_for_frame(), if calls.len() < MAX_CALLS_IN_FLIGHT => {
                     last_frame = Instant::now();
                     let (bytes, answer) = self.deliver(link);
-                    under_way += bytes;
+                    in_flight += bytes;
                     calls.push(answer);
                 }
                 Some(answer) = calls.next() => match answer {
                     Ok(bytes) => {
-                        under_way -= bytes;
-                        heard = true;
+                        in_flight -= bytes;
+                        answered = true;
                     }
                     Err(error) => return LinkEnd::Call(error),
                 },
@@ -251,19 +254,20 @@
                     if last_frame.elapsed() >= self.settings.idle_limit {
                         return LinkEnd::Idle;
                     }
-                    missed = if heard { 0 } else { missed + 1 };
-                    if missed > MISSED_LIMIT + beats_behind(under_way, heartbeat) {
+                    missed = if answered { 0 } else { missed + 1 };
+                    if missed > MISSED_HEARTBEAT_LIMIT + delayed_heartbeats(in_flight, heartbeat) {
                         return LinkEnd::Silent;
                     }
-                    heard = false;
-                    beat += 1;
-                    calls.push(send_heartbeat(link, beat));
+                    answered = false;
+                    sequence += 1;
+                    calls.push(send_heartbeat(link, sequence));
                 }
             }
         }
     }
 
-    /// Sends the next frames; gives their bytes, and again with the answer.
+    /// Sends the next batch of frames. Returns its size in bytes, and the answer, which resolves to
+    /// the same size.
     fn deliver(&self, link: &OpenLink) -> (usize, Promise<usize, capnp::Error>) {
         let batch = self.queue.take_batch();
         let bytes: usize = batch.iter().map(|frame| frame.body.len()).sum();
@@ -271,8 +275,8 @@
         add(&self.counters.bytes, bytes);
         let mut request = link.session.deliver_request();
         let mut frames = request.get().init_frames(u32::try_from(batch.len()).unwrap_or(0));
-        for (place, QueuedFrame { class, body }) in (0..).zip(&batch) {
-            let mut frame = frames.reborrow().get(place);
+        for (index, QueuedFrame { class, body }) in (0..).zip(&batch) {
+            let mut frame = frames.reborrow().get(index);
             frame.set_class(*class);
             frame.set_body(body);
         }
@@ -281,14 +285,15 @@
     }
 }
 
-/// How many heartbeats may wait behind bytes that are under way.
-fn beats_behind(bytes: usize, heartbeat: Duration) -> u32 {
-    let wait = Duration::from_secs_f64(bytes as f64 / SLOWEST_LINK as f64).min(LONGEST_WAIT);
-    let beats = wait.as_nanos() / heartbeat.as_nanos().max(1);
-    u32::try_from(beats).unwrap_or(u32::MAX / 2)
+/// Returns the number of heartbeats that the bytes in flight may delay.
+fn delayed_heartbeats(bytes: usize, heartbeat: Duration) -> u32 {
+    let wait =
+        Duration::from_secs_f64(bytes as f64 / SLOWEST_LINK_RATE as f64).min(MAX_HEARTBEAT_DELAY);
+    let heartbeats = wait.as_nanos() / heartbeat.as_nanos().max(1);
+    u32::try_from(heartbeats).unwrap_or(u32::MAX / 2)
 }
 
-/// Asks for a sign of life; none of the bytes under way are its own.
+/// Sends a heartbeat. Its answer resolves to 0, as heartbeats are not counted as bytes in flight.
 fn send_heartbeat(link: &OpenLink, sequence: u64) -> Promise<usize, capnp::Error> {
     let mut request = link.session.heartbeat_request();
     request.get().set_sequence(sequence);
--- a/crates/pulleyd/src/connection/upstream_links.rs
+++ b/crates/pulleyd/src/connection/upstream_links.rs
@@ -16,44 +16,44 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-use super::upstream_link::LinkSeat;
+use super::upstream_link::LinkRegistration;
 use super::{LinkFault, MeteredStream, Unused, UpstreamLink};
 use crate::process::{ProcessClock, TimerService};
 use crate::request::RequestBody;
 
-/// What opening a connection gives.
+/// The result of opening a connection.
 type Result<T> = std::result::Result<T, LinkFault>;
 
 type RequestSender = http1::SendRequest<RequestBody>;
 
-/// How long sent bytes may stay unacknowledged before the system gives the connection up.
+/// How long sent bytes may stay unacknowledged before the operating system closes the connection.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long a connection is quiet before the system probes whether the other end still knows it.
-const KEEPALIVE_QUIET: Duration = Duration::from_secs(5);
+/// How long a connection is idle before the operating system sends keepalive probes.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 
-/// How far apart those probes are; three unanswered ones end the connection.
-const KEEPALIVE_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between keepalive probes. Three unanswered ones close the connection.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long after an upstream's last request a spare connection to it is kept ready.
 ///
-/// A spare saves a growing load a millisecond. Kept for longer, entries with few requests open more
-/// connections than they have requests: each costs its upstream the same millisecond, and most are
-/// closed again unused.
-const WARM_SPAN: Duration = Duration::from_millis(100);
+/// While load grows, a spare saves a request one millisecond. With a longer span, entries with few
+/// requests would open more connections than they have requests. Each costs its upstream the same
+/// millisecond, and most would be closed unused.
+const SPARE_SPAN: Duration = Duration::from_millis(100);
 
-/// How long a connection given back may take to be ready again. It is ready within microseconds
+/// How long a returned connection may take to be ready again. It is ready within microseconds
 /// unless the machine is busy, or the upstream answered before it had read the whole request.
-const READY_LIMIT: Duration = Duration::from_millis(100);
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long setting up a connection may take. It takes a millisecond or two between zones, 50 ms
-/// between regions; one whose first packet was lost or dropped comes a second later at the earliest,
-/// and the request, of which nothing has left yet, is answered sooner by another upstream.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout for opening a connection. Opening takes 1 to 2 ms between zones and 50 ms between
+/// regions. If the first packet is lost, TCP retransmits it after a second at the earliest. Nothing
+/// of the request has been sent by then, so another upstream answers it sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Bytes that are read at once, and so the most that an answer's head may have; common servers send
-/// heads of up to 8 KiB. Whatever is read makes room for as much to come in at the link's full rate,
-/// past any pace.
+/// Bytes read at once, which is also the maximum size of an answer's head. Common servers send
+/// heads of up to 8 KiB. Each read frees space for as many bytes to arrive at the link's full rate,
+/// ahead of any rate limit, so the buffer is not larger.
 const READ_BUFFER: usize = 16 * 1_024;
 
 /// The connections of this process to one upstream.
@@ -69,19 +69,19 @@
 struct LinksState {
     book: ConnectionBook,
     idle: FastMap<LinkNumber, IdleLink>,
-    /// The most connections that are of use at once.
+    /// Maximum number of connections that are useful at the same time.
     useful: usize,
     last_used: Moment,
-    /// The upstream is gone or has moved; connections given back are closed.
+    /// Whether the upstream is gone or has moved. Returned connections are then closed.
     closed: bool,
 }
 
-/// An open connection that waits for a request. It must never be dropped under the lock: its seat
-/// takes the lock to sign off.
+/// An open connection that waits for a request. It must never be dropped while the lock is held, as
+/// dropping its registration takes the lock.
 #[derive(Debug)]
 struct IdleLink {
     sender: RequestSender,
-    seat: LinkSeat,
+    registration: LinkRegistration,
 }
 
 impl UpstreamLinks {
@@ -96,7 +96,8 @@
         Self { address, clock, timer, state: Mutex::new(state) }
     }
 
-    /// Sets the share of the upstream's connections and how many are of use at once.
+    /// Sets this entry's share of the upstream's connections, and how many are useful at the same
+    /// time.
     pub(super) fn set_share(&self, connections: u32, live_entries: u32, useful: usize) {
         let mut state = self.state.lock();
         state.book.set_share(connections, live_entries);
@@ -114,63 +115,63 @@
             let number = match choice {
                 CheckoutChoice::Full => return Err(LinkFault::ShareInUse),
                 CheckoutChoice::Open(number) | CheckoutChoice::Replace { open: number, .. } => {
-                    let seat = LinkSeat::new(Arc::clone(self), number);
-                    // Boxed, as a connection is rare and its future large.
-                    return Box::pin(self.connect(seat, deadline)).await;
+                    let registration = LinkRegistration::new(Arc::clone(self), number);
+                    // Boxed, because its future is large and connections are opened rarely.
+                    return Box::pin(self.connect(registration, deadline)).await;
                 }
                 CheckoutChoice::Reuse(number) => number,
             };
             if let Some(spare) = spare {
-                self.open_spare(spare);
+                self.connect_spare(spare);
             }
             let Some(idle) = reused else {
                 self.forget(number);
                 continue;
             };
-            // One that closed since it was put back takes no request; the next is tried.
+            // A connection that closed while idle accepts no request, so the next one is tried.
             if idle.sender.is_ready() {
-                let IdleLink { sender, seat } = idle;
-                return Ok(UpstreamLink::new(sender, seat));
+                let IdleLink { sender, registration } = idle;
+                return Ok(UpstreamLink::new(sender, registration));
             }
         }
     }
 
-    /// Opens a spare connection when none is left idle, so that the next request of a growing load
-    /// does not wait a millisecond for its connection.
-    pub(super) fn keep_spare(self: &Arc<Self>) {
+    /// Opens a spare connection if none is idle. While load grows, the next request then does not
+    /// wait a millisecond for a new connection.
+    pub(super) fn ensure_spare(self: &Arc<Self>) {
         let number = {
             let mut state = self.state.lock();
             let useful = state.useful;
             state.book.open_spare(self.clock.now(), useful)
         };
         if let Some(number) = number {
-            self.open_spare(number);
+            self.connect_spare(number);
         }
     }
 
-    fn open_spare(self: &Arc<Self>, number: LinkNumber) {
-        let seat = LinkSeat::new(Arc::clone(self), number);
+    fn connect_spare(self: &Arc<Self>, number: LinkNumber) {
+        let registration = LinkRegistration::new(Arc::clone(self), number);
         let links = Arc::clone(self);
         tokio::spawn(async move {
-            let deadline = links.clock.now() + CONNECT_LIMIT;
-            if let Ok(link) = links.connect(seat, deadline).await {
-                let UpstreamLink { sender, seat, .. } = link;
-                links.put_back(sender, seat);
+            let deadline = links.clock.now() + CONNECT_TIMEOUT;
+            if let Ok(link) = links.connect(registration, deadline).await {
+                let UpstreamLink { sender, registration, .. } = link;
+                links.put_back(sender, registration);
             }
         });
     }
 
-    /// Whether a request has used the upstream so lately that a spare connection is of use.
-    pub(super) fn is_warm(&self) -> bool {
-        self.clock.now().since(self.state.lock().last_used) <= WARM_SPAN
+    /// Whether the last request to the upstream was so recent that a spare connection is useful.
+    pub(super) fn was_used_recently(&self) -> bool {
+        self.clock.now().since(self.state.lock().last_used) <= SPARE_SPAN
     }
 
-    pub(super) fn put_back(&self, sender: RequestSender, seat: LinkSeat) {
+    pub(super) fn put_back(&self, sender: RequestSender, registration: LinkRegistration) {
         let surplus = {
             let mut state = self.state.lock();
-            let number = seat.number;
+            let number = registration.number;
             let closed = state.closed || sender.is_closed();
-            let idle = IdleLink { sender, seat };
+            let idle = IdleLink { sender, registration };
             if closed || state.book.put_back(self.clock.now(), number) == ReturnChoice::Close {
                 Some(idle)
             } else {
@@ -180,16 +181,21 @@
         drop(surplus);
     }
 
-    /// Puts a connection back once it is ready for another request.
+    /// Returns a connection to the idle ones once it is ready for another request.
     ///
-    /// Its task may not yet have seen the end of the answer that was read here. Put back at once,
-    /// the next request would wait for that task, and on a busy machine longer than a new
-    /// connection takes, while other idle ones are ready.
-    pub(super) fn put_back_later(self: Arc<Self>, mut sender: RequestSender, seat: LinkSeat) {
+    /// The connection's task may not yet have processed the end of the answer that was read here.
+    /// If the connection were returned at once, the next request would wait for that task. On a
+    /// busy machine this takes longer than opening a new connection, while other idle ones are
+    /// ready.
+    pub(super) fn put_back_when_ready(
+        self: Arc<Self>,
+        mut sender: RequestSender,
+        registration: LinkRegistration,
+    ) {
         tokio::spawn(async move {
-            let limit = self.clock.now() + READY_LIMIT;
+            let limit = self.clock.now() + READY_TIMEOUT;
             if let Some(Ok(())) = self.timer.limit(limit, sender.ready()).await {
-                self.put_back(sender, seat);
+                self.put_back(sender, registration);
             }
         });
     }
@@ -211,7 +217,7 @@
         self.close_idle(|book| book.expire(now));
     }
 
-    /// Closes all idle connections, because the upstream is gone.
+    /// Closes all idle connections, because the upstream is gone or has moved.
     pub(super) fn close(&self) {
         let idle = {
             let mut state = self.state.lock();
@@ -233,22 +239,23 @@
         self.state.lock().book.open_links()
     }
 
-    /// Chooses a connection; also the one that leaves the idle set by it, and a spare to open.
+    /// Chooses a connection. Also returns the idle connection that the choice removes, and the
+    /// number of a spare connection to open.
     fn choose(&self, safety: WorkSafety) -> (CheckoutChoice, Option<IdleLink>, Option<LinkNumber>) {
         let mut state = self.state.lock();
         let now = self.clock.now();
-        let is_warm = now.since(state.last_used) <= WARM_SPAN;
+        let was_used_recently = now.since(state.last_used) <= SPARE_SPAN;
         state.last_used = now;
         let choice = state.book.checkout(now, safety);
-        let leaving = match choice {
+        let removed = match choice {
             CheckoutChoice::Reuse(number) => state.idle.remove(&number),
             CheckoutChoice::Replace { close, .. } => state.idle.remove(&close),
             CheckoutChoice::Open(_) | CheckoutChoice::Full => None,
         };
         let is_reuse = matches!(choice, CheckoutChoice::Reuse(_));
-        let useful = if is_reuse && is_warm { state.useful } else { 0 };
+        let useful = if is_reuse && was_used_recently { state.useful } else { 0 };
         let spare = state.book.open_spare(now, useful);
-        (choice, leaving, spare)
+        (choice, removed, spare)
     }
 
     fn close_idle(&self, choose: impl FnOnce(&mut ConnectionBook) -> Vec<LinkNumber>) {
@@ -262,21 +269,22 @@
 
     async fn connect(
         self: &Arc<Self>,
-        mut seat: LinkSeat,
+        mut registration: LinkRegistration,
         deadline: Moment,
     ) -> Result<UpstreamLink<Unused>> {
-        let limit = deadline.min(self.clock.now() + CONNECT_LIMIT);
+        let limit = deadline.min(self.clock.now() + CONNECT_TIMEOUT);
         let connected = self.timer.limit(limit, TcpStream::connect(self.address)).await;
         let stream = connected.ok_or(LinkFault::ConnectTimeout)?.map_err(LinkFault::Unreachable)?;
         set_options(&stream).map_err(LinkFault::Unreachable)?;
-        let stream = TokioIo::new(MeteredStream::new(stream, seat.meter.clone()));
+        let stream = TokioIo::new(MeteredStream::new(stream, registration.meter.clone()));
         let mut builder = http1::Builder::new();
         let handshake = builder.max_buf_size(READ_BUFFER).handshake(stream).await;
         let (sender, connection) = handshake.map_err(|_| LinkFault::ClosedUnsent)?;
         let links: Weak<Self> = Arc::downgrade(self);
-        let (number, ended) = (seat.number, Arc::clone(&seat.ended));
+        let (number, ended) = (registration.number, Arc::clone(&registration.ended));
         let driver = tokio::spawn(async move {
-            // How it ended shows at the sender; here it only must not stay in the idle set.
+            // Errors are reported through the sender. Here the connection only has to leave the
+            // idle set.
             let _ = connection.await;
             ended.notify_one();
             if let Some(links) = links.upgrade() {
@@ -284,19 +292,20 @@
                 drop(closed);
             }
         });
-        seat.driver = Some(driver.abort_handle());
+        registration.driver = Some(driver.abort_handle());
         self.prove(number);
-        Ok(UpstreamLink::new(sender, seat))
+        Ok(UpstreamLink::new(sender, registration))
     }
 }
 
-/// Lets the system notice a silent connection: data nobody acknowledges, probes nobody answers.
+/// Makes the operating system detect a silent connection, by unacknowledged data and by unanswered
+/// keepalive probes.
 fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_QUIET)
-        .with_interval(KEEPALIVE_PAUSE)
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(3);
     socket.set_tcp_keepalive(&keepalive)?;
     #[cfg(target_os = "linux")]
