--- a/crates/pulleyctl/src/command_line.rs
+++ b/crates/pulleyctl/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Reads what the operator typed.
+//! Parses the command line.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,39 +12,40 @@
 use pulley_core::version::{AuditFilter, ConfigVersion, ZoneUpload, ZoneUse};
 use smol_str::SmolStr;
 
-/// Time for a whole answer when the operator names none; a host itself gives up after 5 s.
+/// Default time for a complete answer. It is longer than the 5 s after which a host itself gives
+/// up.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// From when on an answer is late when the operator names no time.
+/// Default time after which an answer counts as late.
 const DEFAULT_LATE: Duration = Duration::from_secs(1);
 
-/// Audit records shown when the operator names no limit.
+/// Default number of audit records to show.
 const DEFAULT_LIMIT: u32 = 50;
 
-/// Where the hosts' operator listener is by default.
+/// Default address of a host's operator listener.
 const DEFAULT_SERVER: &str = "127.0.0.1:8082";
 
-/// Why there is nothing to carry out.
+/// Why there is no command to execute.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum UsageEnd {
+pub(crate) enum EarlyExit {
     /// The operator asked for the help text or the version.
     Text(String),
-    /// Every fault of the command line.
+    /// All faults of the command line.
     Faults(Vec<String>),
 }
 
-/// A change as the operator asks for it.
+/// The arguments of `sheet apply`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct ApplyOrder {
+pub(crate) struct ApplyOptions {
     /// The sheet's file.
     pub(crate) file: PathBuf,
-    /// The version it is based on; the one in force if absent.
+    /// The version that the change is based on; the one in force if absent.
     pub(crate) expect: Option<ConfigVersion>,
-    /// The version that the operator gives the sheet.
+    /// The version to give the sheet.
     pub(crate) given: Option<ConfigVersion>,
-    /// The id of an earlier try; a new one is made if absent.
+    /// The change id of an earlier attempt; a new one is generated if absent.
     pub(crate) change_id: Option<ChangeId>,
-    /// Who asks.
+    /// The operator's name for the audit trail.
     pub(crate) actor: ActorName,
 }
 
@@ -52,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     SheetCheck(PathBuf),
-    SheetApply(ApplyOrder),
+    SheetApply(ApplyOptions),
     SheetShow,
     Status,
     Upstreams,
@@ -61,15 +62,15 @@
     ReplicaAdd(HostId),
     ReplicaRemove(MemberId),
     ReplicaList,
-    /// Empties a zone or takes it back.
+    /// Evacuates or restores a zone.
     ZoneOrder(ZoneUpload),
     ZoneList,
-    /// What became of a request, by the log files of some hosts.
+    /// Prints what became of a request, from hosts' log files.
     Explain {
         id: String,
         files: Vec<PathBuf>,
     },
-    /// When and why requests were late or refused, by the log files of some hosts.
+    /// Summarizes late and refused requests from hosts' log files.
     Summarize {
         late: Duration,
         as_csv: bool,
@@ -77,39 +78,39 @@
     },
 }
 
-/// A checked command line.
+/// A parsed and valid command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CommandLine {
-    /// Hosts to try, in this order.
+    /// The hosts to try, in this order.
     pub(crate) servers: Vec<SocketAddr>,
     /// The file whose first line is the key.
     pub(crate) secret_file: Option<PathBuf>,
-    /// Longest wait for a whole answer.
+    /// Longest wait for a complete answer.
     pub(crate) timeout: Duration,
     /// Whether to print JSON.
     pub(crate) json: bool,
-    /// What to do.
+    /// The command to execute.
     pub(crate) command: Command,
 }
 
 impl CommandLine {
-    /// Reads arguments and environment; a flag wins over its variable.
+    /// Parses arguments and environment; a flag takes precedence over its variable.
     pub(crate) fn parse(
         args: impl IntoIterator<Item = String>,
         env: impl IntoIterator<Item = (String, String)>,
-    ) -> Result<Self, UsageEnd> {
+    ) -> Result<Self, EarlyExit> {
         let args: Vec<String> = args.into_iter().collect();
         let options = options();
         let matches =
-            options.parse(&args).map_err(|fault| UsageEnd::Faults(vec![fault.to_string()]))?;
+            options.parse(&args).map_err(|fault| EarlyExit::Faults(vec![fault.to_string()]))?;
         if matches.opt_present("help") {
-            return Err(UsageEnd::Text(options.usage(BRIEF)));
+            return Err(EarlyExit::Text(options.usage(USAGE)));
         }
         if matches.opt_present("version") {
-            return Err(UsageEnd::Text(format!("pulleyctl {}", env!("CARGO_PKG_VERSION"))));
+            return Err(EarlyExit::Text(format!("pulleyctl {}", env!("CARGO_PKG_VERSION"))));
         }
         let env = env.into_iter().collect();
-        let mut reader = LineReader { matches, env, faults: Vec::new() };
+        let mut reader = ArgumentReader { matches, env, faults: Vec::new() };
         let servers = reader.servers();
         let secret_file = reader.text("secret-file", Some("PULLEYCTL_SECRET_FILE"));
         let timeout = reader.duration("timeout").unwrap_or(DEFAULT_TIMEOUT);
@@ -122,12 +123,12 @@
                 json: reader.matches.opt_present("json"),
                 command,
             }),
-            _ => Err(UsageEnd::Faults(reader.faults)),
+            _ => Err(EarlyExit::Faults(reader.faults)),
         }
     }
 }
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 Usage: pulleyctl [FLAGS] COMMAND
 
 Commands:
@@ -175,19 +176,19 @@
     options
 }
 
-struct LineReader {
+struct ArgumentReader {
     matches: Matches,
     env: BTreeMap<String, String>,
     faults: Vec<String>,
 }
 
-impl LineReader {
+impl ArgumentReader {
     fn command(&mut self) -> Option<Command> {
         let words = self.matches.free.clone();
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         match words[..] {
             ["sheet", "check", file] => Some(Command::SheetCheck(PathBuf::from(file))),
-            ["sheet", "apply", file] => self.apply_order(file).map(Command::SheetApply),
+            ["sheet", "apply", file] => self.apply_options(file).map(Command::SheetApply),
             ["sheet", "show"] => Some(Command::SheetShow),
             ["status"] => Some(Command::Status),
             ["upstreams"] => Some(Command::Upstreams),
@@ -215,30 +216,30 @@
         }
     }
 
-    fn apply_order(&mut self, file: &str) -> Option<ApplyOrder> {
-        let expect = self.option("expect");
-        let given = self.option("as-version");
-        let change_id = self.option("change-id");
-        // A resend has to be the same change. Based on whatever is in force by now, it would be
-        // another one under the same id.
+    fn apply_options(&mut self, file: &str) -> Option<ApplyOptions> {
+        let expect = self.parsed_flag("expect");
+        let given = self.parsed_flag("as-version");
+        let change_id = self.parsed_flag("change-id");
+        // A resend must be the same change. If it were based on the version now in force, it would
+        // be a different change with the same id.
         if change_id.is_some() && expect.is_none() && given.is_none() {
             self.faults
                 .push("--change-id needs the --expect or --as-version of the first try".to_owned());
         }
         let actor = self.actor()?;
-        Some(ApplyOrder { file: PathBuf::from(file), expect, given, change_id, actor })
+        Some(ApplyOptions { file: PathBuf::from(file), expect, given, change_id, actor })
     }
 
     fn zone_order(&mut self, zone: &str, zone_use: ZoneUse) -> Option<Command> {
         let zone = self.parsed("zone", zone)?;
         let actor = self.actor()?;
-        let given = self.option("change-id");
+        let given = self.parsed_flag("change-id");
         let change_id =
             given.or_else(|| format!("z-{:016x}", rand::random::<u64>()).parse().ok())?;
         Some(Command::ZoneOrder(ZoneUpload { change_id, actor, zone, zone_use }))
     }
 
-    /// Who asks.
+    /// Reads the operator's name.
     fn actor(&mut self) -> Option<ActorName> {
         let name = self.text("actor", Some("PULLEYCTL_ACTOR"));
         let Some(name) = name.or_else(|| self.env.get("USER").cloned()) else {
@@ -249,12 +250,12 @@
 
     fn audit_filter(&mut self) -> AuditFilter {
         AuditFilter {
-            since_unix_ms: self.moment("since"),
-            until_unix_ms: self.moment("until"),
-            actor: self.option("actor"),
-            change_id: self.option("change-id"),
+            since_unix_ms: self.unix_ms("since"),
+            until_unix_ms: self.unix_ms("until"),
+            actor: self.parsed_flag("actor"),
+            change_id: self.parsed_flag("change-id"),
             outcome: self.outcome(),
-            limit: self.option("limit").unwrap_or(DEFAULT_LIMIT),
+            limit: self.parsed_flag("limit").unwrap_or(DEFAULT_LIMIT),
         }
     }
 
@@ -281,18 +282,19 @@
         servers.into_iter().filter_map(|server| self.parsed("--server", server)).collect()
     }
 
-    /// Reads a time of day or how long ago it was, as milliseconds of Unix time.
-    fn moment(&mut self, flag: &str) -> Option<u64> {
+    /// Reads a time, given as a timestamp or as an age, and returns it in milliseconds of Unix
+    /// time.
+    fn unix_ms(&mut self, flag: &str) -> Option<u64> {
         let text = self.text(flag, None)?;
-        let ago = humantime::parse_duration(&text).ok();
-        let moment = ago.and_then(|ago| SystemTime::now().checked_sub(ago));
-        let moment = moment.or_else(|| humantime::parse_rfc3339_weak(&text).ok());
-        let Some(moment) = moment else {
+        let age = humantime::parse_duration(&text).ok();
+        let time = age.and_then(|age| SystemTime::now().checked_sub(age));
+        let time = time.or_else(|| humantime::parse_rfc3339_weak(&text).ok());
+        let Some(time) = time else {
             return self.fault(format!(
                 "--{flag}: {text:?} is not allowed; wanted: 2h, 30m or 2026-12-02T08:00:00Z"
             ));
         };
-        let elapsed = moment.duration_since(UNIX_EPOCH).unwrap_or_default();
+        let elapsed = time.duration_since(UNIX_EPOCH).unwrap_or_default();
         u64::try_from(elapsed.as_millis()).ok()
     }
 
@@ -304,7 +306,7 @@
         }
     }
 
-    fn option<T: FromStr<Err: std::fmt::Display>>(&mut self, flag: &str) -> Option<T> {
+    fn parsed_flag<T: FromStr<Err: std::fmt::Display>>(&mut self, flag: &str) -> Option<T> {
         let text = self.text(flag, None)?;
         self.parsed(&format!("--{flag}"), &text)
     }
--- a/crates/pulleyctl/src/commands.rs
+++ b/crates/pulleyctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out one command.
+//! Executes one command.
 
 use std::fmt::Display;
 use std::fs;
@@ -14,15 +14,15 @@
 };
 use serde_json::{Value, json};
 
-use crate::command_line::{ApplyOrder, Command, CommandLine};
+use crate::command_line::{ApplyOptions, Command, CommandLine};
 use crate::exit_outcome::ExitOutcome;
-use crate::log_story::LogStory;
 use crate::log_summary::LogSummary;
 use crate::operator_client::{ClientFault, HostAnswer, OperatorClient};
-use crate::printed_form;
+use crate::request_trace::RequestTrace;
+use crate::text_format;
 
-/// Carries out a checked command line.
-pub(crate) fn carry_out(line: &CommandLine) -> ExitOutcome {
+/// Executes a parsed command line.
+pub(crate) fn execute(line: &CommandLine) -> ExitOutcome {
     if let Command::SheetCheck(file) = &line.command {
         return check_sheet(file, line.json);
     }
@@ -32,7 +32,7 @@
     if let Command::Summarize { late, as_csv, files } = &line.command {
         return summarize(*late, *as_csv, files);
     }
-    let key = match key_of(line.secret_file.as_deref()) {
+    let key = match read_key(line.secret_file.as_deref()) {
         Ok(key) => key,
         Err(fault) => {
             eprintln!("{fault}");
@@ -42,52 +42,53 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("not done; no runtime: {error}");
+            eprintln!("not done; cannot start the runtime: {error}");
             return ExitOutcome::NotDone;
         }
     };
     let client = OperatorClient::new(&line.servers, &key, line.timeout);
-    runtime.block_on(ask_hosts(line, &client))
+    runtime.block_on(execute_on_hosts(line, &client))
 }
 
-async fn ask_hosts(line: &CommandLine, client: &OperatorClient<'_>) -> ExitOutcome {
+async fn execute_on_hosts(line: &CommandLine, client: &OperatorClient<'_>) -> ExitOutcome {
     let json = line.json;
     match &line.command {
         Command::SheetCheck(file) => check_sheet(file, json),
         Command::Explain { id, files } => explain(id, files),
         Command::Summarize { late, as_csv, files } => summarize(*late, *as_csv, files),
-        Command::SheetApply(order) => apply_sheet(client, order, json).await,
+        Command::SheetApply(options) => apply_sheet(client, options, json).await,
         Command::SheetShow => {
             show(client, "/v1/sheet", json, |body| {
                 let view: SheetView = serde_json::from_value(body.clone()).ok()?;
-                // The version goes beside the sheet, so that the output can be saved as a file.
+                // The version goes to standard error, so that standard output can be saved as a
+                // sheet file.
                 eprintln!("version {}", view.version);
                 Some(view.sheet.trim_end().to_owned())
             })
             .await
         }
         Command::Status => {
-            show(client, "/v1/status", json, |body| Some(printed_form::status(body))).await
+            show(client, "/v1/status", json, |body| Some(text_format::status(body))).await
         }
         Command::Upstreams => {
-            show(client, "/v1/upstreams", json, |body| Some(printed_form::upstreams(body))).await
+            show(client, "/v1/upstreams", json, |body| Some(text_format::upstreams(body))).await
         }
         Command::Audit(filter) => {
             show(client, &audit_path(filter), json, |body| {
                 let records: Vec<AuditRecord> = serde_json::from_value(body.clone()).ok()?;
-                Some(printed_form::audit(&records))
+                Some(text_format::audit(&records))
             })
             .await
         }
         Command::ReplicaList => {
             show(client, "/v1/replicas", json, |body| {
-                body.get("replicas").map(printed_form::replicas)
+                body.get("replicas").map(text_format::replicas)
             })
             .await
         }
         Command::ZoneOrder(upload) => order_zone(client, upload, json).await,
         Command::ZoneList => {
-            show(client, "/v1/zones", json, |body| Some(printed_form::zones(body))).await
+            show(client, "/v1/zones", json, |body| Some(text_format::zones(body))).await
         }
         Command::Drain(upstream) => {
             change(client, &Method::POST, "/v1/drain", json!({ "upstream": upstream }), json).await
@@ -103,14 +104,14 @@
 }
 
 fn explain(id: &str, files: &[PathBuf]) -> ExitOutcome {
-    match LogStory::read(id, files) {
+    match RequestTrace::read(id, files) {
         Err((file, error)) => cannot_read(&file, &error),
-        Ok(story) if story.is_empty() => {
+        Ok(trace) if trace.is_empty() => {
             eprintln!("no line names request {id}");
             ExitOutcome::NotDone
         }
-        Ok(story) => {
-            print_line(&story.printed());
+        Ok(trace) => {
+            print_line(&trace.to_text());
             ExitOutcome::Done
         }
     }
@@ -122,7 +123,7 @@
         Err((file, error)) => return cannot_read(&file, &error),
     };
     if !as_csv {
-        print_line(&summary.printed());
+        print_line(&summary.to_text());
         return ExitOutcome::Done;
     }
     match summary.csv() {
@@ -132,7 +133,7 @@
             ExitOutcome::Done
         }
         Err(error) => {
-            eprintln!("not done; no CSV: {error}");
+            eprintln!("not done; cannot write CSV: {error}");
             ExitOutcome::NotDone
         }
     }
@@ -156,39 +157,44 @@
     if checked.is_ok() { ExitOutcome::Done } else { ExitOutcome::NotDone }
 }
 
-async fn apply_sheet(client: &OperatorClient<'_>, order: &ApplyOrder, json: bool) -> ExitOutcome {
-    let bytes = match fs::read(&order.file) {
+async fn apply_sheet(
+    client: &OperatorClient<'_>,
+    options: &ApplyOptions,
+    json: bool,
+) -> ExitOutcome {
+    let bytes = match fs::read(&options.file) {
         Ok(bytes) => bytes,
-        Err(error) => return cannot_read(&order.file, &error),
+        Err(error) => return cannot_read(&options.file, &error),
     };
     if let Err(faults) = SheetReader::read(&bytes) {
         eprintln!("not done; the sheet is faulty:");
         print_line(&if json { json!(faults).to_string() } else { faults.to_string() });
         return ExitOutcome::NotDone;
     }
-    let expect = match (order.expect, order.given) {
+    let expect = match (options.expect, options.given) {
         (Some(expect), _) => expect,
-        // The highest version wins, whatever it is based on.
+        // Of versions that operators assign, the highest one wins, whatever it is based on.
         (None, Some(_)) => ConfigVersion::default(),
         (None, None) => match version_in_force(client).await {
             Ok(version) => version,
             Err(outcome) => return outcome,
         },
     };
-    let change_id = order.change_id.clone().or_else(new_change_id);
+    let change_id = options.change_id.clone().or_else(new_change_id);
     let Some(change_id) = change_id else {
-        eprintln!("not done; no change id could be made");
+        eprintln!("not done; cannot generate a change id");
         return ExitOutcome::NotDone;
     };
-    // Printed before it is sent: an operator whose answer is lost needs both to send it again.
+    // Printed before the change is sent: if the answer is lost, the operator needs both to resend
+    // it.
     eprintln!("change id {change_id}, based on version {expect}");
     let sheet = String::from_utf8_lossy(&bytes).into_owned();
-    let given = order.given;
-    let upload = SheetUpload { change_id, actor: order.actor.clone(), expect, given, sheet };
+    let given = options.given;
+    let upload = SheetUpload { change_id, actor: options.actor.clone(), expect, given, sheet };
     let answer = client.write(&Method::POST, "/v1/sheet", &upload).await;
     let outcome = report_change(answer, json);
     if outcome == ExitOutcome::Unknown {
-        let file = order.file.display();
+        let file = options.file.display();
         eprintln!(
             "send it again: pulleyctl sheet apply {file} --change-id {} --expect {expect} --actor {}",
             upload.change_id, upload.actor
@@ -214,7 +220,7 @@
     if json {
         print_line(&answer.body);
     } else {
-        print_line(&printed_form::answer(&change));
+        print_line(&text_format::answer(&change));
     }
     match change {
         ChangeAnswer::Accepted { .. } | ChangeAnswer::Superseded { .. } => ExitOutcome::Done,
@@ -231,15 +237,16 @@
 // Zones
 
 async fn order_zone(client: &OperatorClient<'_>, upload: &ZoneUpload, json: bool) -> ExitOutcome {
-    // Printed before it is sent: an operator whose answer is lost needs it to send it again.
+    // Printed before the order is sent: if the answer is lost, the operator needs the id to resend
+    // it.
     eprintln!("change id {}", upload.change_id);
     let outcome = match client.write(&Method::POST, "/v1/zones", upload).await {
         Err(fault) => report_fault(&fault),
         Ok(answer) => match serde_json::from_value::<ZoneAnswer>(answer.body.clone()) {
             Err(_) => report_refusal(&answer),
             Ok(decided) => {
-                let printed = printed_form::zone_answer(upload, &decided);
-                print_line(&if json { answer.body.to_string() } else { printed });
+                let formatted = text_format::zone_answer(upload, &decided);
+                print_line(&if json { answer.body.to_string() } else { formatted });
                 match decided {
                     ZoneAnswer::Accepted { .. } => ExitOutcome::Done,
                     _ => ExitOutcome::NotDone,
@@ -248,13 +255,13 @@
         },
     };
     if outcome == ExitOutcome::Unknown {
-        let word = match upload.zone_use {
+        let verb = match upload.zone_use {
             ZoneUse::Evacuated => "evacuate",
             ZoneUse::InUse => "restore",
         };
         let ZoneUpload { zone, change_id, actor, .. } = upload;
         eprintln!(
-            "send it again: pulleyctl zone {word} {zone} --change-id {change_id} --actor {actor}"
+            "send it again: pulleyctl zone {verb} {zone} --change-id {change_id} --actor {actor}"
         );
     }
     outcome
@@ -267,7 +274,7 @@
     client: &OperatorClient<'_>,
     path: &str,
     json: bool,
-    print: impl FnOnce(&Value) -> Option<String>,
+    format: impl FnOnce(&Value) -> Option<String>,
 ) -> ExitOutcome {
     let answer = match client.read(path).await {
         Ok(answer) => answer,
@@ -276,9 +283,9 @@
     if answer.status != StatusCode::OK {
         return report_refusal(&answer);
     }
-    let text = if json { Some(answer.body.to_string()) } else { print(&answer.body) };
+    let text = if json { Some(answer.body.to_string()) } else { format(&answer.body) };
     let Some(text) = text else {
-        eprintln!("the answer has another form than this pulleyctl knows; try --json");
+        eprintln!("this pulleyctl cannot interpret the answer; try --json");
         return ExitOutcome::NotDone;
     };
     print_line(&text);
@@ -296,7 +303,7 @@
         Ok(answer) if answer.status == StatusCode::OK => {
             let members = answer.body.get("members").filter(|_| !json);
             print_line(&match members {
-                Some(members) => printed_form::replicas(members),
+                Some(members) => text_format::replicas(members),
                 None if json => answer.body.to_string(),
                 None => pairs(&answer.body),
             });
@@ -321,14 +328,14 @@
 }
 
 fn pairs(body: &Value) -> String {
-    printed_form::pairs(body)
+    text_format::pairs(body)
 }
 
 // -----------------------------------------------------------------------------------------
 // Reports
 
-/// Prints a line on standard output. A reader that has left, such as `head`, is no failure, and
-/// `println!` would panic on it.
+/// Prints a line on standard output. A closed pipe, as after `head`, is not an error; `println!`
+/// would panic on it.
 fn print_line(line: &dyn Display) {
     let _ = writeln!(io::stdout(), "{line}");
 }
@@ -341,7 +348,7 @@
     }
 }
 
-/// Reports an answer other than success. Status 504 says that the host itself does not know.
+/// Reports an unsuccessful answer. Status 504 means that the host itself does not know the outcome.
 fn report_refusal(answer: &HostAnswer) -> ExitOutcome {
     if answer.status == StatusCode::GATEWAY_TIMEOUT {
         eprintln!("unknown: {}", answer.message());
@@ -356,12 +363,12 @@
     ExitOutcome::Usage
 }
 
-/// The first line of the secret file, which is the key that is sent.
-fn key_of(file: Option<&Path>) -> Result<String, String> {
+/// Reads the key to send: the first line of the secret file that is not empty.
+fn read_key(file: Option<&Path>) -> Result<String, String> {
     let Some(file) = file else {
         return Err("--secret-file: missing, as is PULLEYCTL_SECRET_FILE".to_owned());
     };
     let text = fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
     let key = text.lines().map(str::trim).find(|line| !line.is_empty());
-    key.map(str::to_owned).ok_or_else(|| format!("{}: holds no key", file.display()))
+    key.map(str::to_owned).ok_or_else(|| format!("{}: contains no key", file.display()))
 }
--- a/crates/pulleyctl/src/exit_outcome.rs
+++ b/crates/pulleyctl/src/exit_outcome.rs
@@ -1,22 +1,23 @@
-//! What the exit code tells a script.
+//! The exit codes, from which scripts learn the outcome of a command.
 
 use std::process::ExitCode;
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitOutcome {
     /// Done. Exit code 0.
     Done,
     /// Refused or failed, and certainly not done. Exit code 1.
     NotDone,
-    /// The command line is faulty; nothing was sent. Exit code 2.
+    /// The command line or a file is not usable; nothing was sent. Exit code 2.
     Usage,
-    /// It may or may not have been done; send it again with the same change id. Exit code 3.
+    /// It may or may not have been done; the operator should send it again with the same change id.
+    /// Exit code 3.
     Unknown,
 }
 
 impl ExitOutcome {
-    /// The exit code.
+    /// Returns the process's exit code.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
--- a/crates/pulleyctl/src/lib.rs
+++ b/crates/pulleyctl/src/lib.rs
@@ -1,24 +1,24 @@
-//! The operators' command line, as a library that its binary and tests share.
+//! The operators' command line, as a library for its binary and tests.
 //!
-//! `command_line` reads what the operator typed, `operator_client` speaks to one of the
-//! hosts, `commands` carries each command out and `exit_outcome` says what became of it.
+//! `command_line` parses the arguments, `operator_client` sends requests to one of the hosts,
+//! `commands` executes each command and `exit_outcome` defines the exit codes.
 
 mod command_line;
 mod commands;
 mod exit_outcome;
-mod log_story;
 mod log_summary;
 mod operator_client;
-mod printed_form;
+mod request_trace;
+mod text_format;
 
 use std::ffi::OsString;
 
 use command_line::CommandLine;
 pub use exit_outcome::ExitOutcome;
 
-/// Carries out one command line and says what became of it.
+/// Executes one command line and returns its outcome.
 ///
-/// `args` are without the program's name; `env` gives `PULLEYCTL_…` settings.
+/// `args` does not include the program's name; `env` contains the `PULLEYCTL_…` variables.
 pub fn run(
     args: impl IntoIterator<Item = String>,
     env: impl IntoIterator<Item = (OsString, OsString)>,
@@ -27,12 +27,12 @@
         .into_iter()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)));
     match CommandLine::parse(args, env) {
-        Ok(line) => commands::carry_out(&line),
-        Err(command_line::UsageEnd::Text(text)) => {
+        Ok(line) => commands::execute(&line),
+        Err(command_line::EarlyExit::Text(text)) => {
             println!("{text}");
             ExitOutcome::Done
         }
-        Err(command_line::UsageEnd::Faults(faults)) => {
+        Err(command_line::EarlyExit::Faults(faults)) => {
             eprintln!("{}\nSee pulleyctl --help.", faults.join("\n"));
             ExitOutcome::Usage
         }
--- a/crates/pulleyctl/src/operator_client.rs
+++ b/crates/pulleyctl/src/operator_client.rs
@@ -1,4 +1,5 @@
-//! Asks one of the hosts over HTTP and tells apart what was not sent from what was not answered.
+//! Sends requests to one of the hosts over HTTP. It distinguishes requests that were never sent
+//! from requests whose answer was lost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,32 +15,33 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What asking gives.
+/// The result of a request.
 pub(crate) type Result<T> = std::result::Result<T, ClientFault>;
 
-/// Time for a connection; a host that is away should not hold up the next one in turn.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+/// Connect timeout. It is short so that an unreachable host does not delay the attempt at the next
+/// one.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer read, in bytes.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Largest accepted body of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Why there is no answer.
+/// Why a request has no answer.
 #[derive(Debug, Error)]
 pub(crate) enum ClientFault {
     /// No host took the request; nothing was done.
     #[error("not done; no host took it:\n  {}", .0.join("\n  "))]
     NotDone(Vec<String>),
-    /// A host had the request and its answer was lost; it may have been done.
+    /// A host was sent the request and its answer was lost; the request may have been carried out.
     #[error("{server} gave no answer: {why}; it may have been done")]
     Lost {
-        /// The host that had it.
+        /// The host that was sent the request.
         server: SocketAddr,
         /// What happened.
         why: String,
     },
 }
 
-/// An answer of a host, whatever its status.
+/// An answer of a host, with any status.
 #[derive(Debug)]
 pub(crate) struct HostAnswer {
     /// The HTTP status.
@@ -49,22 +51,22 @@
 }
 
 impl HostAnswer {
-    /// What a host says when it did not do what was asked.
+    /// Returns the message of an unsuccessful answer.
     pub(crate) fn message(&self) -> String {
         let message = self.body.get("message").and_then(Value::as_str);
         message.map_or_else(|| format!("status {}", self.status), str::to_owned)
     }
 }
 
-/// How far one try at one host got.
-enum TryFault {
+/// How far a failed attempt at one host got.
+enum SendFault {
     /// No byte was sent.
     NotSent(String),
-    /// Bytes were sent and no whole answer came.
+    /// Bytes were sent, and no complete answer arrived.
     Lost(String),
 }
 
-/// The way to the hosts.
+/// An HTTP client that tries the hosts in turn.
 #[derive(Debug)]
 pub(crate) struct OperatorClient<'a> {
     servers: &'a [SocketAddr],
@@ -77,15 +79,16 @@
         Self { servers, authorization: format!("Bearer {key}"), timeout }
     }
 
-    /// Reads from the first host that answers usefully.
+    /// Reads from the first host that gives a usable answer.
     pub(crate) async fn read(&self, path: &str) -> Result<HostAnswer> {
         self.ask(&Method::GET, path, &Bytes::new()).await
     }
 
-    /// Sends a change to the first host that takes it.
+    /// Sends a change to the first host that accepts the request.
     ///
-    /// A host that said it did nothing is followed by the next one. After a lost answer no other
-    /// host is asked: a second answer could say "refused" of a change that the first had done.
+    /// If a host reports that it did nothing, the next one is tried. After a lost answer no other
+    /// host is tried, because it could answer "refused" to a change that the first host has carried
+    /// out.
     pub(crate) async fn write(
         &self,
         method: &Method,
@@ -100,15 +103,15 @@
         let mut faults = Vec::new();
         for server in self.servers {
             match self.try_server(*server, method, path, body).await {
-                Ok(answer) if another_may_do_it(method, answer.status) => {
+                Ok(answer) if should_try_next(method, answer.status) => {
                     faults.push(format!("{server}: {}", answer.message()));
                 }
                 Ok(answer) => return Ok(answer),
-                Err(TryFault::NotSent(why)) => faults.push(format!("{server}: {why}")),
-                Err(TryFault::Lost(why)) if method == Method::GET => {
+                Err(SendFault::NotSent(why)) => faults.push(format!("{server}: {why}")),
+                Err(SendFault::Lost(why)) if method == Method::GET => {
                     faults.push(format!("{server}: {why}"));
                 }
-                Err(TryFault::Lost(why)) => {
+                Err(SendFault::Lost(why)) => {
                     return Err(ClientFault::Lost { server: *server, why });
                 }
             }
@@ -122,7 +125,7 @@
         method: &Method,
         path: &str,
         body: &Bytes,
-    ) -> std::result::Result<HostAnswer, TryFault> {
+    ) -> std::result::Result<HostAnswer, SendFault> {
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -130,25 +133,25 @@
             .header(header::AUTHORIZATION, &self.authorization)
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body.clone()))
-            .map_err(|error| TryFault::NotSent(error.to_string()))?;
-        let stream = match timeout(CONNECT_TIME.min(self.timeout), TcpStream::connect(server)).await
-        {
-            Ok(Ok(stream)) => stream,
-            Ok(Err(error)) => return Err(TryFault::NotSent(error.to_string())),
-            Err(_) => return Err(TryFault::NotSent("no connection in time".to_owned())),
-        };
+            .map_err(|error| SendFault::NotSent(error.to_string()))?;
+        let stream =
+            match timeout(CONNECT_TIMEOUT.min(self.timeout), TcpStream::connect(server)).await {
+                Ok(Ok(stream)) => stream,
+                Ok(Err(error)) => return Err(SendFault::NotSent(error.to_string())),
+                Err(_) => return Err(SendFault::NotSent("connect timeout".to_owned())),
+            };
         match timeout(self.timeout, exchange(stream, request)).await {
             Ok(answer) => answer,
             Err(_) => {
-                Err(TryFault::Lost(format!("no answer within {}ms", self.timeout.as_millis())))
+                Err(SendFault::Lost(format!("no answer within {}ms", self.timeout.as_millis())))
             }
         }
     }
 }
 
-/// Whether the next host should be asked: status 503 promises that nothing was done, and a read
-/// does nothing anyway.
-fn another_may_do_it(method: &Method, status: StatusCode) -> bool {
+/// Whether to try the next host. Status 503 guarantees that nothing was done. After status 504 a
+/// read can also be repeated, because it changes nothing.
+fn should_try_next(method: &Method, status: StatusCode) -> bool {
     status == StatusCode::SERVICE_UNAVAILABLE
         || (method == Method::GET && status == StatusCode::GATEWAY_TIMEOUT)
 }
@@ -156,19 +159,19 @@
 async fn exchange(
     stream: TcpStream,
     request: Request<Full<Bytes>>,
-) -> std::result::Result<HostAnswer, TryFault> {
+) -> std::result::Result<HostAnswer, SendFault> {
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|error| TryFault::NotSent(error.to_string()))?;
+        .map_err(|error| SendFault::NotSent(error.to_string()))?;
     tokio::spawn(connection);
     let response =
-        sender.send_request(request).await.map_err(|error| TryFault::Lost(error.to_string()))?;
+        sender.send_request(request).await.map_err(|error| SendFault::Lost(error.to_string()))?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), ANSWER_LIMIT)
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await
-        .map_err(|error| TryFault::Lost(error.to_string()))?;
+        .map_err(|error| SendFault::Lost(error.to_string()))?;
     let body = serde_json::from_slice(&body.to_bytes())
-        .map_err(|error| TryFault::Lost(format!("status {status} and no JSON: {error}")))?;
+        .map_err(|error| SendFault::Lost(format!("status {status} without JSON: {error}")))?;
     Ok(HostAnswer { status, body })
 }
--- a/crates/pulleyctl/src/printed_form.rs
+++ b/crates/pulleyctl/src/text_format.rs
@@ -1,14 +1,14 @@
-//! Prints answers for people.
+//! Formats answers as text for people.
 
 use std::time::{Duration, UNIX_EPOCH};
 
 use pulley_core::version::{AuditRecord, ChangeAnswer, ChangeRefusal, ZoneAnswer, ZoneUpload};
 use serde_json::Value;
 
-/// The outcome of audit records about who holds the log.
+/// The outcome of audit records about changes of the log's members.
 const MEMBER_OUTCOME: &str = "member";
 
-/// Prints rows as columns that line up.
+/// Formats rows as aligned columns.
 pub(crate) fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].chars().count());
@@ -24,7 +24,7 @@
     lines.join("\n")
 }
 
-/// Prints a JSON value as `path=value` lines, an array's places as numbers.
+/// Formats a JSON value as `path=value` lines, with array indices as numbers.
 pub(crate) fn pairs(value: &Value) -> String {
     let mut lines = Vec::new();
     add_pairs("", value, &mut lines);
@@ -32,18 +32,18 @@
 }
 
 fn add_pairs(path: &str, value: &Value, lines: &mut Vec<String>) {
-    let below = |name: &str| {
+    let child_path = |name: &str| {
         if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
     };
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                add_pairs(&below(name), field, lines);
+                add_pairs(&child_path(name), field, lines);
             }
         }
         Value::Array(items) => {
-            for (place, item) in items.iter().enumerate() {
-                add_pairs(&below(&place.to_string()), item, lines);
+            for (index, item) in items.iter().enumerate() {
+                add_pairs(&child_path(&index.to_string()), item, lines);
             }
         }
         Value::String(text) => lines.push(format!("{path}={text}")),
@@ -51,14 +51,14 @@
     }
 }
 
-/// Prints the evacuated zones, one a line.
+/// Formats the evacuated zones, one per line.
 pub(crate) fn zones(body: &Value) -> String {
     let names = body.get("zones").and_then(Value::as_array).into_iter().flatten();
     let names: Vec<&str> = names.filter_map(Value::as_str).collect();
     if names.is_empty() { "no zone is evacuated".to_owned() } else { names.join("\n") }
 }
 
-/// Prints what became of an order for a zone.
+/// Formats the answer to a zone order.
 pub(crate) fn zone_answer(order: &ZoneUpload, answer: &ZoneAnswer) -> String {
     let ZoneUpload { zone, zone_use, .. } = order;
     match answer {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Prints upstreams as a table.
+/// Formats upstreams as a table.
 pub(crate) fn upstreams(body: &Value) -> String {
     const FIELDS: [&str; 9] = [
         "id",
@@ -94,14 +94,14 @@
         .flatten()
         .map(|record| {
             let announcement = record.get("announcement").unwrap_or(&Value::Null);
-            let fields = FIELDS.iter().map(|field| word(announcement.get(*field)));
-            fields.chain([word(record.get("takes_work"))]).collect()
+            let fields = FIELDS.iter().map(|field| cell_text(announcement.get(*field)));
+            fields.chain([cell_text(record.get("takes_work"))]).collect()
         })
         .collect();
     table(&header, &rows)
 }
 
-/// Prints a host's status: the lists of hosts and members as tables, the rest as pairs.
+/// Formats a host's status: the lists of hosts and members as tables, the rest as pairs.
 pub(crate) fn status(body: &Value) -> String {
     let mut rest = body.clone();
     let mut tables = Vec::new();
@@ -109,7 +109,7 @@
         if let Some(hosts) = fields.remove("hosts") {
             tables.push(live_hosts(&hosts));
         }
-        // The replica's own view of the members is the same list once more.
+        // The replica's own list of the members is omitted, because it repeats the one below.
         if let Some(replica) = fields.get_mut("replica").and_then(Value::as_object_mut) {
             replica.remove("members");
         }
@@ -133,14 +133,19 @@
             let roles: Vec<&str> =
                 ["entry", "replica"].into_iter().filter(|role| has(role)).collect();
             let roles = roles.join(",");
-            vec![word(host.get("host")), word(host.get("zone")), word(host.get("peer")), roles]
+            vec![
+                cell_text(host.get("host")),
+                cell_text(host.get("zone")),
+                cell_text(host.get("peer")),
+                roles,
+            ]
         })
         .collect();
     rows.sort();
     table(&["live host", "zone", "peer", "roles"], &rows)
 }
 
-/// Prints the members of the log as a table.
+/// Formats the members of the log as a table.
 pub(crate) fn replicas(members: &Value) -> String {
     let rows: Vec<Vec<String>> = members
         .as_array()
@@ -149,8 +154,8 @@
         .map(|member| {
             let has_joined = member.get("disk").is_some_and(|disk| !disk.is_null());
             vec![
-                format!("m{}", word(member.get("member"))),
-                word(member.get("host")),
+                format!("m{}", cell_text(member.get("member"))),
+                cell_text(member.get("host")),
                 yes_or_no(member.get("voter").and_then(Value::as_bool).unwrap_or_default()),
                 yes_or_no(has_joined),
             ]
@@ -163,7 +168,7 @@
     if yes { "yes" } else { "no" }.to_owned()
 }
 
-fn word(value: Option<&Value>) -> String {
+fn cell_text(value: Option<&Value>) -> String {
     match value {
         None => "-".to_owned(),
         Some(Value::String(text)) => text.clone(),
@@ -171,7 +176,7 @@
     }
 }
 
-/// Prints audit records as a table, with the rows' changes below each.
+/// Formats audit records as a table, each with its differences in the last column.
 pub(crate) fn audit(records: &[AuditRecord]) -> String {
     let rows: Vec<Vec<String>> = records
         .iter()
@@ -190,7 +195,7 @@
     table(&["index", "time", "actor", "change_id", "base", "outcome", "diff"], &rows)
 }
 
-/// A change of the members has no version of its own.
+/// Formats a record's outcome. A change of the members has no version to show.
 fn outcome(record: &AuditRecord) -> String {
     if record.outcome == MEMBER_OUTCOME {
         record.outcome.to_string()
@@ -199,7 +204,7 @@
     }
 }
 
-/// Prints what became of a change, in a few words.
+/// Formats the outcome of a change in a few words.
 pub(crate) fn answer(answer: &ChangeAnswer) -> String {
     match answer {
         ChangeAnswer::Accepted { version } => format!("accepted as version {version}"),
--- a/crates/pulleyctl/tests/exit_codes.rs
+++ b/crates/pulleyctl/tests/exit_codes.rs
@@ -1,6 +1,6 @@
-//! The client's exit codes and messages against stand-in hosts on loopback.
+//! Exit codes and messages of the `pulleyctl` binary with stand-in hosts on loopback.
 
-#![allow(clippy::unwrap_used, reason = "a test may end there")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,30 +14,30 @@
 const ACCEPTED: &str = r#"{"accepted":{"version":5}}"#;
 const IN_FORCE: &str = r#"{"version":4,"sheet":"pool\n"}"#;
 
-/// What a stand-in host does with a request.
+/// How a stand-in host replies to a request.
 enum HostReply {
     Answer(u16, &'static str),
     CloseAfterReading,
     Silence,
 }
 
-/// Starts a host that answers requests in turn; the last reply stays.
+/// Starts a host that gives the replies in order and then repeats the last one.
 fn stand_in_host(replies: Vec<HostReply>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
-        let mut silent = Vec::new();
-        for (place, stream) in listener.incoming().enumerate() {
+        let mut kept_open = Vec::new();
+        for (index, stream) in listener.incoming().enumerate() {
             let mut stream = stream.unwrap();
             read_request(&mut stream);
-            match &replies[place.min(replies.len() - 1)] {
+            match &replies[index.min(replies.len() - 1)] {
                 HostReply::Answer(status, body) => {
                     let length = body.len();
                     let head = format!("HTTP/1.1 {status} x\r\ncontent-length: {length}\r\n\r\n");
                     let _ = stream.write_all((head + body).as_bytes());
                 }
                 HostReply::CloseAfterReading => {}
-                HostReply::Silence => silent.push(stream),
+                HostReply::Silence => kept_open.push(stream),
             }
         }
     });
@@ -56,8 +56,9 @@
     let _ = stream.read_exact(&mut body);
 }
 
-/// An address where nobody listens; a free port could be given to another test meanwhile.
-fn nobody() -> SocketAddr {
+/// Returns an address without a listener. Port 1 is used because a free port could be assigned to
+/// another test in the meantime.
+fn closed_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
@@ -91,7 +92,7 @@
 const APPLY: [&str; 5] = ["sheet", "apply", SHEET, "--actor=ana", "--expect=4"];
 
 #[test]
-fn an_accepted_sheet_is_done_and_the_change_id_is_printed() {
+fn an_accepted_sheet_exits_with_0_and_prints_the_change_id() {
     let host = stand_in_host(vec![HostReply::Answer(200, ACCEPTED)]);
     let outcome = pulleyctl(&[host], &APPLY);
     assert_eq!((outcome.code, outcome.out.as_str()), (0, "accepted as version 5\n"));
@@ -100,14 +101,15 @@
 }
 
 #[test]
-fn without_a_version_the_one_in_force_is_expected() {
+fn apply_without_expect_is_based_on_the_version_in_force() {
     let host =
         stand_in_host(vec![HostReply::Answer(200, IN_FORCE), HostReply::Answer(200, ACCEPTED)]);
     let outcome = pulleyctl(&[host], &APPLY[..4]);
     assert_eq!((outcome.code, outcome.err.contains("version 4")), (0, true), "{}", outcome.err);
 }
 
-/// Two operators apply with the same version; the later one must learn that nothing was done.
+/// Two operators apply changes based on the same version. The later one must be told that nothing
+/// was done.
 #[test]
 fn a_lost_race_is_refused_and_not_done() {
     let body = r#"{"refused":{"version-moved":{"current":6}}}"#;
@@ -117,10 +119,11 @@
     assert_eq!(outcome.out, "refused, not done: version 6 is in force\n");
 }
 
-/// The host takes the change and the answer never arrives: closed, silent, or the host itself
-/// does not know. Reported as "not done", the operator would apply a second, different change.
+/// The host receives the change, but its answer is lost: the connection is closed, there is no
+/// answer in time, the answer is cut short, or the host itself does not know the outcome. If this
+/// were reported as "not done", the operator would apply a second, different change.
 #[test]
-fn a_lost_answer_is_unknown_and_names_how_to_send_again() {
+fn a_lost_answer_is_unknown_and_prints_the_command_to_resend() {
     let unknown = r#"{"unknown":{"why":"no quorum"}}"#;
     for reply in [
         HostReply::CloseAfterReading,
@@ -138,20 +141,20 @@
 }
 
 #[test]
-fn hosts_that_are_away_or_without_quorum_are_passed_over() {
+fn unreachable_hosts_and_hosts_without_quorum_are_skipped() {
     let busy = r#"{"error":"no-quorum","message":"no quorum: 1 of 3"}"#;
     let without_quorum = stand_in_host(vec![HostReply::Answer(503, busy)]);
     let good = stand_in_host(vec![HostReply::Answer(200, ACCEPTED)]);
-    assert_eq!(pulleyctl(&[nobody(), without_quorum, good], &APPLY).code, 0);
+    assert_eq!(pulleyctl(&[closed_address(), without_quorum, good], &APPLY).code, 0);
 
-    let outcome = pulleyctl(&[nobody(), without_quorum], &APPLY);
+    let outcome = pulleyctl(&[closed_address(), without_quorum], &APPLY);
     assert_eq!(outcome.code, 1);
     assert!(outcome.err.contains("no quorum: 1 of 3"), "{}", outcome.err);
 }
 
-/// A read does nothing, so a lost answer only means that the next host is asked.
+/// A read changes nothing, so the next host is tried after a lost answer.
 #[test]
-fn a_read_goes_on_to_the_next_host() {
+fn a_read_with_a_lost_answer_tries_the_next_host() {
     let status = stand_in_host(vec![HostReply::Answer(200, r#"{"host":"a","log":{"term":3}}"#)]);
     let lost = stand_in_host(vec![HostReply::CloseAfterReading]);
     let outcome = pulleyctl(&[lost, status], &["status"]);
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn a_faulty_sheet_is_named_fault_by_fault_and_never_sent() {
+fn all_faults_of_a_sheet_are_listed_and_it_is_never_sent() {
     let folder = TempDir::new().unwrap();
     let file = folder.path().join("sheet.csv");
     let text = std::fs::read_to_string(SHEET).unwrap();
@@ -194,11 +197,11 @@
     let faults: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!(faults["faults"][0]["column"], "share");
     assert_eq!(faults["faults"][0]["row"], 2);
-    assert_eq!(pulleyctl(&[nobody()], &["sheet", "apply", file, "--actor=a"]).code, 1);
+    assert_eq!(pulleyctl(&[closed_address()], &["sheet", "apply", file, "--actor=a"]).code, 1);
 }
 
-/// An operator empties a zone. Done, refused and unknown must be told apart: who takes a refused order
-/// for done sends machines away that still get work.
+/// An operator evacuates a zone. The exit code must distinguish done, refused and unknown: an
+/// operator who takes a refused order for done would shut down machines that still get work.
 #[test]
 fn an_order_for_a_zone_is_done_refused_or_unknown() {
     let evacuate = ["zone", "evacuate", "z1", "--actor=ana", "--timeout=700ms"];
@@ -212,9 +215,9 @@
         (HostReply::Silence, 3, "--actor ana"),
     ] {
         let outcome = pulleyctl(&[stand_in_host(vec![reply])], &evacuate);
-        let said = outcome.out + &outcome.err;
-        assert_eq!(outcome.code, code, "{said}");
-        assert!(said.contains(text), "{said}");
+        let output = outcome.out + &outcome.err;
+        assert_eq!(outcome.code, code, "{output}");
+        assert!(output.contains(text), "{output}");
     }
     let zones = r#"{"revision":9,"zones":["z1","z3"]}"#;
     let host = stand_in_host(vec![HostReply::Answer(200, zones)]);
@@ -224,7 +227,7 @@
 }
 
 #[test]
-fn a_faulty_command_line_is_usage() {
+fn a_faulty_command_line_exits_with_2() {
     for args in [
         &[][..],
         &["sheet"],
@@ -244,10 +247,10 @@
     assert_eq!(pulleyctl(&[], &["--help"]).code, 0);
 }
 
-/// A broker complains with the id of a request that two hosts have seen. The lines of both are told
-/// in the order of time, with what the hosts noted around them, and without other requests.
+/// `explain` prints the lines of a request that two hosts logged, in order of time. It includes the
+/// hosts' own events around that time, and no lines of other requests.
 #[test]
-fn a_request_is_explained_from_the_logs_of_many_hosts() {
+fn explain_finds_a_request_in_the_logs_of_many_hosts() {
     let folder = TempDir::new().unwrap();
     let write = |name: &str, text: &str| {
         let file = folder.path().join(name);
@@ -268,20 +271,19 @@
     let three = write("entry-3.log", "ts=2026-07-05T07:10:42.000Z level=info event=listening\n");
     let outcome = pulleyctl(&[], &["explain", "9c41", &one, &two, &three]);
     assert_eq!(outcome.code, 0, "{}", outcome.err);
-    let told: Vec<&str> =
+    let hosts: Vec<&str> =
         outcome.out.lines().filter_map(|line| line.split(" ts=").next()).collect();
-    assert_eq!(told, ["entry-1:", "entry-2:", "entry-1:"], "{}", outcome.out);
+    assert_eq!(hosts, ["entry-1:", "entry-2:", "entry-1:"], "{}", outcome.out);
     assert!(outcome.out.contains("event=membership live=33"), "{}", outcome.out);
     assert!(!outcome.out.contains("id=other") && !outcome.out.contains("live=34"));
     assert_eq!(pulleyctl(&[], &["explain", "unknown", &one]).code, 1);
     assert_eq!(pulleyctl(&[], &["explain", "9c41"]).code, 2);
 }
 
-/// Many callers of an afternoon complain. The logs of all hosts are added up: in which second, for
-/// which kind and why answers were late or requests refused, with one request of each to follow, and
-/// how many lines could not be read.
+/// `summary` counts late answers and refused requests in the logs of all hosts by second, kind and
+/// cause, with the id of one request per row. It also counts the lines that cannot be read.
 #[test]
-fn a_bad_afternoon_is_added_up_from_the_logs_of_many_hosts() {
+fn summary_adds_up_the_logs_of_many_hosts() {
     let folder = TempDir::new().unwrap();
     let write = |name: &str, text: &str| {
         let file = folder.path().join(name);
