--- a/crates/pulley_wire/examples/generate_wire.rs
+++ b/crates/pulley_wire/examples/generate_wire.rs
@@ -1,4 +1,4 @@
-//! Makes the Rust code of the peer protocol from its schema into the folder given.
+//! Generates the Rust code of the peer protocol from its schema. The argument is the output folder.
 
 fn main() -> Result<(), capnp::Error> {
     let folder = std::env::args().nth(1).unwrap_or_else(|| ".".to_owned());
--- a/crates/pulley_wire/src/lib.rs
+++ b/crates/pulley_wire/src/lib.rs
@@ -1,6 +1,8 @@
-//! The peer protocol: its Cap'n Proto schema in `schema/peer.capnp`, and the code made from it.
+//! The protocol between hosts: the Rust code generated from the Cap'n Proto schema in
+//! `schema/peer.capnp`.
 //!
-//! Regenerate with `scripts/generate-wire`; CI compares where the generator is installed.
+//! Run `scripts/generate-wire` to regenerate it. Where the generator is installed, CI checks that
+//! the committed code matches the schema.
 
 #[allow(
     clippy::all,
