--- a/crates/pulley_bench/src/decisions/decision_cost.rs
+++ b/crates/pulley_bench/src/decisions/decision_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of each decision, in real time.
+//! Measures the processor time of scheduling and coordination in real time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,9 +12,10 @@
 use pulley_core::version::{KindPlan, MethodMatch, RequestPriority, RouteTerms, WorkLength};
 use pulley_core::{HostId, Moment, PolicyPlan};
 
+/// Calls scheduled for one measurement.
 const CALLS: u64 = 200_000;
 
-/// Measures pools of 15 and of 200 upstreams.
+/// Measures pools of 15 and 200 upstreams and prints one line for each.
 pub(crate) fn run() -> Result<()> {
     for upstreams in [15_u16, 200] {
         let call_ns = call_cost(upstreams)?;
--- a/crates/pulley_bench/src/decisions/deployment.rs
+++ b/crates/pulley_bench/src/decisions/deployment.rs
@@ -1,4 +1,4 @@
-//! The sizes that policies are measured at.
+//! The deployments that the policies are measured with.
 
 use std::time::Duration;
 
@@ -12,67 +12,71 @@
 
 use super::scenario::LoadScenario;
 
-/// One kind of request and how much of its pool's calls it makes up.
+/// A kind of request and its fraction of the pool's calls.
 #[derive(Clone, Debug)]
 pub(crate) struct KindSpec {
     pub(crate) name: &'static str,
     pub(crate) priority: u8,
     pub(crate) share_pct: u16,
     pub(crate) reserved: u32,
-    /// Part of the pool's calls.
+    /// Fraction of the pool's calls that are of this kind.
     pub(crate) part: f64,
-    /// Mean time of an answer, in milliseconds.
+    /// Mean service time, in milliseconds.
     pub(crate) mean_ms: f64,
     pub(crate) deadline_ms: u64,
     pub(crate) long: bool,
 }
 
-/// One pool of like upstreams.
+/// A pool of identical upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolSpec {
     pub(crate) name: &'static str,
     pub(crate) upstreams: usize,
     pub(crate) slots: u32,
-    /// Probes a second, in thousandths.
+    /// Probes per second, in thousandths.
     pub(crate) probe_budget: u32,
     pub(crate) kinds: Vec<KindSpec>,
 }
 
-/// Hosts, zones, pools and the delays between them.
+/// The hosts, zones and pools of a deployment, and the network delays between them.
 #[derive(Clone, Debug)]
 pub(crate) struct DeploymentSpec {
     pub(crate) name: &'static str,
     pub(crate) zones: usize,
     pub(crate) entries: usize,
     pub(crate) pools: Vec<PoolSpec>,
-    /// One way within a zone.
+    /// One-way delay within a zone.
     pub(crate) near: Duration,
-    /// One way between zones of a region.
+    /// One-way delay between zones of the same region.
     pub(crate) far: Duration,
-    /// One way between regions; zones from `second_region` on are in the second.
+    /// One-way delay between regions.
     pub(crate) between_regions: Duration,
+    /// The first zone of the second region; all later zones are in it too.
     pub(crate) second_region: usize,
-    /// Virtual time measured, after the warm-up.
+    /// Virtual time that is measured, after the warm-up.
     pub(crate) measured: Duration,
-    /// Pools on each host that are not simulated; their coordinators' bytes are left room for.
+    /// Number of pools on each host. Those that are not simulated still count, because their
+    /// coordinators need a part of the host's byte rate.
     pub(crate) pools_in_all: usize,
 }
 
 impl DeploymentSpec {
-    /// Finds a deployment by name.
+    /// Returns the deployment with the given name.
     pub(crate) fn named(name: &str) -> Result<Self> {
         match name {
             "kolkhi" => Ok(kolkhi()),
             "abay" => Ok(abay()),
             "two_years" => Ok(two_years()),
-            other => bail!("no deployment {other}; known are {}", Self::NAMES.join(", ")),
+            other => {
+                bail!("unknown deployment {other}; expected one of {}", Self::NAMES.join(", "))
+            }
         }
     }
 
-    /// The deployments' names.
+    /// Names of all deployments.
     pub(crate) const NAMES: [&'static str; 3] = ["kolkhi", "abay", "two_years"];
 
-    /// The deployment as a scenario has it.
+    /// Returns the deployment with the kinds that a scenario needs.
     pub(crate) fn in_scenario(mut self, scenario: LoadScenario) -> Self {
         if scenario == LoadScenario::LongShort {
             self.pools[0].kinds = mixed_kinds(20.0);
@@ -92,12 +96,12 @@
         Ok(self.pools[pool].name.parse()?)
     }
 
-    /// The zone of the entry or upstream with this number.
+    /// Returns the zone of the entry or upstream with this index.
     pub(crate) fn zone_of(&self, index: usize) -> usize {
         index % self.zones
     }
 
-    /// One way between two zones.
+    /// Returns the one-way delay between two zones.
     pub(crate) fn delay(&self, from: usize, to: usize) -> Duration {
         if from == to {
             self.near
@@ -108,7 +112,7 @@
         }
     }
 
-    /// The checked sheet that the entries work by.
+    /// Returns the plan that the entries apply.
     pub(crate) fn plan(&self) -> Result<PolicyPlan> {
         let mut kinds = Vec::new();
         for pool in &self.pools {
@@ -120,12 +124,12 @@
         Ok(PolicyPlan { kinds, ..PolicyPlan::default() })
     }
 
-    /// A kind's row in the plan.
+    /// Returns the index of a kind's row in the plan.
     pub(crate) fn row(&self, pool: usize, kind: usize) -> usize {
         self.pools[..pool].iter().map(|pool| pool.kinds.len()).sum::<usize>() + kind
     }
 
-    /// The announcement of a pool's upstream.
+    /// Returns the record of a pool's upstream, as announced.
     pub(crate) fn record(&self, pool: usize, index: usize) -> Result<UpstreamRecord> {
         let spec = &self.pools[pool];
         let port = u16::try_from(1_000 + pool * 1_000 + index)?;
@@ -145,12 +149,12 @@
 }
 
 impl PoolSpec {
-    /// Mean slot time of one call, in seconds.
+    /// Returns the mean service time of a call over all kinds, in seconds.
     pub(crate) fn mean_s(&self) -> f64 {
         self.kinds.iter().map(|kind| kind.part * kind.mean_ms / 1_000.0).sum()
     }
 
-    /// Slots of all upstreams.
+    /// Returns the number of slots of all upstreams together.
     #[expect(clippy::cast_precision_loss, reason = "sizes are small")]
     pub(crate) fn slots_in_all(&self) -> f64 {
         self.upstreams as f64 * f64::from(self.slots)
@@ -175,7 +179,8 @@
     })
 }
 
-/// First, usual and background kinds of short work: 20, 60 and 20 of 100 calls.
+/// Returns three kinds of short work: `first`, `usual` and `background` with 20%, 60% and 20% of
+/// the calls.
 fn short_kinds(mean_ms: f64, reserved: u32) -> Vec<KindSpec> {
     let kind = |name, priority, share_pct, part, reserved| KindSpec {
         name,
@@ -194,7 +199,8 @@
     ]
 }
 
-/// Half short reads that go first, half work that takes ten times as long.
+/// Returns two kinds: short reads of top priority with 80% of the calls, and long work with 20%,
+/// which takes ten times as long.
 fn mixed_kinds(short_ms: f64) -> Vec<KindSpec> {
     let short = KindSpec {
         name: "read",
@@ -267,8 +273,8 @@
     }
 }
 
-/// One service of the 44 is simulated: 27 upstreams, a forty-fourth of the calls, and 120
-/// entries that each see calls of every service.
+/// Simulates one service of 44: its 27 upstreams and its share of the calls, 1/44. All 120 entries
+/// receive calls of every service.
 fn two_years() -> DeploymentSpec {
     DeploymentSpec {
         name: "two_years",
--- a/crates/pulley_bench/src/decisions/dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/dispatcher.rs
@@ -1,4 +1,4 @@
-//! What a policy has to do, and the simple policies that others are compared with.
+//! The interface of a dispatch policy, and the simple policies used as baselines.
 
 use std::collections::BTreeSet;
 
@@ -8,38 +8,38 @@
 
 use super::sim_world::{MessageBody, PolicyTimer, SimWorld};
 
-/// A policy: who starts where and when.
+/// A dispatch policy: decides which upstream a call is sent to, and when.
 pub(crate) trait Dispatcher {
-    /// Sets up its parts.
+    /// Sets up the policy's state.
     fn begin(&mut self, world: &mut SimWorld) -> Result<()>;
 
-    /// Takes a new call, or one to be tried again.
+    /// Handles a new call or a retry.
     fn arrive(&mut self, world: &mut SimWorld, call: usize);
 
-    /// Learns that an answer has reached a call's entry.
+    /// Handles the outcome of an attempt that has reached the call's entry.
     fn ended(&mut self, world: &mut SimWorld, call: usize, outcome: AttemptOutcome);
 
-    /// Learns at once that a slot is free; only a policy with perfect knowledge uses it.
+    /// Handles a freed slot without any delay. Only a policy with perfect knowledge uses this.
     fn freed(&mut self, _world: &mut SimWorld, _call: usize) {}
 
-    /// Runs a timer of its own.
+    /// Handles a timer of this policy.
     fn timer(&mut self, _world: &mut SimWorld, _timer: PolicyTimer) {}
 
-    /// Takes in a message.
+    /// Handles a message from one host to another, given as `(from, to)`.
     fn deliver(&mut self, _world: &mut SimWorld, _hosts: (usize, usize), _body: MessageBody) {}
 
-    /// Learns that hosts or upstreams have changed.
+    /// Handles a change of the known hosts or upstreams.
     fn changed(&mut self, _world: &mut SimWorld) -> Result<()> {
         Ok(())
     }
 
-    /// The host whose loss hurts the first pool most.
+    /// Returns the host whose loss affects the first pool most.
     fn coordinator(&self) -> usize {
         0
     }
 }
 
-/// Any upstream, whatever its load.
+/// Picks a random upstream regardless of its load.
 #[derive(Debug, Default)]
 pub(crate) struct RandomDispatcher;
 
@@ -58,7 +58,7 @@
     fn ended(&mut self, _world: &mut SimWorld, _call: usize, _outcome: AttemptOutcome) {}
 }
 
-/// The less loaded of two, by the entry's own calls.
+/// Picks two random upstreams and takes the one with fewer calls in flight from this entry.
 #[derive(Debug, Default)]
 pub(crate) struct OwnP2cDispatcher {
     own: Vec<Vec<u32>>,
@@ -87,7 +87,7 @@
     }
 }
 
-/// One queue with perfect knowledge and no delay: the limit that no policy beats.
+/// One queue with perfect knowledge and no delay: an upper bound for every policy.
 #[derive(Debug, Default)]
 pub(crate) struct CentralDispatcher {
     waiting: Vec<BTreeSet<(u8, usize)>>,
@@ -112,7 +112,8 @@
             let Some(upstream) = chosen else { return };
             self.waiting[pool].remove(&(priority, call));
             world.calls[call].upstream = upstream;
-            // It starts at once, but its way there still counts for the caller.
+            // The work starts at once, but the caller's latency still includes the delay to the
+            // upstream.
             world.calls[call].extra_way =
                 world.deployment.delay(zone, world.upstreams[upstream].zone);
             world.occupy(call);
--- a/crates/pulley_bench/src/decisions/event_queue.rs
+++ b/crates/pulley_bench/src/decisions/event_queue.rs
@@ -1,11 +1,11 @@
-//! Virtual time: events in order of when they happen.
+//! The simulation's event queue, ordered by virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use pulley_core::Moment;
 
-/// Events to come; those of one moment happen in the order they were added.
+/// Pending events. Events with the same time are returned in the order in which they were added.
 #[derive(Debug)]
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(Moment, u64, usize)>>,
--- a/crates/pulley_bench/src/decisions/forward_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/forward_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Calls forwarded to one of a pool's few owner entries, which decide alone.
+//! A policy that forwards each call to one of the pool's owners, which schedules it alone.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use super::dispatcher::Dispatcher;
 use super::sim_world::{PolicyTimer, SimEvent, SimWorld};
 
-/// Owners of one pool; each has its part of the upstreams to itself.
+/// Number of owners of each pool. The upstreams are divided among them.
 const OWNERS: usize = 2;
 
-/// Two owners a pool, each a scheduler that shares counts with nobody.
+/// Gives each pool two owners. Each owner is a scheduler that shares no counts.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardDispatcher {
-    /// By pool, then by owner.
+    /// Indexed by pool, then by owner.
     owners: Vec<Vec<PoolScheduler>>,
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// The ticket of a call.
+/// Returns the ticket that a scheduler takes for a call.
 pub(crate) fn ticket(world: &SimWorld, number: usize) -> RequestTicket {
     let call = &world.calls[number];
     RequestTicket {
@@ -127,12 +127,12 @@
     }
 }
 
-/// A call's number as the scheduler knows it.
+/// Returns the request number for the call with this index.
 pub(crate) fn number_of(call: usize) -> RequestNumber {
     RequestNumber(call as u64)
 }
 
-/// The call of a number.
+/// Returns the index of the call with this request number.
 pub(crate) fn call_of(number: RequestNumber) -> usize {
     usize::try_from(number.0).unwrap_or(usize::MAX)
 }
--- a/crates/pulley_bench/src/decisions/incidents.rs
+++ b/crates/pulley_bench/src/decisions/incidents.rs
@@ -1,4 +1,4 @@
-//! Brings about what a scenario says.
+//! Schedules and applies the incidents of a scenario.
 
 use std::time::Duration;
 
@@ -9,29 +9,31 @@
 use super::sim_world::{Incident, SimEvent, SimWorld};
 use super::upstream_model::UpstreamMode;
 
-/// From the start of the measured time to the incident.
+/// Delay of the incident after the measured time starts.
 const BEGIN_AFTER: Duration = Duration::from_secs(2);
 
-/// How long an incident lasts, where it ends.
+/// Duration of an incident that ends. It counts from when the hosts have detected the incident.
 const LASTS: Duration = Duration::from_secs(4);
 
-/// How long the hosts take to learn of a drain.
+/// Delay until gossip has told the hosts of a drain or of a restarted upstream.
 const GOSSIP: Duration = Duration::from_millis(300);
 
-/// How long the hosts take to learn that hosts are lost.
+/// Delay until the hosts detect that others are lost, or that a partition has ended.
 const SUSPICION: Duration = Duration::from_secs(1);
 
-/// An announcement's lease.
+/// Lease of an announcement; when it expires, the hosts know that the upstream is unreachable.
 const LEASE: Duration = Duration::from_secs(3);
 
-/// Time between changes of the neighbours' noise.
+/// Interval at which the upstreams slowed by noisy neighbours are drawn again.
 const NOISE_EVERY: Duration = Duration::from_millis(200);
 
-/// Part of the upstreams that noise slows at any time, and how much.
+/// Fraction of the upstreams that noisy neighbours slow down at any time.
 const NOISY_PART: f64 = 0.08;
+
+/// Factor by which noisy neighbours slow an upstream down.
 const NOISY_FACTOR: f64 = 3.0;
 
-/// Puts a scenario's incidents into the queue.
+/// Schedules the incidents of the scenario.
 pub(crate) fn plan(world: &mut SimWorld) {
     let begin = world.begin + BEGIN_AFTER;
     let noticed = match world.scenario {
@@ -63,7 +65,7 @@
     }
 }
 
-/// Lets one happen. `coordinator` is the host that matters most to the first pool.
+/// Applies an incident. `coordinator` is the host whose loss affects the first pool most.
 pub(crate) fn happen(world: &mut SimWorld, incident: Incident, coordinator: usize) {
     let now = world.now;
     match (incident, world.scenario) {
--- a/crates/pulley_bench/src/decisions/lease_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/lease_dispatcher.rs
@@ -1,4 +1,5 @@
-//! A slot leased for each call by one coordinator a pool: grant and return cross the zone.
+//! A policy in which one coordinator for each pool leases a slot for every call. Request, grant and
+//! return are messages that may cross zones.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +9,7 @@
 use super::dispatcher::Dispatcher;
 use super::sim_world::{MessageBody, SimWorld};
 
-/// Asks the coordinator for a slot before each call.
+/// Requests a slot from the pool's coordinator before it sends a call.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseDispatcher {
     waiting: Vec<BTreeSet<(u8, usize)>>,
--- a/crates/pulley_bench/src/decisions/mod.rs
+++ b/crates/pulley_bench/src/decisions/mod.rs
@@ -1,7 +1,9 @@
-//! Measures the decisions of `pulley_core`: outcomes under load in virtual time, and their cost.
+//! Measures the scheduling decisions of `pulley_core`: their results under simulated load, and
+//! their processor time.
 //!
-//! The schedulers and coordinators are the real ones. Callers, upstreams and the ways between
-//! hosts are small stand-ins; what they leave out is said where each is defined.
+//! The simulation runs the real schedulers and coordinators in virtual time. Callers, upstreams
+//! and the network between hosts are simplified models. Each model's documentation says what it
+//! leaves out.
 
 mod decision_cost;
 mod deployment;
@@ -27,7 +29,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// Gives an error for options that do not parse or names that are not known.
+/// Returns an error if an option cannot be parsed or a name is unknown.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     options.optflag("h", "help", "prints this text");
--- a/crates/pulley_bench/src/decisions/run_report.rs
+++ b/crates/pulley_bench/src/decisions/run_report.rs
@@ -1,4 +1,4 @@
-//! What callers got in one run, as one line a pool.
+//! Figures of one run, printed as one line for each pool.
 
 use std::time::Duration;
 
@@ -12,13 +12,15 @@
 pub(crate) struct PoolFigures {
     latency: Histogram<u64>,
     added: Histogram<u64>,
+    /// Latency of the top-priority kind, the pool's first.
     first: Histogram<u64>,
     pub(crate) refused: u64,
     pub(crate) first_refused: u64,
     pub(crate) missed: u64,
     pub(crate) failed: u64,
-    /// Slot time asked for and answered in time, by kind, in seconds.
+    /// Slot time of all calls, in seconds, indexed by kind.
     pub(crate) offered: Vec<f64>,
+    /// Slot time of the calls answered before their deadline, in seconds, indexed by kind.
     pub(crate) served: Vec<f64>,
     pub(crate) probes: Vec<Moment>,
 }
@@ -27,12 +29,13 @@
 #[derive(Debug)]
 pub(crate) struct RunFigures {
     pub(crate) pools: Vec<PoolFigures>,
-    /// Control bytes by host: sent and received.
+    /// Control bytes sent, indexed by host.
     pub(crate) sent: Vec<u64>,
+    /// Control bytes received, indexed by host.
     pub(crate) received: Vec<u64>,
 }
 
-/// Names of one run.
+/// The scenario, policy and seed that identify a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunName<'a> {
     pub(crate) scenario: &'a str,
@@ -42,7 +45,8 @@
 
 impl PoolFigures {
     fn new(kinds: usize) -> Self {
-        let histogram = || Histogram::new_with_max(LONGEST_MICROS, 3).expect("bounds fit");
+        let histogram =
+            || Histogram::new_with_max(LONGEST_MICROS, 3).expect("the bounds are valid");
         Self {
             latency: histogram(),
             added: histogram(),
@@ -57,8 +61,8 @@
         }
     }
 
-    /// Notes an answer: its whole time, what of it was neither work nor way, and whether its
-    /// kind goes first.
+    /// Records an answer. `whole` is its total latency and `added` the part of it that is neither
+    /// service time nor network delay. `first` says whether its kind has top priority.
     pub(crate) fn note(&mut self, whole: Duration, added: Duration, first: bool) {
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX).max(1);
         self.latency.saturating_record(micros(whole));
@@ -68,20 +72,21 @@
         }
     }
 
-    /// The largest deviation of a kind's part of the pool from what it is due, in percent.
+    /// Returns the largest difference between a kind's served and due fraction of the pool, in
+    /// percentage points.
     fn share_error(&self, shares: &[f64], capacity: f64) -> f64 {
         let due = self.due(shares, capacity);
         let served = self.served.iter().map(|slot_s| slot_s / capacity);
         served.zip(due).map(|(got, due)| (got - due).abs() * 100.0).fold(0.0, f64::max)
     }
 
-    /// What each kind is due, as a part of the pool.
+    /// Returns the fraction of the pool that each kind is due.
     fn due(&self, shares: &[f64], capacity: f64) -> Vec<f64> {
         let demand: Vec<f64> = self.offered.iter().map(|slot_s| slot_s / capacity).collect();
         water_fill(&demand, shares)
     }
 
-    /// The most probes in any window of ten seconds, as a rate.
+    /// Returns the highest probe rate over any window of ten seconds, in probes per second.
     fn probe_peak(&self) -> f64 {
         let mut most = 0;
         let mut first = 0;
@@ -95,13 +100,14 @@
     }
 }
 
-/// The longest latency told apart, ten minutes.
+/// The highest latency that the histograms can hold: ten minutes.
 const LONGEST_MICROS: u64 = 600_000_000;
 
-/// The window that probes are counted over.
+/// Window over which the peak probe rate is computed.
 const PROBE_WINDOW: Duration = Duration::from_secs(10);
 
-/// What each is due of a whole: its demand up to its share, and of what is left, by shares.
+/// Computes the weighted max-min fair fractions of a whole: each kind gets its demand up to its
+/// share, and what is left is divided among the others in proportion to their shares.
 fn water_fill(demand: &[f64], shares: &[f64]) -> Vec<f64> {
     let mut due = vec![0.0; demand.len()];
     let mut left = 1.0_f64;
@@ -121,7 +127,7 @@
     due
 }
 
-/// Parts of a whole as percentages with a slash between.
+/// Formats fractions as percentages separated by slashes.
 fn parts(parts: &[f64]) -> String {
     let texts: Vec<String> = parts.iter().map(|part| format!("{:.1}", part * 100.0)).collect();
     texts.join("/")
@@ -137,7 +143,7 @@
         }
     }
 
-    /// Prints a line for each pool.
+    /// Prints one line for each pool.
     pub(crate) fn print(&self, deployment: &DeploymentSpec, name: RunName<'_>) {
         for pool in 0..self.pools.len() {
             println!("{}", self.line(deployment, name, pool));
--- a/crates/pulley_bench/src/decisions/scenario.rs
+++ b/crates/pulley_bench/src/decisions/scenario.rs
@@ -1,8 +1,8 @@
-//! What happens to a deployment during a run.
+//! The load scenarios: offered load and incidents of a run.
 
 use eyre::{Result, bail};
 
-/// One scenario by name.
+/// The load and the incident that a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadScenario {
     Steady50,
@@ -26,7 +26,7 @@
 }
 
 impl LoadScenario {
-    /// All scenarios.
+    /// All scenarios with their names.
     pub(crate) const ALL: [(&'static str, Self); 18] = [
         ("steady_50", Self::Steady50),
         ("steady_70", Self::Steady70),
@@ -48,20 +48,20 @@
         ("noisy", Self::Noisy),
     ];
 
-    /// Finds a scenario by name.
+    /// Returns the scenario with the given name.
     pub(crate) fn named(name: &str) -> Result<Self> {
         let found = Self::ALL.iter().find(|(known, _)| *known == name);
-        let Some((_, scenario)) = found else { bail!("no scenario {name}") };
+        let Some((_, scenario)) = found else { bail!("unknown scenario {name}") };
         Ok(*scenario)
     }
 
-    /// Its name.
+    /// Returns the scenario's name.
     pub(crate) fn name(self) -> &'static str {
         let found = Self::ALL.iter().find(|(_, known)| *known == self);
         found.map_or("unknown", |(name, _)| name)
     }
 
-    /// Load as a part of the pools' capacity.
+    /// Returns the offered load as a fraction of the pools' capacity.
     pub(crate) const fn load(self) -> f64 {
         match self {
             Self::Steady50 => 0.5,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Arrivals a burst brings at once; one for single arrivals.
+    /// Returns how many calls arrive at once: the burst size, or 1 without bursts.
     pub(crate) const fn burst(self) -> usize {
         match self {
             Self::Bursts | Self::Drain => 12,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether a fifth of the entries gets four fifths of the calls.
+    /// Whether a fifth of the entries receives four fifths of the calls.
     pub(crate) const fn is_skewed(self) -> bool {
         matches!(self, Self::Skewed)
     }
--- a/crates/pulley_bench/src/decisions/shared_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/shared_dispatcher.rs
@@ -1,4 +1,5 @@
-//! The product's own policy: each entry decides at once, on counts shared through coordinators.
+//! The policy of the load balancer itself: each entry schedules its calls without asking others,
+//! based on counts that coordinators share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +17,10 @@
 use super::scenario::LoadScenario;
 use super::sim_world::{MessageBody, PolicyTimer, SimEvent, SimWorld};
 
-/// How long a probe takes, as the brief has it for Kolkhi.
+/// Round-trip time of a probe, as specified for the deployment `kolkhi`.
 const PROBE_TIME: Duration = Duration::from_millis(6);
 
-/// Wakeups are rounded up to this, as a timer service would.
+/// Minimum delay of a timer, because a timer service rounds wakeups up to whole milliseconds.
 const TIMER_STEP: Duration = Duration::from_millis(1);
 
 #[derive(Debug)]
@@ -31,13 +32,13 @@
     retired: bool,
 }
 
-/// Real schedulers on every entry, real coordinators on some.
+/// Runs a real scheduler for each pool on every entry, and real coordinators on the chosen hosts.
 #[derive(Debug, Default)]
 pub(crate) struct SharedDispatcher {
     plan: Arc<IndexedPlan>,
     hosts: Vec<HostId>,
     zones: Vec<ZoneName>,
-    /// By entry, then by pool.
+    /// Indexed by entry, then by pool.
     schedulers: Vec<Vec<PoolScheduler>>,
     wakeups: Vec<Vec<Option<Moment>>>,
     reports: Vec<Vec<Option<Moment>>>,
@@ -117,7 +118,7 @@
         self.hosts.iter().position(|known| known == host)
     }
 
-    /// The coordinator of a pool's zone in the view of a host.
+    /// Returns the host that coordinates a pool in a zone, as `viewer` sees it.
     fn choice(&self, world: &SimWorld, viewer: usize, pool: usize, zone: usize) -> Option<usize> {
         let seen = (0..world.deployment.entries).filter(|host| world.sees(viewer, *host));
         let pool = world.deployment.pool_name(pool).ok()?;
@@ -126,7 +127,7 @@
         self.host_at(chosen)
     }
 
-    /// Starts and retires coordinators, as each live host chooses by its own view.
+    /// Starts and retires coordinators. Each live host decides from its own view of the others.
     fn place_coordinators(&mut self, world: &mut SimWorld) -> Result<()> {
         for host in 0..world.deployment.entries {
             for pool in 0..world.deployment.pools.len() {
@@ -168,8 +169,8 @@
         Ok(())
     }
 
-    /// The hosts' bound on bytes is split over the pools, those that are not simulated included;
-    /// in proportion to the calls they answer.
+    /// Splits a host's limit on control bytes per second among all pools, including those that are
+    /// not simulated, in proportion to their rate of calls.
     fn split_bytes(&mut self, world: &SimWorld) {
         let pools = &world.deployment.pools;
         let simulated: f64 = pools.iter().map(|pool| pool.slots_in_all() / pool.mean_s()).sum();
@@ -181,7 +182,7 @@
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
-                reason = "a part of a small number"
+                reason = "a fraction of a small number"
             )]
             let bytes = (f64::from(COUNT_BYTES_PER_SECOND) * part) as u32;
             placed.coordinator.set_bytes_per_second(bytes);
@@ -267,7 +268,7 @@
 
     fn ended(&mut self, world: &mut SimWorld, call: usize, outcome: AttemptOutcome) {
         let (entry, pool) = (world.calls[call].entry, world.calls[call].pool);
-        // The first upstream says in each answer that it is idle, however busy it is.
+        // The first upstream reports in each answer that it is idle, however busy it is.
         let misleads =
             world.scenario == LoadScenario::MisleadingReport && world.calls[call].upstream == 0;
         let report = misleads.then_some(LoadReport { in_flight: Some(0), ..LoadReport::default() });
--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -1,4 +1,4 @@
-//! The stand-in world of one run: callers, upstreams, ways between them, and virtual time.
+//! State of one simulated run: callers, upstreams, the network between them, and virtual time.
 
 use std::time::Duration;
 
@@ -18,51 +18,54 @@
 use super::scenario::LoadScenario;
 use super::upstream_model::{UpstreamMode, UpstreamModel};
 
-/// Virtual time before figures are taken.
+/// Virtual time before the measurement starts.
 pub(crate) const WARM_UP: Duration = Duration::from_secs(3);
 
-/// Headers of a datagram: IP and UDP 28, the daemon's frame with the sender's name and tag 28.
+/// Header bytes of a datagram: 28 for IP and UDP, and 28 for the daemon's frame with the sender's
+/// name and tag.
 pub(crate) const DATAGRAM_OVERHEAD: usize = 56;
 
-/// From the start of the measured time until some ways fall silent.
+/// Delay after the measured time starts until some connections fall silent.
 const SILENT_AFTER: Duration = Duration::from_secs(2);
 
-/// How long a caller's connection attempt to an unreachable upstream takes to fail.
+/// How long a connection attempt to an unreachable upstream takes to fail.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(20);
 
-/// One call of a caller.
+/// A caller's request, with all its attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct SimCall {
     pub(crate) pool: usize,
     pub(crate) kind: usize,
-    /// The entry that decides for it.
+    /// The entry that schedules the call.
     pub(crate) entry: usize,
-    /// Way from that entry back to the one that the caller spoke to.
+    /// Delay that the answer still has to cover after it has reached `entry`: the way back to the
+    /// entry that the caller is connected to, if the call was forwarded.
     pub(crate) extra_way: Duration,
     pub(crate) arrived: Moment,
     pub(crate) deadline: Moment,
+    /// Service time at an upstream of nominal speed.
     pub(crate) size: Duration,
     pub(crate) upstream: usize,
     pub(crate) attempt: u8,
     pub(crate) avoid: Vec<UpstreamId>,
 }
 
-/// What a policy's timers stand for.
+/// A timer set by a policy.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PolicyTimer {
-    /// A scheduler's tick.
+    /// Ticks a scheduler.
     Tick { entry: usize, pool: usize },
-    /// A scheduler's deltas.
+    /// Sends a scheduler's deltas.
     Delta { entry: usize, pool: usize },
-    /// A coordinator's tick.
+    /// Ticks a coordinator.
     Coordinate { place: usize },
-    /// A probe's answer.
+    /// Delivers the answer to a probe.
     Probed { place: usize, upstream: usize },
-    /// A call arrives at the host it was forwarded to.
+    /// Delivers a forwarded call to its owner.
     Forwarded { call: usize, owner: usize },
 }
 
-/// What one host tells another.
+/// A control message between two hosts.
 #[derive(Clone, Debug)]
 pub(crate) enum MessageBody {
     Delta(Box<CountDelta>),
@@ -72,22 +75,22 @@
     Return { upstream: usize },
 }
 
-/// What happens to the deployment itself.
+/// A step of a scenario's incident.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Incident {
-    /// The load's sources of trouble begin.
+    /// The scenario's fault occurs.
     Begin,
-    /// The hosts know of it.
+    /// The hosts have detected the fault.
     Noticed,
-    /// It ends.
+    /// The fault ends.
     End,
-    /// The hosts know that it has ended.
+    /// The hosts have detected that the fault has ended.
     EndNoticed,
-    /// Each upstream's speed is drawn anew.
+    /// The upstreams slowed by noisy neighbours are drawn again.
     Noise,
 }
 
-/// Everything that can happen.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(crate) enum SimEvent {
     Arrive { pool: usize },
@@ -99,7 +102,7 @@
     Incident(Incident),
 }
 
-/// The world of one run.
+/// State of one simulated run.
 #[derive(Debug)]
 pub(crate) struct SimWorld {
     pub(crate) deployment: DeploymentSpec,
@@ -107,19 +110,20 @@
     pub(crate) now: Moment,
     pub(crate) events: EventQueue<SimEvent>,
     pub(crate) rng: SmallRng,
-    /// Draws what callers do, so that every policy gets the same calls.
+    /// Draws the arrivals and calls. It is separate from `rng` so that every policy gets the same
+    /// calls.
     callers: SmallRng,
     pub(crate) calls: Vec<SimCall>,
     pub(crate) upstreams: Vec<UpstreamModel>,
     pub(crate) first_upstream: Vec<usize>,
     pub(crate) alive: Vec<bool>,
-    /// Hosts that the others know to be lost.
+    /// Whether the other hosts have detected that a host is lost.
     pub(crate) known_lost: Vec<bool>,
-    /// Zone 0 is cut off.
+    /// Whether zone 0 is partitioned from the other zones.
     pub(crate) cut: bool,
-    /// The cut is known.
+    /// Whether the hosts have detected the partition.
     pub(crate) known_cut: bool,
-    /// Upstream 0 of the first pool is known to drain.
+    /// Whether the hosts know that upstream 0 of the first pool is draining.
     pub(crate) known_drain: bool,
     budgets: Vec<RetryBudget>,
     pub(crate) figures: RunFigures,
@@ -165,7 +169,7 @@
     }
 
     // -----------------------------------------------------------------------------------------
-    // What policies ask and do
+    // Queries and actions of the policies
 
     /// Sends a call from its entry to an upstream.
     pub(crate) fn send(&mut self, call: usize, upstream: usize) {
@@ -182,7 +186,7 @@
         self.events.add(at, SimEvent::ReachUpstream { call });
     }
 
-    /// Answers a call that it was not run.
+    /// Records the refusal of a call that was not run.
     pub(crate) fn refuse(&mut self, call: usize) {
         let call = &self.calls[call];
         if self.counts(call.arrived) {
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Sends a control message, unless the way is cut.
+    /// Sends a control message. It is lost if the path is partitioned or silent.
     pub(crate) fn tell(&mut self, from: usize, to: usize, body: MessageBody) {
         let bytes = body.bytes() + DATAGRAM_OVERHEAD;
         if self.now >= self.begin && self.now < self.end && from != to {
@@ -204,19 +208,19 @@
             return;
         }
         let way = if from == to { Duration::ZERO } else { self.deployment.delay(a, b) };
-        // Datagrams wait at the receiver's control thread for a moment that varies.
+        // A datagram waits for a varying time until the receiver's control thread handles it.
         let jitter = Duration::from_micros(self.rng.random_range(20..200));
         self.events.add(self.now + way + jitter, SimEvent::Deliver { from, to, body });
     }
 
-    /// A pool's upstreams that are known to take work, as seen from a zone.
+    /// Returns a pool's upstreams that take work, as known in a zone.
     pub(crate) fn open(&self, pool: usize, from_zone: usize) -> Vec<usize> {
         let first = self.first_upstream[pool];
         let all = first..first + self.deployment.pools[pool].upstreams;
         all.filter(|upstream| self.takes_work(*upstream, from_zone)).collect()
     }
 
-    /// The records of a pool's upstreams, as known in a zone.
+    /// Returns the records of a pool's upstreams, as known in a zone.
     pub(crate) fn records(&self, pool: usize, from_zone: usize) -> Result<Vec<UpstreamRecord>> {
         let mut records = Vec::new();
         for index in 0..self.deployment.pools[pool].upstreams {
@@ -232,14 +236,14 @@
         Ok(records)
     }
 
-    /// Whether a host is live in the view of another.
+    /// Whether `viewer` considers `other` alive.
     pub(crate) fn sees(&self, viewer: usize, other: usize) -> bool {
         let (a, b) = (self.deployment.zone_of(viewer), self.deployment.zone_of(other));
         let cut = self.known_cut && a != b && (a == 0 || b == 0);
         !self.known_lost[other] && !cut
     }
 
-    /// The number of an upstream in the whole deployment.
+    /// Returns the index of the upstream that listens on this port.
     pub(crate) fn upstream_at(&self, port: u16) -> usize {
         let port = usize::from(port) - 1_000;
         self.first_upstream[port / 1_000] + port % 1_000
@@ -252,8 +256,9 @@
         !cut && !drains
     }
 
-    /// Whether something between two hosts has lost track of their connection: one way in twenty,
-    /// from a moment on and for good.
+    /// Whether the network silently drops everything sent from one host to another, as a middlebox
+    /// does that has lost its connection state. This hits one direction in twenty, permanently from
+    /// `SILENT_AFTER` on.
     fn is_silent(&self, from: usize, to: usize) -> bool {
         let begun = self.now >= self.begin + SILENT_AFTER;
         self.scenario == LoadScenario::SilentConnections
@@ -270,9 +275,9 @@
     }
 
     // -----------------------------------------------------------------------------------------
-    // What happens by itself
+    // Events of callers and upstreams
 
-    /// Draws the calls of one arrival and when the next comes.
+    /// Draws the calls that arrive now, and schedules the next arrival.
     pub(crate) fn arrivals(&mut self, pool: usize) -> Vec<usize> {
         let spec = &self.deployment.pools[pool];
         let burst = self.scenario.burst();
@@ -295,7 +300,7 @@
             pick -= kinds[kind].part;
             kind += 1;
         }
-        // Log-normal with a coefficient of variation of 1, as the sketch in the design has it.
+        // Log-normal with a coefficient of variation of 1, as the design assumes.
         let sigma = std::f64::consts::LN_2.sqrt();
         let mu = (kinds[kind].mean_ms / 1_000.0).ln() - sigma * sigma / 2.0;
         let sizes = LogNormal::new(mu, sigma).expect("sigma is finite");
@@ -327,7 +332,7 @@
             let few = self.scenario.is_skewed() && self.callers.random::<f64>() < 0.8;
             let among = if few { entries / 5 } else { entries };
             let entry = self.callers.random_range(0..among);
-            // The platform's balancer skips a lost host as soon as connections to it fail.
+            // The platform's load balancer skips a lost host as soon as connections to it fail.
             if self.alive[entry] {
                 return entry;
             }
@@ -343,7 +348,7 @@
         }
     }
 
-    /// Starts a call's work in a free slot of its upstream.
+    /// Starts a call in a free slot of its upstream.
     pub(crate) fn occupy(&mut self, call: usize) {
         let upstream = &mut self.upstreams[self.calls[call].upstream];
         upstream.busy += 1;
@@ -351,7 +356,7 @@
         self.events.add(at, SimEvent::EndAtUpstream { call });
     }
 
-    /// Ends a call's work and sends the answer on its way.
+    /// Ends a call at its upstream and sends the answer to the call's entry.
     pub(crate) fn end_at_upstream(&mut self, call: usize) {
         let upstream = &mut self.upstreams[self.calls[call].upstream];
         upstream.busy -= 1;
@@ -370,7 +375,7 @@
         self.events.add(at, SimEvent::ReachEntry { call, outcome });
     }
 
-    /// Notes a call's outcome at its entry; true if it is to be tried again.
+    /// Records the outcome of an attempt at the call's entry. Returns whether the call is retried.
     pub(crate) fn conclude(&mut self, number: usize, outcome: AttemptOutcome) -> bool {
         if outcome == AttemptOutcome::Answered {
             self.note_answer(number);
--- a/crates/pulley_bench/src/decisions/simulation.rs
+++ b/crates/pulley_bench/src/decisions/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario with one policy to its end.
+//! Runs the event loop of one scenario with one policy.
 
 use eyre::{Result, bail};
 use pulley_core::Moment;
@@ -14,11 +14,11 @@
 use super::shared_dispatcher::SharedDispatcher;
 use super::sim_world::{Incident, SimEvent, SimWorld};
 
-/// The policies' names.
+/// Names of all policies.
 pub(crate) const POLICIES: [&str; 6] =
     ["shared", "own_p2c", "lease", "forward", "random", "central"];
 
-/// Runs one scenario with one policy.
+/// Simulates one scenario with one policy until no event is left, and returns the figures.
 pub(crate) fn simulate(
     deployment: &DeploymentSpec,
     scenario: LoadScenario,
@@ -32,7 +32,7 @@
         "forward" => Box::new(ForwardDispatcher::default()),
         "random" => Box::new(RandomDispatcher),
         "central" => Box::new(CentralDispatcher::default()),
-        other => bail!("no policy {other}; known are {}", POLICIES.join(", ")),
+        other => bail!("unknown policy {other}; expected one of {}", POLICIES.join(", ")),
     };
     let mut world = SimWorld::new(deployment.clone(), scenario, seed);
     incidents::plan(&mut world);
--- a/crates/pulley_bench/src/decisions/upstream_model.rs
+++ b/crates/pulley_bench/src/decisions/upstream_model.rs
@@ -1,24 +1,25 @@
-//! A stand-in upstream: slots, a queue of its own, and ways to misbehave.
+//! Model of an upstream: slots, a FIFO queue, and modes in which it is slow or fails.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use pulley_core::Moment;
 
-/// How an upstream behaves from a moment on.
+/// How an upstream behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum UpstreamMode {
-    /// As announced.
+    /// Works at its nominal speed.
     Well,
-    /// So many times slower.
+    /// Takes longer by this factor.
     Slow(f64),
-    /// Every request fails after a millisecond.
+    /// Fails every request after a millisecond.
     FailingFast,
-    /// Five times slower at first, well after three seconds.
+    /// Takes five times as long at the given time, and reaches its nominal speed linearly within
+    /// three seconds.
     Cold(Moment),
 }
 
-/// One stand-in upstream.
+/// A modelled upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamModel {
     pub(crate) pool: usize,
@@ -40,7 +41,8 @@
         Self { pool, index, zone, slots, mode: UpstreamMode::Well, busy: 0, queue }
     }
 
-    /// How long a request of this size holds a slot when it starts now.
+    /// Returns how long a request holds its slot if it starts now. `size` is its service time at
+    /// nominal speed.
     pub(crate) fn service_time(&self, now: Moment, size: Duration) -> Duration {
         match self.mode {
             UpstreamMode::Well => size,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Whether a request that ends now is answered well.
+    /// Whether a request that ends now succeeds.
     pub(crate) fn answers(&self) -> bool {
         self.mode != UpstreamMode::FailingFast
     }
--- a/crates/pulley_bench/src/fleet/daemon_fleet.rs
+++ b/crates/pulley_bench/src/fleet/daemon_fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons of one installation as processes of this machine.
+//! Runs the daemons of one installation as processes on this machine.
 
 use std::fs::{self, File};
 use std::io::{Read, Write};
@@ -13,23 +13,24 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// The installation's key; its hosts listen on loopback only and live as long as the bench.
+/// The installation's key. It can be fixed because the hosts listen on loopback only and are ended
+/// with the benchmark.
 const KEY: &str = "the-key-of-a-bench-on-loopback-0123456789";
 
-/// How long anything may take to come about.
+/// How long to wait for a condition before giving up.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// The listeners of one daemon, in the order of [`DaemonProcess::addresses`].
+/// Names of a daemon's listeners, in the order of [`DaemonProcess::addresses`].
 const LISTENERS: [&str; 4] = ["callers", "upstreams", "operators", "peers"];
 
-/// What a fleet is made of.
+/// Parameters of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetPlan {
-    /// Daemons in all.
+    /// Number of daemons.
     pub(crate) hosts: usize,
-    /// How many of them hold the log.
+    /// How many of the daemons are replicas, which hold the log.
     pub(crate) replicas: usize,
-    /// Whether entries share counts or go by their own.
+    /// Whether the entries share counts or use only their own.
     pub(crate) share_counts: bool,
 }
 
@@ -39,28 +40,29 @@
     child: Child,
 }
 
-/// Running daemons; they are ended when the fleet is dropped.
+/// Running daemons. Dropping the fleet kills them.
 #[derive(Debug)]
 pub(crate) struct DaemonFleet {
     hosts: Vec<DaemonProcess>,
     _folder: TempDir,
 }
 
-/// What a fleet has cost so far, or between two looks; one number a host.
+/// Resource usage of a fleet, up to a sample or between two samples. The vectors hold one value for
+/// each host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetCost {
-    /// When it was looked at, in seconds.
+    /// Time of the sample, or time between two samples, in seconds.
     pub(crate) at: f64,
     /// Processor time, in seconds.
     pub(crate) processor: Vec<f64>,
-    /// Bytes sent for control, without IP's headers.
+    /// Control bytes sent, without IP headers.
     pub(crate) control_bytes: Vec<f64>,
     /// Resident memory, in MB.
     pub(crate) resident_mb: Vec<f64>,
 }
 
 impl FleetCost {
-    /// What came on top since an earlier look; memory as it is now.
+    /// Returns the usage since an earlier sample. Memory is the current value.
     pub(crate) fn since(&self, earlier: &Self) -> Self {
         let minus = |now: &[f64], then: &[f64]| -> Vec<f64> {
             now.iter().zip(then).map(|(now, then)| now - then).collect()
@@ -75,7 +77,7 @@
 }
 
 impl DaemonFleet {
-    /// Starts daemons and waits until they listen.
+    /// Starts the daemons and waits until they listen.
     pub(crate) fn start(plan: FleetPlan) -> Result<Self> {
         let folder = TempDir::new()?;
         fs::write(folder.path().join("secret"), format!("{KEY}\n"))?;
@@ -107,17 +109,17 @@
         Ok(Self { hosts, _folder: folder })
     }
 
-    /// Where callers reach the entries.
+    /// Returns the addresses on which the entries accept callers.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|host| host.addresses[0]).collect()
     }
 
-    /// Where upstreams announce themselves.
+    /// Returns the addresses to which upstreams announce themselves.
     pub(crate) fn announce_addresses(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|host| host.addresses[1]).collect()
     }
 
-    /// Puts a sheet in force as the first version, and waits until all hosts serve by it.
+    /// Applies a sheet as the first version and waits until all hosts are ready to serve it.
     pub(crate) fn apply_sheet(&self, sheet: &str) -> Result<()> {
         let body = json!({
             "change_id": "bench-1", "actor": "bench", "expect": 0, "sheet": sheet,
@@ -141,7 +143,7 @@
         })
     }
 
-    /// What the fleet has cost so far.
+    /// Samples the fleet's resource usage.
     pub(crate) fn cost(&self) -> Result<FleetCost> {
         let statuses = self.statuses()?;
         let sent = |status: &Value| status.pointer("/control/sent_bytes").and_then(Value::as_f64);
@@ -171,7 +173,7 @@
 // -------------------------------------------------------------------------------------------------
 // Processes
 
-/// The daemon that was built beside this program.
+/// Returns the path of the daemon that was built next to this program.
 fn daemon_path() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let path = own.with_file_name("pulleyd");
@@ -184,7 +186,7 @@
 fn launch(mut command: Command, log: &Path) -> Result<DaemonProcess> {
     let output = File::create(log)?;
     command.env_clear().stdin(Stdio::null()).stdout(output.try_clone()?).stderr(output);
-    let child = command.spawn().wrap_err("the daemon does not start")?;
+    let child = command.spawn().wrap_err("the daemon could not be started")?;
     let mut host = DaemonProcess { addresses: [SocketAddr::from(([127, 0, 0, 1], 0)); 4], child };
     let mut found = None;
     let listens = await_that("the daemon listens", || {
@@ -211,7 +213,7 @@
 }
 
 fn processor_time(id: u32) -> f64 {
-    /// The kernel counts in hundredths of a second on every platform this runs on.
+    /// Clock ticks per second; 100 on every platform that this runs on.
     const TICKS: f64 = 100.0;
     let text = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or("").split(' ').collect();
@@ -233,13 +235,13 @@
 }
 
 // -------------------------------------------------------------------------------------------------
-// Questions
+// Requests
 
 fn await_that(what: &str, mut condition: impl FnMut() -> bool) -> Result<()> {
     let began = Instant::now();
     while !condition() {
         if began.elapsed() > PATIENCE {
-            return Err(eyre!("not in time: {what}"));
+            return Err(eyre!("timed out waiting: {what}"));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
--- a/crates/pulley_bench/src/fleet/fleet_report.rs
+++ b/crates/pulley_bench/src/fleet/fleet_report.rs
@@ -1,4 +1,4 @@
-//! Adds up rounds and prints one line of key=value pairs.
+//! Aggregates the rounds of a run and prints them as one line of key=value pairs.
 
 use hdrhistogram::Histogram;
 
@@ -7,7 +7,7 @@
 use super::open_load::{LONGEST_MICROS, OpenLoadResult};
 use super::pool_upstreams::UpstreamCounts;
 
-/// All rounds of one way.
+/// Aggregated figures of all rounds, either with shared counts or without.
 #[derive(Debug)]
 pub(super) struct FleetReport {
     share_counts: bool,
--- a/crates/pulley_bench/src/fleet/mod.rs
+++ b/crates/pulley_bench/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! A whole installation on this machine: real daemons, stand-in upstreams with slots, open load.
+//! Measures a whole installation on this machine: real daemons, stand-in upstreams with slots, and
+//! open-loop load.
 //!
-//! Where `decisions` shows what the policy can do in virtual time, this shows what the daemons
-//! make of it: with `--compare` the same load goes to entries that share counts and to entries
-//! that go by their own, in turns.
+//! While `decisions` measures the policy in virtual time, this measures the daemons that implement
+//! it. With `--compare`, rounds alternate between daemons that share counts and daemons that use
+//! only their own counts, under the same load.
 
 mod daemon_fleet;
 mod fleet_report;
@@ -20,13 +21,14 @@
 use open_load::{OpenLoad, OpenLoadPlan};
 use pool_upstreams::{PoolUpstreams, UpstreamPlan};
 
-/// Threads of the callers and of the upstreams, so that they are not what is measured.
+/// Worker threads for callers and upstreams, enough that they do not limit the measurement.
 const SIDE_THREADS: usize = 4;
 
-/// How long the load runs before it is measured: connections are made, counts settle.
+/// How long the load runs before it is measured, so that connections are open and counts have
+/// settled.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// What a run is asked for.
+/// Options of the subcommand.
 #[derive(Clone, Debug)]
 struct FleetOptions {
     hosts: usize,
--- a/crates/pulley_bench/src/fleet/open_load.rs
+++ b/crates/pulley_bench/src/fleet/open_load.rs
@@ -1,4 +1,4 @@
-//! Callers that send at a given rate whether or not earlier answers have come.
+//! Open-loop load: callers send at a given rate whether or not earlier calls have been answered.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,43 +16,45 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The longest latency recorded, in microseconds; longer ones count as this long.
+/// The highest latency that the histograms hold, in microseconds. Higher ones are recorded as this
+/// value.
 pub(super) const LONGEST_MICROS: u64 = 60_000_000;
 
-/// How late a caller may be before the run counts as one whose callers could not keep up.
+/// Delay after which a call counts as sent late. Late calls show that the callers themselves could
+/// not keep up.
 const LATE: Duration = Duration::from_millis(5);
 
-/// What load is made.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenLoadPlan {
-    /// The entries, one of them at random for each call.
+    /// The entries; each call goes to a random one.
     pub(crate) entries: Vec<SocketAddr>,
-    /// The path asked for.
+    /// Path of the requests.
     pub(crate) path: String,
-    /// Calls a second, arriving at random.
+    /// Mean calls per second, with Poisson arrivals.
     pub(crate) rate: f64,
-    /// How long it runs before it is measured.
+    /// How long the load runs before it is measured.
     pub(crate) warm_up: Duration,
-    /// How long it is measured.
+    /// How long the load is measured.
     pub(crate) duration: Duration,
-    /// Seed of arrivals and entries.
+    /// Seed for arrivals and the choice of entries.
     pub(crate) seed: u64,
 }
 
-/// What the callers saw.
+/// Results seen by the callers.
 #[derive(Debug)]
 pub(crate) struct OpenLoadResult {
-    /// Microseconds from when a call was due to its whole answer; successes only.
+    /// Microseconds from when a call was due until its answer was complete; successes only.
     pub(crate) latencies: Histogram<u64>,
-    /// Calls refused as not run.
+    /// Calls refused with the verdict `not-run`.
     pub(crate) refused: u64,
-    /// Calls that failed otherwise.
+    /// Calls that failed in another way.
     pub(crate) failed: u64,
-    /// Calls that left more than 5 ms late because the callers' own threads were busy.
+    /// Calls sent more than 5 ms late because the callers' own threads were busy.
     pub(crate) late: u64,
 }
 
-/// One run's callers.
+/// The callers of one run.
 #[derive(Debug)]
 pub(crate) struct OpenLoad {
     plan: OpenLoadPlan,
@@ -78,7 +80,7 @@
         let _ = self.run(self.plan.warm_up, !self.plan.seed).await;
     }
 
-    /// Runs the load and measures.
+    /// Runs the load and returns its results.
     pub(crate) async fn measure(&self) -> OpenLoadResult {
         self.run(self.plan.duration, self.plan.seed).await
     }
@@ -118,8 +120,8 @@
         result
     }
 
-    /// Latency counts from when the call was due, so that a caller held up by a slow answer to
-    /// another one does not hide it.
+    /// Makes one call. Its latency counts from when the call was due, so that a call sent late,
+    /// while another one's slow answer holds the callers up, does not hide that delay.
     fn call(
         &self,
         entry: SocketAddr,
--- a/crates/pulley_bench/src/fleet/pool_upstreams.rs
+++ b/crates/pulley_bench/src/fleet/pool_upstreams.rs
@@ -1,4 +1,4 @@
-//! Stand-in upstreams that work on as many requests at once as they have slots.
+//! Stand-in upstreams that work on as many concurrent requests as they have slots.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,31 +23,31 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// How often an upstream announces itself.
+/// Interval at which an upstream announces itself.
 const ANNOUNCE_PACE: Duration = Duration::from_secs(1);
 
-/// How much longer than asked a sleep takes on average: the timer counts whole milliseconds and
-/// rounds up. Left in, it would raise the load by a twentieth at 20 ms.
+/// How much longer than requested a sleep takes on average, because the timer rounds up to whole
+/// milliseconds. Without this correction, the load would be 5% higher at 20 ms.
 const TIMER_EXCESS: Duration = Duration::from_millis(1);
 
-/// What the upstreams are like.
+/// Parameters of the upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamPlan {
-    /// Their pool.
+    /// Pool that the upstreams announce.
     pub(crate) pool: String,
-    /// How many.
+    /// Number of upstreams.
     pub(crate) count: usize,
-    /// Requests that each works on at once; further ones wait inside.
+    /// Requests that an upstream works on at once. Further requests wait in the upstream.
     pub(crate) slots: u32,
     /// Mean service time; log-normal with a coefficient of variation of 1.
     pub(crate) service: Duration,
-    /// The hosts they announce themselves to, one after the other.
+    /// The hosts that the upstreams announce themselves to, in round-robin order.
     pub(crate) announce_to: Vec<SocketAddr>,
-    /// Seed of the service times.
+    /// Seed for the service times.
     pub(crate) seed: u64,
 }
 
-/// What the upstreams saw.
+/// Requests counted by the upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UpstreamCounts {
     /// Requests that found a free slot or waited for one.
@@ -62,7 +62,7 @@
     collisions: AtomicU64,
 }
 
-/// Running upstreams; they end with their runtime.
+/// Running upstreams; they stop when their runtime is dropped.
 #[derive(Debug)]
 pub(crate) struct PoolUpstreams {
     counters: Arc<UpstreamCounters>,
@@ -77,7 +77,7 @@
 }
 
 impl PoolUpstreams {
-    /// Starts them on the current runtime.
+    /// Starts the upstreams on the current runtime.
     pub(crate) async fn start(plan: UpstreamPlan) -> Result<Self> {
         let counters = Arc::new(UpstreamCounters::default());
         // For a log-normal with mean m and cv 1: sigma² = ln 2, mu = ln m - sigma²/2.
@@ -98,13 +98,13 @@
         Ok(Self { counters })
     }
 
-    /// Starts counting anew.
+    /// Resets the counters.
     pub(crate) fn reset(&self) {
         self.counters.requests.store(0, Ordering::Relaxed);
         self.counters.collisions.store(0, Ordering::Relaxed);
     }
 
-    /// What they saw since.
+    /// Returns the counts since the last reset.
     pub(crate) fn counts(&self) -> UpstreamCounts {
         UpstreamCounts {
             requests: self.counters.requests.load(Ordering::Relaxed),
--- a/crates/pulley_bench/src/main.rs
+++ b/crates/pulley_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements over stand-in callers and upstreams, one line of key=value pairs a run.
+//! Benchmarks with stand-in callers and upstreams. Each run prints one line of key=value pairs.
 
 mod capacity;
 mod decisions;
