--- a/crates/pulley_bench/src/decisions/deployment.rs
+++ b/crates/pulley_bench/src/decisions/deployment.rs
@@ -20,7 +20,7 @@
     pub(crate) share_pct: u16,
     pub(crate) reserved: u32,
     /// Fraction of the pool's calls that are of this kind.
-    pub(crate) part: f64,
+    pub(crate) call_fraction: f64,
     /// Mean service time, in milliseconds.
     pub(crate) mean_ms: f64,
     pub(crate) deadline_ms: u64,
@@ -46,23 +46,23 @@
     pub(crate) entries: usize,
     pub(crate) pools: Vec<PoolSpec>,
     /// One-way delay within a zone.
-    pub(crate) near: Duration,
+    pub(crate) same_zone_delay: Duration,
     /// One-way delay between zones of the same region.
-    pub(crate) far: Duration,
+    pub(crate) cross_zone_delay: Duration,
     /// One-way delay between regions.
-    pub(crate) between_regions: Duration,
+    pub(crate) cross_region_delay: Duration,
     /// The first zone of the second region; all later zones are in it too.
-    pub(crate) second_region: usize,
+    pub(crate) second_region_start: usize,
     /// Virtual time that is measured, after the warm-up.
-    pub(crate) measured: Duration,
+    pub(crate) measured_time: Duration,
     /// Number of pools on each host. Those that are not simulated still count, because their
     /// coordinators need a part of the host's byte rate.
-    pub(crate) pools_in_all: usize,
+    pub(crate) total_pools: usize,
 }
 
 impl DeploymentSpec {
     /// Returns the deployment with the given name.
-    pub(crate) fn named(name: &str) -> Result<Self> {
+    pub(crate) fn from_name(name: &str) -> Result<Self> {
         match name {
             "kolkhi" => Ok(kolkhi()),
             "abay" => Ok(abay()),
@@ -77,7 +77,7 @@
     pub(crate) const NAMES: [&'static str; 3] = ["kolkhi", "abay", "two_years"];
 
     /// Returns the deployment with the kinds that a scenario needs.
-    pub(crate) fn in_scenario(mut self, scenario: LoadScenario) -> Self {
+    pub(crate) fn for_scenario(mut self, scenario: LoadScenario) -> Self {
         if scenario == LoadScenario::LongShort {
             self.pools[0].kinds = mixed_kinds(20.0);
         }
@@ -102,13 +102,13 @@
     }
 
     /// Returns the one-way delay between two zones.
-    pub(crate) fn delay(&self, from: usize, to: usize) -> Duration {
+    pub(crate) fn one_way_delay(&self, from: usize, to: usize) -> Duration {
         if from == to {
-            self.near
-        } else if (from < self.second_region) == (to < self.second_region) {
-            self.far
+            self.same_zone_delay
+        } else if (from < self.second_region_start) == (to < self.second_region_start) {
+            self.cross_zone_delay
         } else {
-            self.between_regions
+            self.cross_region_delay
         }
     }
 
@@ -125,12 +125,12 @@
     }
 
     /// Returns the index of a kind's row in the plan.
-    pub(crate) fn row(&self, pool: usize, kind: usize) -> usize {
+    pub(crate) fn kind_row(&self, pool: usize, kind: usize) -> usize {
         self.pools[..pool].iter().map(|pool| pool.kinds.len()).sum::<usize>() + kind
     }
 
     /// Returns the record of a pool's upstream, as announced.
-    pub(crate) fn record(&self, pool: usize, index: usize) -> Result<UpstreamRecord> {
+    pub(crate) fn upstream_record(&self, pool: usize, index: usize) -> Result<UpstreamRecord> {
         let spec = &self.pools[pool];
         let port = u16::try_from(1_000 + pool * 1_000 + index)?;
         let announcement = Announcement {
@@ -150,13 +150,13 @@
 
 impl PoolSpec {
     /// Returns the mean service time of a call over all kinds, in seconds.
-    pub(crate) fn mean_s(&self) -> f64 {
-        self.kinds.iter().map(|kind| kind.part * kind.mean_ms / 1_000.0).sum()
+    pub(crate) fn mean_service_s(&self) -> f64 {
+        self.kinds.iter().map(|kind| kind.call_fraction * kind.mean_ms / 1_000.0).sum()
     }
 
     /// Returns the number of slots of all upstreams together.
     #[expect(clippy::cast_precision_loss, reason = "sizes are small")]
-    pub(crate) fn slots_in_all(&self) -> f64 {
+    pub(crate) fn total_slots(&self) -> f64 {
         self.upstreams as f64 * f64::from(self.slots)
     }
 }
@@ -182,12 +182,12 @@
 /// Returns three kinds of short work: `first`, `usual` and `background` with 20%, 60% and 20% of
 /// the calls.
 fn short_kinds(mean_ms: f64, reserved: u32) -> Vec<KindSpec> {
-    let kind = |name, priority, share_pct, part, reserved| KindSpec {
+    let kind = |name, priority, share_pct, call_fraction, reserved| KindSpec {
         name,
         priority,
         share_pct,
         reserved,
-        part,
+        call_fraction,
         mean_ms,
         deadline_ms: 500,
         long: false,
@@ -201,14 +201,14 @@
 
 /// Returns two kinds: short reads of top priority with 80% of the calls, and long work with 20%,
 /// which takes ten times as long.
-fn mixed_kinds(short_ms: f64) -> Vec<KindSpec> {
+fn mixed_kinds(short_mean_ms: f64) -> Vec<KindSpec> {
     let short = KindSpec {
         name: "read",
         priority: 0,
         share_pct: 40,
         reserved: 2,
-        part: 0.8,
-        mean_ms: short_ms,
+        call_fraction: 0.8,
+        mean_ms: short_mean_ms,
         deadline_ms: 500,
         long: false,
     };
@@ -217,8 +217,8 @@
         priority: 4,
         share_pct: 60,
         reserved: 0,
-        part: 0.2,
-        mean_ms: short_ms * 10.0,
+        call_fraction: 0.2,
+        mean_ms: short_mean_ms * 10.0,
         deadline_ms: 5_000,
         long: true,
     };
@@ -245,12 +245,12 @@
             pool("binding", 7, 2, 2_000, short_kinds(30.0, 1)),
             pool("loss", 6, 2, 2_000, mixed_kinds(20.0)),
         ],
-        near: Duration::from_micros(100),
-        far: Duration::from_micros(500),
-        between_regions: Duration::from_micros(500),
-        second_region: usize::MAX,
-        measured: Duration::from_secs(40),
-        pools_in_all: 3,
+        same_zone_delay: Duration::from_micros(100),
+        cross_zone_delay: Duration::from_micros(500),
+        cross_region_delay: Duration::from_micros(500),
+        second_region_start: usize::MAX,
+        measured_time: Duration::from_secs(40),
+        total_pools: 3,
     }
 }
 
@@ -264,12 +264,12 @@
             pool("refund", 9, 6, 1_000, short_kinds(30.0, 2)),
             pool("manifest", 8, 6, 1_000, mixed_kinds(20.0)),
         ],
-        near: Duration::from_micros(200),
-        far: Duration::from_micros(1_500),
-        between_regions: Duration::from_micros(1_500),
-        second_region: usize::MAX,
-        measured: Duration::from_secs(30),
-        pools_in_all: 3,
+        same_zone_delay: Duration::from_micros(200),
+        cross_zone_delay: Duration::from_micros(1_500),
+        cross_region_delay: Duration::from_micros(1_500),
+        second_region_start: usize::MAX,
+        measured_time: Duration::from_secs(30),
+        total_pools: 3,
     }
 }
 
@@ -281,11 +281,11 @@
         zones: 5,
         entries: 120,
         pools: vec![pool("sampled", 27, 8, 2_000, short_kinds(20.0, 4))],
-        near: Duration::from_micros(150),
-        far: Duration::from_micros(500),
-        between_regions: Duration::from_millis(10),
-        second_region: 3,
-        measured: Duration::from_secs(10),
-        pools_in_all: 44,
+        same_zone_delay: Duration::from_micros(150),
+        cross_zone_delay: Duration::from_micros(500),
+        cross_region_delay: Duration::from_millis(10),
+        second_region_start: 3,
+        measured_time: Duration::from_secs(10),
+        total_pools: 44,
     }
 }
--- a/crates/pulley_bench/src/decisions/event_queue.rs
+++ b/crates/pulley_bench/src/decisions/event_queue.rs
@@ -9,30 +9,30 @@
 #[derive(Debug)]
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(Moment, u64, usize)>>,
-    bodies: Vec<Option<E>>,
-    unused: Vec<usize>,
-    added: u64,
+    events: Vec<Option<E>>,
+    free_indices: Vec<usize>,
+    sequence: u64,
 }
 
 impl<E> EventQueue<E> {
     pub(crate) fn new() -> Self {
-        Self { heap: BinaryHeap::new(), bodies: Vec::new(), unused: Vec::new(), added: 0 }
+        Self { heap: BinaryHeap::new(), events: Vec::new(), free_indices: Vec::new(), sequence: 0 }
     }
 
-    pub(crate) fn add(&mut self, at: Moment, event: E) {
-        let place = self.unused.pop().unwrap_or_else(|| {
-            self.bodies.push(None);
-            self.bodies.len() - 1
+    pub(crate) fn schedule(&mut self, at: Moment, event: E) {
+        let index = self.free_indices.pop().unwrap_or_else(|| {
+            self.events.push(None);
+            self.events.len() - 1
         });
-        self.bodies[place] = Some(event);
-        self.added += 1;
-        self.heap.push(Reverse((at, self.added, place)));
+        self.events[index] = Some(event);
+        self.sequence += 1;
+        self.heap.push(Reverse((at, self.sequence, index)));
     }
 
     pub(crate) fn pop(&mut self) -> Option<(Moment, E)> {
-        let Reverse((at, _, place)) = self.heap.pop()?;
-        self.unused.push(place);
-        let event = self.bodies[place].take()?;
+        let Reverse((at, _, index)) = self.heap.pop()?;
+        self.free_indices.push(index);
+        let event = self.events[index].take()?;
         Some((at, event))
     }
 }
--- a/crates/pulley_bench/src/decisions/forward_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/forward_dispatcher.rs
@@ -26,28 +26,30 @@
         (pool * OWNERS + owner) % world.deployment.entries
     }
 
-    fn carry_out(world: &mut SimWorld, effects: Vec<SchedulerEffect>) {
+    fn apply_effects(world: &mut SimWorld, effects: Vec<SchedulerEffect>) {
         for effect in effects {
             match effect {
                 SchedulerEffect::Start { number, address, .. } => {
-                    let upstream = world.upstream_at(address.port());
-                    world.send(call_of(number), upstream);
+                    let upstream = world.upstream_by_port(address.port());
+                    world.send_call(call_index(number), upstream);
                 }
-                SchedulerEffect::Refuse { number, .. } => world.refuse(call_of(number)),
+                SchedulerEffect::Refuse { number, .. } => world.refuse(call_index(number)),
             }
         }
     }
 
-    fn rearm(&self, world: &mut SimWorld, pool: usize, owner: usize) {
+    fn schedule_tick(&self, world: &mut SimWorld, pool: usize, owner: usize) {
         if let Some(at) = self.owners[pool][owner].next_wakeup() {
             let at = at.max(world.now + std::time::Duration::from_millis(1));
-            world.events.add(at, SimEvent::Timer(PolicyTimer::Tick { entry: owner, pool }));
+            world
+                .events
+                .schedule(at, SimEvent::Timer(PolicyTimer::SchedulerTick { entry: owner, pool }));
         }
     }
 }
 
 impl Dispatcher for ForwardDispatcher {
-    fn begin(&mut self, world: &mut SimWorld) -> Result<()> {
+    fn start(&mut self, world: &mut SimWorld) -> Result<()> {
         let plan = Arc::new(world.deployment.plan()?.into());
         for pool in 0..world.deployment.pools.len() {
             let mut owners = Vec::new();
@@ -61,7 +63,7 @@
                     world.rng.random(),
                 );
                 scheduler.apply_plan(world.now, Arc::clone(&plan));
-                let records = world.records(pool, zone)?;
+                let records = world.upstream_records(pool, zone)?;
                 let own: Vec<_> = records.into_iter().skip(owner).step_by(OWNERS).collect();
                 scheduler.apply_upstreams(world.now, &own);
                 owners.push(scheduler);
@@ -71,43 +73,43 @@
         Ok(())
     }
 
-    fn arrive(&mut self, world: &mut SimWorld, call: usize) {
+    fn on_arrival(&mut self, world: &mut SimWorld, call: usize) {
         let pool = world.calls[call].pool;
         let owner = world.rng.random_range(0..OWNERS);
         let host = Self::owner_host(world, pool, owner);
-        let home = world.deployment.zone_of(world.calls[call].entry);
-        let way = world.deployment.delay(home, world.deployment.zone_of(host));
+        let entry_zone = world.deployment.zone_of(world.calls[call].entry);
+        let delay = world.deployment.one_way_delay(entry_zone, world.deployment.zone_of(host));
         if world.calls[call].attempt == 0 {
-            world.calls[call].extra_way = way;
+            world.calls[call].extra_delay = delay;
         }
         world.calls[call].entry = host;
-        let timer = PolicyTimer::Forwarded { call, owner };
-        world.events.add(world.now + way, SimEvent::Timer(timer));
+        let timer = PolicyTimer::DeliverForwarded { call, owner };
+        world.events.schedule(world.now + delay, SimEvent::Timer(timer));
     }
 
-    fn ended(&mut self, world: &mut SimWorld, call: usize, outcome: AttemptOutcome) {
+    fn on_outcome(&mut self, world: &mut SimWorld, call: usize, outcome: AttemptOutcome) {
         let pool = world.calls[call].pool;
         let upstream = world.upstreams[world.calls[call].upstream].index;
         let scheduler = &mut self.owners[pool][upstream % OWNERS];
-        let effects = scheduler.finish(world.now, number_of(call), outcome, None);
-        Self::carry_out(world, effects);
+        let effects = scheduler.finish(world.now, request_number(call), outcome, None);
+        Self::apply_effects(world, effects);
     }
 
-    fn timer(&mut self, world: &mut SimWorld, timer: PolicyTimer) {
+    fn on_timer(&mut self, world: &mut SimWorld, timer: PolicyTimer) {
         match timer {
-            PolicyTimer::Forwarded { call, owner } => {
+            PolicyTimer::DeliverForwarded { call, owner } => {
                 let pool = world.calls[call].pool;
-                let ticket = ticket(world, call);
+                let ticket = request_ticket(world, call);
                 let effects = self.owners[pool][owner].arrive(world.now, &ticket);
                 let waits = effects.is_empty();
-                Self::carry_out(world, effects);
+                Self::apply_effects(world, effects);
                 if waits {
-                    self.rearm(world, pool, owner);
+                    self.schedule_tick(world, pool, owner);
                 }
             }
-            PolicyTimer::Tick { entry, pool } => {
+            PolicyTimer::SchedulerTick { entry, pool } => {
                 let effects = self.owners[pool][entry].tick(world.now);
-                Self::carry_out(world, effects);
+                Self::apply_effects(world, effects);
             }
             _ => {}
         }
@@ -115,11 +117,11 @@
 }
 
 /// Returns the ticket that a scheduler takes for a call.
-pub(crate) fn ticket(world: &SimWorld, number: usize) -> RequestTicket {
+pub(crate) fn request_ticket(world: &SimWorld, number: usize) -> RequestTicket {
     let call = &world.calls[number];
     RequestTicket {
-        number: number_of(number),
-        kind: world.deployment.row(call.pool, call.kind),
+        number: request_number(number),
+        kind: world.deployment.kind_row(call.pool, call.kind),
         deadline: call.deadline,
         target: None,
         attempt: call.attempt,
@@ -128,11 +130,11 @@
 }
 
 /// Returns the request number for the call with this index.
-pub(crate) fn number_of(call: usize) -> RequestNumber {
+pub(crate) fn request_number(call: usize) -> RequestNumber {
     RequestNumber(call as u64)
 }
 
 /// Returns the index of the call with this request number.
-pub(crate) fn call_of(number: RequestNumber) -> usize {
+pub(crate) fn call_index(number: RequestNumber) -> usize {
     usize::try_from(number.0).unwrap_or(usize::MAX)
 }
--- a/crates/pulley_bench/src/decisions/lease_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/lease_dispatcher.rs
@@ -13,67 +13,70 @@
 #[derive(Debug, Default)]
 pub(crate) struct LeaseDispatcher {
     waiting: Vec<BTreeSet<(u8, usize)>>,
-    leased: Vec<u32>,
+    leased_slots: Vec<u32>,
 }
 
 impl LeaseDispatcher {
-    fn host(world: &SimWorld, pool: usize) -> usize {
+    fn coordinator_host(world: &SimWorld, pool: usize) -> usize {
         pool % world.deployment.entries
     }
 
-    fn grant(&mut self, world: &mut SimWorld, pool: usize) {
-        let host = Self::host(world, pool);
+    fn grant_waiting(&mut self, world: &mut SimWorld, pool: usize) {
+        let host = Self::coordinator_host(world, pool);
         while let Some((priority, call)) = self.waiting[pool].first().copied() {
             if world.calls[call].deadline <= world.now {
                 self.waiting[pool].remove(&(priority, call));
                 world.refuse(call);
                 continue;
             }
-            let open = world.open(pool, world.deployment.zone_of(host)).into_iter();
-            let free =
-                open.filter(|upstream| self.leased[*upstream] < world.upstreams[*upstream].slots);
-            let Some(upstream) = free.min_by_key(|upstream| self.leased[*upstream]) else { return };
+            let available =
+                world.available_upstreams(pool, world.deployment.zone_of(host)).into_iter();
+            let free = available
+                .filter(|upstream| self.leased_slots[*upstream] < world.upstreams[*upstream].slots);
+            let Some(upstream) = free.min_by_key(|upstream| self.leased_slots[*upstream]) else {
+                return;
+            };
             self.waiting[pool].remove(&(priority, call));
-            self.leased[upstream] += 1;
+            self.leased_slots[upstream] += 1;
             let to = world.calls[call].entry;
-            world.tell(host, to, MessageBody::Grant { call, upstream });
+            world.send_message(host, to, MessageBody::LeaseGrant { call, upstream });
         }
     }
 }
 
 impl Dispatcher for LeaseDispatcher {
-    fn begin(&mut self, world: &mut SimWorld) -> Result<()> {
+    fn start(&mut self, world: &mut SimWorld) -> Result<()> {
         self.waiting = vec![BTreeSet::new(); world.deployment.pools.len()];
-        self.leased = vec![0; world.upstreams.len()];
+        self.leased_slots = vec![0; world.upstreams.len()];
         Ok(())
     }
 
-    fn arrive(&mut self, world: &mut SimWorld, call: usize) {
+    fn on_arrival(&mut self, world: &mut SimWorld, call: usize) {
         let (entry, pool) = (world.calls[call].entry, world.calls[call].pool);
-        let host = Self::host(world, pool);
-        world.tell(entry, host, MessageBody::Ask { call });
+        let host = Self::coordinator_host(world, pool);
+        world.send_message(entry, host, MessageBody::LeaseRequest { call });
     }
 
-    fn ended(&mut self, world: &mut SimWorld, call: usize, _outcome: AttemptOutcome) {
+    fn on_outcome(&mut self, world: &mut SimWorld, call: usize, _outcome: AttemptOutcome) {
         let (entry, pool) = (world.calls[call].entry, world.calls[call].pool);
         let upstream = world.calls[call].upstream;
-        let host = Self::host(world, pool);
-        world.tell(entry, host, MessageBody::Return { upstream });
+        let host = Self::coordinator_host(world, pool);
+        world.send_message(entry, host, MessageBody::LeaseReturn { upstream });
     }
 
-    fn deliver(&mut self, world: &mut SimWorld, _hosts: (usize, usize), body: MessageBody) {
+    fn on_message(&mut self, world: &mut SimWorld, _hosts: (usize, usize), body: MessageBody) {
         match body {
-            MessageBody::Ask { call } => {
+            MessageBody::LeaseRequest { call } => {
                 let (pool, kind) = (world.calls[call].pool, world.calls[call].kind);
                 let priority = world.deployment.pools[pool].kinds[kind].priority;
                 self.waiting[pool].insert((priority, call));
-                self.grant(world, pool);
+                self.grant_waiting(world, pool);
             }
-            MessageBody::Grant { call, upstream } => world.send(call, upstream),
-            MessageBody::Return { upstream } => {
-                self.leased[upstream] -= 1;
+            MessageBody::LeaseGrant { call, upstream } => world.send_call(call, upstream),
+            MessageBody::LeaseReturn { upstream } => {
+                self.leased_slots[upstream] -= 1;
                 let pool = world.upstreams[upstream].pool;
-                self.grant(world, pool);
+                self.grant_waiting(world, pool);
             }
             MessageBody::Delta(_) | MessageBody::Sum(_) => {}
         }
--- a/crates/pulley_bench/src/decisions/mod.rs
+++ b/crates/pulley_bench/src/decisions/mod.rs
@@ -53,16 +53,16 @@
 fn run_all(matches: &Matches) -> Result<()> {
     let names = LoadScenario::ALL.map(|(name, _)| name);
     let probe_percent: u32 = matches.opt_get_default("probe-percent", 100)?;
-    let seeds = chosen(matches, "seed", &["1"]);
-    for deployment in chosen(matches, "deployment", &DeploymentSpec::NAMES) {
-        let deployment = DeploymentSpec::named(&deployment)?;
-        for scenario_name in chosen(matches, "scenario", &names) {
-            let scenario = LoadScenario::named(&scenario_name)?;
-            let mut sized = deployment.clone().in_scenario(scenario);
+    let seeds = selected(matches, "seed", &["1"]);
+    for deployment in selected(matches, "deployment", &DeploymentSpec::NAMES) {
+        let deployment = DeploymentSpec::from_name(&deployment)?;
+        for scenario_name in selected(matches, "scenario", &names) {
+            let scenario = LoadScenario::from_name(&scenario_name)?;
+            let mut sized = deployment.clone().for_scenario(scenario);
             for pool in &mut sized.pools {
                 pool.probe_budget = pool.probe_budget * probe_percent / 100;
             }
-            for policy in chosen(matches, "policy", &simulation::POLICIES) {
+            for policy in selected(matches, "policy", &simulation::POLICIES) {
                 for seed in &seeds {
                     let seed = seed.parse()?;
                     let figures = simulation::simulate(&sized, scenario, &policy, seed)?;
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-fn chosen(matches: &Matches, option: &str, all: &[&str]) -> Vec<String> {
+fn selected(matches: &Matches, option: &str, all: &[&str]) -> Vec<String> {
     let given = matches.opt_strs(option);
     if given.is_empty() { all.iter().map(|name| (*name).to_owned()).collect() } else { given }
 }
--- a/crates/pulley_bench/src/decisions/run_report.rs
+++ b/crates/pulley_bench/src/decisions/run_report.rs
@@ -13,10 +13,10 @@
     latency: Histogram<u64>,
     added: Histogram<u64>,
     /// Latency of the top-priority kind, the pool's first.
-    first: Histogram<u64>,
+    top_priority: Histogram<u64>,
     pub(crate) refused: u64,
     pub(crate) first_refused: u64,
-    pub(crate) missed: u64,
+    pub(crate) deadline_missed: u64,
     pub(crate) failed: u64,
     /// Slot time of all calls, in seconds, indexed by kind.
     pub(crate) offered: Vec<f64>,
@@ -46,14 +46,14 @@
 impl PoolFigures {
     fn new(kinds: usize) -> Self {
         let histogram =
-            || Histogram::new_with_max(LONGEST_MICROS, 3).expect("the bounds are valid");
+            || Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("the bounds are valid");
         Self {
             latency: histogram(),
             added: histogram(),
-            first: histogram(),
+            top_priority: histogram(),
             refused: 0,
             first_refused: 0,
-            missed: 0,
+            deadline_missed: 0,
             failed: 0,
             offered: vec![0.0; kinds],
             served: vec![0.0; kinds],
@@ -62,26 +62,26 @@
     }
 
     /// Records an answer. `whole` is its total latency and `added` the part of it that is neither
-    /// service time nor network delay. `first` says whether its kind has top priority.
-    pub(crate) fn note(&mut self, whole: Duration, added: Duration, first: bool) {
+    /// service time nor network delay. `top_priority` tells whether its kind has top priority.
+    pub(crate) fn record(&mut self, whole: Duration, added: Duration, top_priority: bool) {
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX).max(1);
         self.latency.saturating_record(micros(whole));
         self.added.saturating_record(micros(added));
-        if first {
-            self.first.saturating_record(micros(whole));
+        if top_priority {
+            self.top_priority.saturating_record(micros(whole));
         }
     }
 
     /// Returns the largest difference between a kind's served and due fraction of the pool, in
     /// percentage points.
     fn share_error(&self, shares: &[f64], capacity: f64) -> f64 {
-        let due = self.due(shares, capacity);
+        let due = self.due_fractions(shares, capacity);
         let served = self.served.iter().map(|slot_s| slot_s / capacity);
         served.zip(due).map(|(got, due)| (got - due).abs() * 100.0).fold(0.0, f64::max)
     }
 
     /// Returns the fraction of the pool that each kind is due.
-    fn due(&self, shares: &[f64], capacity: f64) -> Vec<f64> {
+    fn due_fractions(&self, shares: &[f64], capacity: f64) -> Vec<f64> {
         let demand: Vec<f64> = self.offered.iter().map(|slot_s| slot_s / capacity).collect();
         water_fill(&demand, shares)
     }
@@ -101,7 +101,7 @@
 }
 
 /// The highest latency that the histograms can hold: ten minutes.
-const LONGEST_MICROS: u64 = 600_000_000;
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
 /// Window over which the peak probe rate is computed.
 const PROBE_WINDOW: Duration = Duration::from_secs(10);
@@ -128,8 +128,9 @@
 }
 
 /// Formats fractions as percentages separated by slashes.
-fn parts(parts: &[f64]) -> String {
-    let texts: Vec<String> = parts.iter().map(|part| format!("{:.1}", part * 100.0)).collect();
+fn percentages(fractions: &[f64]) -> String {
+    let texts: Vec<String> =
+        fractions.iter().map(|fraction| format!("{:.1}", fraction * 100.0)).collect();
     texts.join("/")
 }
 
@@ -154,14 +155,14 @@
     fn line(&self, deployment: &DeploymentSpec, name: RunName<'_>, pool: usize) -> String {
         let figures = &self.pools[pool];
         let spec = &deployment.pools[pool];
-        let seconds = deployment.measured.as_secs_f64();
+        let seconds = deployment.measured_time.as_secs_f64();
         let ms = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1_000.0
         };
         let shares: Vec<f64> =
             spec.kinds.iter().map(|kind| f64::from(kind.share_pct) / 100.0).collect();
-        let capacity = spec.slots_in_all() * seconds;
-        let most = |bytes: &[u64]| bytes.iter().copied().max().unwrap_or(0) as f64 / seconds;
+        let capacity = spec.total_slots() * seconds;
+        let peak_rate = |bytes: &[u64]| bytes.iter().copied().max().unwrap_or(0) as f64 / seconds;
         let latency = &figures.latency;
         let (deployment, spec_name) = (deployment.name, spec.name);
         format!(
@@ -182,17 +183,17 @@
             figures.refused,
             figures.first_refused,
             figures.failed,
-            figures.missed,
-            ms(&figures.first, 0.99),
+            figures.deadline_missed,
+            ms(&figures.top_priority, 0.99),
             figures.served.iter().sum::<f64>() / capacity * 100.0,
-            most(&self.sent),
-            most(&self.received),
+            peak_rate(&self.sent),
+            peak_rate(&self.received),
             figures.probes.len() as f64 / seconds,
             figures.probe_peak(),
             f64::from(spec.probe_budget) / 1_000.0,
             figures.share_error(&shares, capacity),
-            parts(&figures.served.iter().map(|slot_s| slot_s / capacity).collect::<Vec<_>>()),
-            parts(&figures.due(&shares, capacity)),
+            percentages(&figures.served.iter().map(|slot_s| slot_s / capacity).collect::<Vec<_>>()),
+            percentages(&figures.due_fractions(&shares, capacity)),
         )
     }
 }
--- a/crates/pulley_bench/src/decisions/scenario.rs
+++ b/crates/pulley_bench/src/decisions/scenario.rs
@@ -49,7 +49,7 @@
     ];
 
     /// Returns the scenario with the given name.
-    pub(crate) fn named(name: &str) -> Result<Self> {
+    pub(crate) fn from_name(name: &str) -> Result<Self> {
         let found = Self::ALL.iter().find(|(known, _)| *known == name);
         let Some((_, scenario)) = found else { bail!("unknown scenario {name}") };
         Ok(*scenario)
--- a/crates/pulley_bench/src/decisions/shared_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/shared_dispatcher.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use super::dispatcher::Dispatcher;
-use super::forward_dispatcher::{call_of, number_of, ticket};
+use super::forward_dispatcher::{call_index, request_number, request_ticket};
 use super::scenario::LoadScenario;
 use super::sim_world::{MessageBody, PolicyTimer, SimEvent, SimWorld};
 
@@ -40,14 +40,14 @@
     zones: Vec<ZoneName>,
     /// Indexed by entry, then by pool.
     schedulers: Vec<Vec<PoolScheduler>>,
-    wakeups: Vec<Vec<Option<Moment>>>,
-    reports: Vec<Vec<Option<Moment>>>,
+    planned_ticks: Vec<Vec<Option<Moment>>>,
+    planned_deltas: Vec<Vec<Option<Moment>>>,
     coordinators: Vec<PlacedCoordinator>,
-    first_coordinator: usize,
+    initial_coordinator: usize,
 }
 
 impl SharedDispatcher {
-    fn carry_out(
+    fn apply_effects(
         &mut self,
         world: &mut SimWorld,
         at: (usize, usize),
@@ -56,75 +56,81 @@
         for effect in effects {
             match effect {
                 SchedulerEffect::Start { number, address, .. } => {
-                    let upstream = world.upstream_at(address.port());
-                    world.send(call_of(number), upstream);
+                    let upstream = world.upstream_by_port(address.port());
+                    world.send_call(call_index(number), upstream);
                 }
-                SchedulerEffect::Refuse { number, .. } => world.refuse(call_of(number)),
+                SchedulerEffect::Refuse { number, .. } => world.refuse(call_index(number)),
             }
         }
-        self.rearm(world, at);
+        self.schedule_tick(world, at);
     }
 
-    fn rearm(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
+    fn schedule_tick(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
         let Some(at) = self.schedulers[entry][pool].next_wakeup() else { return };
         let at = at.max(world.now + TIMER_STEP);
-        let planned = &mut self.wakeups[entry][pool];
+        let planned = &mut self.planned_ticks[entry][pool];
         if planned.is_none_or(|planned| at < planned) {
             *planned = Some(at);
-            world.events.add(at, SimEvent::Timer(PolicyTimer::Tick { entry, pool }));
+            world.events.schedule(at, SimEvent::Timer(PolicyTimer::SchedulerTick { entry, pool }));
         }
     }
 
     fn tick(&mut self, world: &mut SimWorld, entry: usize, pool: usize) {
-        if self.wakeups[entry][pool].is_none_or(|planned| planned > world.now) {
+        if self.planned_ticks[entry][pool].is_none_or(|planned| planned > world.now) {
             return;
         }
-        self.wakeups[entry][pool] = None;
+        self.planned_ticks[entry][pool] = None;
         let effects = self.schedulers[entry][pool].tick(world.now);
-        self.carry_out(world, (entry, pool), effects);
+        self.apply_effects(world, (entry, pool), effects);
     }
 
     fn send_deltas(&mut self, world: &mut SimWorld, entry: usize, pool: usize) {
-        if !world.alive[entry] || self.reports[entry][pool].is_none_or(|at| at > world.now) {
+        if !world.alive[entry] || self.planned_deltas[entry][pool].is_none_or(|at| at > world.now) {
             return;
         }
-        self.reports[entry][pool] = None;
+        self.planned_deltas[entry][pool] = None;
         for (zone, delta) in self.schedulers[entry][pool].take_deltas(world.now) {
             let host = match &delta.to {
-                Some(host) => self.host_at(host),
+                Some(host) => self.host_index(host),
                 None => {
                     let zone = self.zones.iter().position(|known| *known == zone).unwrap_or(0);
-                    self.choice(world, entry, pool, zone)
+                    self.chosen_coordinator(world, entry, pool, zone)
                 }
             };
             if let Some(host) = host {
-                world.tell(entry, host, MessageBody::Delta(Box::new(delta)));
+                world.send_message(entry, host, MessageBody::Delta(Box::new(delta)));
             }
         }
-        self.rearm_report(world, (entry, pool));
+        self.schedule_deltas(world, (entry, pool));
     }
 
-    fn rearm_report(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
+    fn schedule_deltas(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
         let Some(at) = self.schedulers[entry][pool].next_delta_at() else { return };
         let at = at.max(world.now + TIMER_STEP);
-        let planned = &mut self.reports[entry][pool];
-        if world.now < world.end && planned.is_none_or(|planned| at < planned) {
+        let planned = &mut self.planned_deltas[entry][pool];
+        if world.now < world.measure_end && planned.is_none_or(|planned| at < planned) {
             *planned = Some(at);
-            world.events.add(at, SimEvent::Timer(PolicyTimer::Delta { entry, pool }));
+            world.events.schedule(at, SimEvent::Timer(PolicyTimer::SendDeltas { entry, pool }));
         }
     }
 
-    fn host_at(&self, host: &HostId) -> Option<usize> {
+    fn host_index(&self, host: &HostId) -> Option<usize> {
         self.hosts.iter().position(|known| known == host)
     }
 
     /// Returns the host that coordinates a pool in a zone, as `viewer` sees it.
-    fn choice(&self, world: &SimWorld, viewer: usize, pool: usize, zone: usize) -> Option<usize> {
-        let seen = (0..world.deployment.entries).filter(|host| world.sees(viewer, *host));
+    fn chosen_coordinator(
+        &self,
+        world: &SimWorld,
+        viewer: usize,
+        pool: usize,
+        zone: usize,
+    ) -> Option<usize> {
+        let seen = (0..world.deployment.entries).filter(|host| world.sees_alive(viewer, *host));
         let pool = world.deployment.pool_name(pool).ok()?;
         let hosts = seen.map(|host| &self.hosts[host]);
         let chosen = coordinator_for(&pool, &self.zones[zone], hosts)?;
-        self.host_at(chosen)
+        self.host_index(chosen)
     }
 
     /// Starts and retires coordinators. Each live host decides from its own view of the others.
@@ -132,20 +138,20 @@
         for host in 0..world.deployment.entries {
             for pool in 0..world.deployment.pools.len() {
                 for zone in 0..world.deployment.zones {
-                    let chosen =
-                        world.alive[host] && self.choice(world, host, pool, zone) == Some(host);
-                    let here = |c: &PlacedCoordinator| {
+                    let chosen = world.alive[host]
+                        && self.chosen_coordinator(world, host, pool, zone) == Some(host);
+                    let is_held = |c: &PlacedCoordinator| {
                         (c.host, c.pool, c.zone, c.retired) == (host, pool, zone, false)
                     };
-                    match (chosen, self.coordinators.iter().position(here)) {
+                    match (chosen, self.coordinators.iter().position(is_held)) {
                         (true, None) => self.add_coordinator(world, host, pool, zone)?,
-                        (false, Some(place)) => self.coordinators[place].retired = true,
+                        (false, Some(index)) => self.coordinators[index].retired = true,
                         _ => {}
                     }
                 }
             }
         }
-        self.split_bytes(world);
+        self.split_byte_rate(world);
         Ok(())
     }
 
@@ -160,73 +166,74 @@
         let (zone_name, host_name) = (self.zones[zone].clone(), self.hosts[host].clone());
         let mut coordinator = PoolCoordinator::new(name, zone_name, host_name, world.now);
         coordinator.apply_plan(world.now, Arc::clone(&self.plan));
-        let records = world.records(pool, world.deployment.zone_of(host))?;
+        let records = world.upstream_records(pool, world.deployment.zone_of(host))?;
         coordinator.apply_upstreams(world.now, &records);
-        let place = self.coordinators.len();
+        let index = self.coordinators.len();
         self.coordinators.push(PlacedCoordinator { host, pool, zone, coordinator, retired: false });
-        let timer = PolicyTimer::Coordinate { place };
-        world.events.add(world.now + TIMER_STEP, SimEvent::Timer(timer));
+        let timer = PolicyTimer::CoordinatorTick { index };
+        world.events.schedule(world.now + TIMER_STEP, SimEvent::Timer(timer));
         Ok(())
     }
 
     /// Splits a host's limit on control bytes per second among all pools, including those that are
     /// not simulated, in proportion to their rate of calls.
-    fn split_bytes(&mut self, world: &SimWorld) {
+    fn split_byte_rate(&mut self, world: &SimWorld) {
         let pools = &world.deployment.pools;
-        let simulated: f64 = pools.iter().map(|pool| pool.slots_in_all() / pool.mean_s()).sum();
+        let simulated_rate: f64 =
+            pools.iter().map(|pool| pool.total_slots() / pool.mean_service_s()).sum();
         #[expect(clippy::cast_precision_loss, reason = "pools are few")]
-        let all = simulated * world.deployment.pools_in_all as f64 / pools.len() as f64;
+        let total_rate = simulated_rate * world.deployment.total_pools as f64 / pools.len() as f64;
         for placed in &mut self.coordinators {
             let pool = &pools[placed.pool];
-            let part = pool.slots_in_all() / pool.mean_s() / all;
+            let fraction = pool.total_slots() / pool.mean_service_s() / total_rate;
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 reason = "a fraction of a small number"
             )]
-            let bytes = (f64::from(COUNT_BYTES_PER_SECOND) * part) as u32;
+            let bytes = (f64::from(COUNT_BYTES_PER_SECOND) * fraction) as u32;
             placed.coordinator.set_bytes_per_second(bytes);
         }
     }
 
-    fn coordinate(&mut self, world: &mut SimWorld, place: usize) {
-        let placed = &mut self.coordinators[place];
-        if placed.retired || !world.alive[placed.host] || world.now >= world.end {
+    fn tick_coordinator(&mut self, world: &mut SimWorld, index: usize) {
+        let placed = &mut self.coordinators[index];
+        if placed.retired || !world.alive[placed.host] || world.now >= world.measure_end {
             return;
         }
         let outputs = placed.coordinator.tick(world.now);
         let (host, pool) = (placed.host, placed.pool);
         let at = placed.coordinator.next_wakeup().max(world.now + TIMER_STEP);
-        world.events.add(at, SimEvent::Timer(PolicyTimer::Coordinate { place }));
+        world.events.schedule(at, SimEvent::Timer(PolicyTimer::CoordinatorTick { index }));
         for output in outputs {
             match output {
                 CoordinatorOutput::Publish { to, sum } => {
                     let to = self.hosts.iter().position(|known| *known == to).unwrap_or(0);
-                    world.tell(host, to, MessageBody::Sum(sum));
+                    world.send_message(host, to, MessageBody::Sum(sum));
                 }
                 CoordinatorOutput::Probe { address, .. } => {
-                    let upstream = world.upstream_at(address.port());
-                    if world.now >= world.begin {
+                    let upstream = world.upstream_by_port(address.port());
+                    if world.now >= world.measure_start {
                         world.figures.pools[pool].probes.push(world.now);
                     }
-                    let timer = PolicyTimer::Probed { place, upstream };
-                    world.events.add(world.now + PROBE_TIME, SimEvent::Timer(timer));
+                    let timer = PolicyTimer::Probed { index, upstream };
+                    world.events.schedule(world.now + PROBE_TIME, SimEvent::Timer(timer));
                 }
             }
         }
     }
 
-    fn probed(&mut self, world: &SimWorld, place: usize, upstream: usize) {
+    fn finish_probe(&mut self, world: &SimWorld, index: usize, upstream: usize) {
         let model = &world.upstreams[upstream];
-        let Ok(record) = world.deployment.record(model.pool, model.index) else { return };
+        let Ok(record) = world.deployment.upstream_record(model.pool, model.index) else { return };
         let outcome = ProbeOutcome::Answered { latency: PROBE_TIME, report: None };
-        let coordinator = &mut self.coordinators[place].coordinator;
+        let coordinator = &mut self.coordinators[index].coordinator;
         coordinator.probed(world.now, &record.announcement.id, outcome);
     }
 }
 
 impl Dispatcher for SharedDispatcher {
-    fn begin(&mut self, world: &mut SimWorld) -> Result<()> {
+    fn start(&mut self, world: &mut SimWorld) -> Result<()> {
         let deployment = world.deployment.clone();
         self.plan = Arc::new(deployment.plan()?.into());
         let hosts = (0..deployment.entries).map(|entry| deployment.host_name(entry));
@@ -244,58 +251,58 @@
                     world.rng.random(),
                 );
                 scheduler.apply_plan(world.now, Arc::clone(&self.plan));
-                scheduler.apply_upstreams(world.now, &world.records(pool, zone)?);
+                scheduler.apply_upstreams(world.now, &world.upstream_records(pool, zone)?);
                 schedulers.push(scheduler);
                 let first = Duration::from_micros(world.rng.random_range(0..50_000));
-                let timer = PolicyTimer::Delta { entry, pool };
-                world.events.add(world.now + first, SimEvent::Timer(timer));
+                let timer = PolicyTimer::SendDeltas { entry, pool };
+                world.events.schedule(world.now + first, SimEvent::Timer(timer));
             }
             self.schedulers.push(schedulers);
-            self.wakeups.push(vec![None; deployment.pools.len()]);
-            self.reports.push(vec![Some(Moment::ZERO); deployment.pools.len()]);
+            self.planned_ticks.push(vec![None; deployment.pools.len()]);
+            self.planned_deltas.push(vec![Some(Moment::ZERO); deployment.pools.len()]);
         }
         self.place_coordinators(world)?;
-        self.first_coordinator = self.choice(world, 0, 0, 0).unwrap_or(0);
+        self.initial_coordinator = self.chosen_coordinator(world, 0, 0, 0).unwrap_or(0);
         Ok(())
     }
 
-    fn arrive(&mut self, world: &mut SimWorld, call: usize) {
+    fn on_arrival(&mut self, world: &mut SimWorld, call: usize) {
         let (entry, pool) = (world.calls[call].entry, world.calls[call].pool);
-        let ticket = ticket(world, call);
+        let ticket = request_ticket(world, call);
         let effects = self.schedulers[entry][pool].arrive(world.now, &ticket);
-        self.carry_out(world, (entry, pool), effects);
+        self.apply_effects(world, (entry, pool), effects);
     }
 
-    fn ended(&mut self, world: &mut SimWorld, call: usize, outcome: AttemptOutcome) {
+    fn on_outcome(&mut self, world: &mut SimWorld, call: usize, outcome: AttemptOutcome) {
         let (entry, pool) = (world.calls[call].entry, world.calls[call].pool);
         // The first upstream reports in each answer that it is idle, however busy it is.
         let misleads =
             world.scenario == LoadScenario::MisleadingReport && world.calls[call].upstream == 0;
         let report = misleads.then_some(LoadReport { in_flight: Some(0), ..LoadReport::default() });
         let scheduler = &mut self.schedulers[entry][pool];
-        let effects = scheduler.finish(world.now, number_of(call), outcome, report);
-        self.carry_out(world, (entry, pool), effects);
+        let effects = scheduler.finish(world.now, request_number(call), outcome, report);
+        self.apply_effects(world, (entry, pool), effects);
     }
 
-    fn timer(&mut self, world: &mut SimWorld, timer: PolicyTimer) {
+    fn on_timer(&mut self, world: &mut SimWorld, timer: PolicyTimer) {
         match timer {
-            PolicyTimer::Tick { entry, pool } => self.tick(world, entry, pool),
-            PolicyTimer::Delta { entry, pool } => self.send_deltas(world, entry, pool),
-            PolicyTimer::Coordinate { place } => self.coordinate(world, place),
-            PolicyTimer::Probed { place, upstream } => self.probed(world, place, upstream),
-            PolicyTimer::Forwarded { .. } => {}
+            PolicyTimer::SchedulerTick { entry, pool } => self.tick(world, entry, pool),
+            PolicyTimer::SendDeltas { entry, pool } => self.send_deltas(world, entry, pool),
+            PolicyTimer::CoordinatorTick { index } => self.tick_coordinator(world, index),
+            PolicyTimer::Probed { index, upstream } => self.finish_probe(world, index, upstream),
+            PolicyTimer::DeliverForwarded { .. } => {}
         }
     }
 
-    fn deliver(&mut self, world: &mut SimWorld, (from, to): (usize, usize), body: MessageBody) {
+    fn on_message(&mut self, world: &mut SimWorld, (from, to): (usize, usize), body: MessageBody) {
         if !world.alive[to] {
             return;
         }
         match body {
             MessageBody::Delta(delta) => {
                 let from = self.hosts[from].clone();
-                let held = self.coordinators.iter_mut().filter(|c| c.host == to && !c.retired);
-                for placed in held {
+                let active = self.coordinators.iter_mut().filter(|c| c.host == to && !c.retired);
+                for placed in active {
                     placed.coordinator.receive(world.now, &from, &delta);
                 }
                 for scheduler in &mut self.schedulers[to] {
@@ -305,37 +312,40 @@
             MessageBody::Sum(sum) => {
                 for pool in 0..self.schedulers[to].len() {
                     let effects = self.schedulers[to][pool].receive_sum(world.now, &sum);
-                    self.carry_out(world, (to, pool), effects);
-                    for (hop, relay) in self.schedulers[to][pool].take_relays() {
-                        if let Some(hop) = self.host_at(&hop) {
-                            world.tell(to, hop, MessageBody::Sum(Box::new(relay)));
+                    self.apply_effects(world, (to, pool), effects);
+                    for (next_hop, relay) in self.schedulers[to][pool].take_relays() {
+                        if let Some(next_hop) = self.host_index(&next_hop) {
+                            world.send_message(to, next_hop, MessageBody::Sum(Box::new(relay)));
                         }
                     }
-                    self.rearm_report(world, (to, pool));
+                    self.schedule_deltas(world, (to, pool));
                 }
             }
-            MessageBody::Ask { .. } | MessageBody::Grant { .. } | MessageBody::Return { .. } => {}
+            MessageBody::LeaseRequest { .. }
+            | MessageBody::LeaseGrant { .. }
+            | MessageBody::LeaseReturn { .. } => {}
         }
     }
 
-    fn changed(&mut self, world: &mut SimWorld) -> Result<()> {
+    fn on_change(&mut self, world: &mut SimWorld) -> Result<()> {
         self.place_coordinators(world)?;
         for entry in 0..world.deployment.entries {
             let zone = world.deployment.zone_of(entry);
             for pool in 0..world.deployment.pools.len() {
-                let records = world.records(pool, zone)?;
+                let records = world.upstream_records(pool, zone)?;
                 let effects = self.schedulers[entry][pool].apply_upstreams(world.now, &records);
-                self.carry_out(world, (entry, pool), effects);
+                self.apply_effects(world, (entry, pool), effects);
             }
         }
         for placed in &mut self.coordinators {
-            let records = world.records(placed.pool, world.deployment.zone_of(placed.host))?;
+            let records =
+                world.upstream_records(placed.pool, world.deployment.zone_of(placed.host))?;
             placed.coordinator.apply_upstreams(world.now, &records);
         }
         Ok(())
     }
 
-    fn coordinator(&self) -> usize {
-        self.first_coordinator
+    fn critical_host(&self) -> usize {
+        self.initial_coordinator
     }
 }
--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -26,10 +26,10 @@
 pub(crate) const DATAGRAM_OVERHEAD: usize = 56;
 
 /// Delay after the measured time starts until some connections fall silent.
-const SILENT_AFTER: Duration = Duration::from_secs(2);
+const SILENCE_DELAY: Duration = Duration::from_secs(2);
 
 /// How long a connection attempt to an unreachable upstream takes to fail.
-const UNREACHABLE_AFTER: Duration = Duration::from_millis(20);
+const CONNECT_FAILURE_DELAY: Duration = Duration::from_millis(20);
 
 /// A caller's request, with all its attempts.
 #[derive(Clone, Debug)]
@@ -38,13 +38,13 @@
     pub(crate) kind: usize,
     /// The entry that schedules the call.
     pub(crate) entry: usize,
-    /// Delay that the answer still has to cover after it has reached `entry`: the way back to the
-    /// entry that the caller is connected to, if the call was forwarded.
-    pub(crate) extra_way: Duration,
+    /// Delay added to the latency after the answer has reached `entry`. For a forwarded call, this
+    /// is the delay back to the entry that the caller is connected to.
+    pub(crate) extra_delay: Duration,
     pub(crate) arrived: Moment,
     pub(crate) deadline: Moment,
     /// Service time at an upstream of nominal speed.
-    pub(crate) size: Duration,
+    pub(crate) nominal_time: Duration,
     pub(crate) upstream: usize,
     pub(crate) attempt: u8,
     pub(crate) avoid: Vec<UpstreamId>,
@@ -54,15 +54,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PolicyTimer {
     /// Ticks a scheduler.
-    Tick { entry: usize, pool: usize },
+    SchedulerTick { entry: usize, pool: usize },
     /// Sends a scheduler's deltas.
-    Delta { entry: usize, pool: usize },
+    SendDeltas { entry: usize, pool: usize },
     /// Ticks a coordinator.
-    Coordinate { place: usize },
+    CoordinatorTick { index: usize },
     /// Delivers the answer to a probe.
-    Probed { place: usize, upstream: usize },
+    Probed { index: usize, upstream: usize },
     /// Delivers a forwarded call to its owner.
-    Forwarded { call: usize, owner: usize },
+    DeliverForwarded { call: usize, owner: usize },
 }
 
 /// A control message between two hosts.
@@ -70,9 +70,9 @@
 pub(crate) enum MessageBody {
     Delta(Box<CountDelta>),
     Sum(Box<CountSum>),
-    Ask { call: usize },
-    Grant { call: usize, upstream: usize },
-    Return { upstream: usize },
+    LeaseRequest { call: usize },
+    LeaseGrant { call: usize, upstream: usize },
+    LeaseReturn { upstream: usize },
 }
 
 /// A step of a scenario's incident.
@@ -81,11 +81,11 @@
     /// The scenario's fault occurs.
     Begin,
     /// The hosts have detected the fault.
-    Noticed,
+    Detected,
     /// The fault ends.
     End,
     /// The hosts have detected that the fault has ended.
-    EndNoticed,
+    EndDetected,
     /// The upstreams slowed by noisy neighbours are drawn again.
     Noise,
 }
@@ -94,9 +94,9 @@
 #[derive(Debug)]
 pub(crate) enum SimEvent {
     Arrive { pool: usize },
-    ReachUpstream { call: usize },
-    EndAtUpstream { call: usize },
-    ReachEntry { call: usize, outcome: AttemptOutcome },
+    ArriveAtUpstream { call: usize },
+    FinishAtUpstream { call: usize },
+    ReturnToEntry { call: usize, outcome: AttemptOutcome },
     Timer(PolicyTimer),
     Deliver { from: usize, to: usize, body: MessageBody },
     Incident(Incident),
@@ -115,37 +115,37 @@
     callers: SmallRng,
     pub(crate) calls: Vec<SimCall>,
     pub(crate) upstreams: Vec<UpstreamModel>,
-    pub(crate) first_upstream: Vec<usize>,
+    pub(crate) first_upstreams: Vec<usize>,
     pub(crate) alive: Vec<bool>,
     /// Whether the other hosts have detected that a host is lost.
-    pub(crate) known_lost: Vec<bool>,
+    pub(crate) loss_detected: Vec<bool>,
     /// Whether zone 0 is partitioned from the other zones.
-    pub(crate) cut: bool,
+    pub(crate) zone_cut: bool,
     /// Whether the hosts have detected the partition.
-    pub(crate) known_cut: bool,
+    pub(crate) zone_cut_detected: bool,
     /// Whether the hosts know that upstream 0 of the first pool is draining.
-    pub(crate) known_drain: bool,
-    budgets: Vec<RetryBudget>,
+    pub(crate) drain_detected: bool,
+    retry_budgets: Vec<RetryBudget>,
     pub(crate) figures: RunFigures,
-    pub(crate) begin: Moment,
-    pub(crate) end: Moment,
+    pub(crate) measure_start: Moment,
+    pub(crate) measure_end: Moment,
 }
 
 impl SimWorld {
     pub(crate) fn new(deployment: DeploymentSpec, scenario: LoadScenario, seed: u64) -> Self {
         let figures = RunFigures::new(&deployment);
-        let (mut upstreams, mut first_upstream) = (Vec::new(), Vec::new());
+        let (mut upstreams, mut first_upstreams) = (Vec::new(), Vec::new());
         for (pool, spec) in deployment.pools.iter().enumerate() {
-            first_upstream.push(upstreams.len());
+            first_upstreams.push(upstreams.len());
             for index in 0..spec.upstreams {
                 let zone = deployment.zone_of(index);
                 upstreams.push(UpstreamModel::new(pool, index, zone, spec.slots));
             }
         }
-        let begin = Moment::ZERO + WARM_UP;
-        let end = begin + deployment.measured;
+        let measure_start = Moment::ZERO + WARM_UP;
+        let measure_end = measure_start + deployment.measured_time;
         let entries = deployment.entries;
-        let budgets = vec![RetryBudget::new(); entries * deployment.pools.len()];
+        let retry_budgets = vec![RetryBudget::new(); entries * deployment.pools.len()];
         Self {
             scenario,
             now: Moment::ZERO,
@@ -154,16 +154,16 @@
             callers: SmallRng::seed_from_u64(seed),
             calls: Vec::new(),
             upstreams,
-            first_upstream,
+            first_upstreams,
             alive: vec![true; entries],
-            known_lost: vec![false; entries],
-            cut: false,
-            known_cut: false,
-            known_drain: false,
-            budgets,
+            loss_detected: vec![false; entries],
+            zone_cut: false,
+            zone_cut_detected: false,
+            drain_detected: false,
+            retry_budgets,
             figures,
-            begin,
-            end,
+            measure_start,
+            measure_end,
             deployment,
         }
     }
@@ -172,24 +172,24 @@
     // Queries and actions of the policies
 
     /// Sends a call from its entry to an upstream.
-    pub(crate) fn send(&mut self, call: usize, upstream: usize) {
+    pub(crate) fn send_call(&mut self, call: usize, upstream: usize) {
         let entry_zone = self.deployment.zone_of(self.calls[call].entry);
         let zone = self.upstreams[upstream].zone;
         self.calls[call].upstream = upstream;
         if self.is_cut(entry_zone, zone) {
-            let at = self.now + UNREACHABLE_AFTER;
+            let at = self.now + CONNECT_FAILURE_DELAY;
             let outcome = AttemptOutcome::Unreachable;
-            self.events.add(at, SimEvent::ReachEntry { call, outcome });
+            self.events.schedule(at, SimEvent::ReturnToEntry { call, outcome });
             return;
         }
-        let at = self.now + self.deployment.delay(entry_zone, zone);
-        self.events.add(at, SimEvent::ReachUpstream { call });
+        let at = self.now + self.deployment.one_way_delay(entry_zone, zone);
+        self.events.schedule(at, SimEvent::ArriveAtUpstream { call });
     }
 
     /// Records the refusal of a call that was not run.
     pub(crate) fn refuse(&mut self, call: usize) {
         let call = &self.calls[call];
-        if self.counts(call.arrived) {
+        if self.is_measured(call.arrived) {
             let figures = &mut self.figures.pools[call.pool];
             figures.refused += 1;
             figures.first_refused += u64::from(call.kind == 0);
@@ -197,35 +197,39 @@
     }
 
     /// Sends a control message. It is lost if the path is partitioned or silent.
-    pub(crate) fn tell(&mut self, from: usize, to: usize, body: MessageBody) {
-        let bytes = body.bytes() + DATAGRAM_OVERHEAD;
-        if self.now >= self.begin && self.now < self.end && from != to {
+    pub(crate) fn send_message(&mut self, from: usize, to: usize, body: MessageBody) {
+        let bytes = body.encoded_len() + DATAGRAM_OVERHEAD;
+        if self.now >= self.measure_start && self.now < self.measure_end && from != to {
             self.figures.sent[from] += bytes as u64;
             self.figures.received[to] += bytes as u64;
         }
         let (a, b) = (self.deployment.zone_of(from), self.deployment.zone_of(to));
-        if self.is_cut(a, b) || self.is_silent(from, to) {
+        if self.is_cut(a, b) || self.is_path_silent(from, to) {
             return;
         }
-        let way = if from == to { Duration::ZERO } else { self.deployment.delay(a, b) };
+        let delay = if from == to { Duration::ZERO } else { self.deployment.one_way_delay(a, b) };
         // A datagram waits for a varying time until the receiver's control thread handles it.
         let jitter = Duration::from_micros(self.rng.random_range(20..200));
-        self.events.add(self.now + way + jitter, SimEvent::Deliver { from, to, body });
+        self.events.schedule(self.now + delay + jitter, SimEvent::Deliver { from, to, body });
     }
 
     /// Returns a pool's upstreams that take work, as known in a zone.
-    pub(crate) fn open(&self, pool: usize, from_zone: usize) -> Vec<usize> {
-        let first = self.first_upstream[pool];
+    pub(crate) fn available_upstreams(&self, pool: usize, from_zone: usize) -> Vec<usize> {
+        let first = self.first_upstreams[pool];
         let all = first..first + self.deployment.pools[pool].upstreams;
         all.filter(|upstream| self.takes_work(*upstream, from_zone)).collect()
     }
 
     /// Returns the records of a pool's upstreams, as known in a zone.
-    pub(crate) fn records(&self, pool: usize, from_zone: usize) -> Result<Vec<UpstreamRecord>> {
+    pub(crate) fn upstream_records(
+        &self,
+        pool: usize,
+        from_zone: usize,
+    ) -> Result<Vec<UpstreamRecord>> {
         let mut records = Vec::new();
         for index in 0..self.deployment.pools[pool].upstreams {
-            let mut record = self.deployment.record(pool, index)?;
-            let upstream = self.first_upstream[pool] + index;
+            let mut record = self.deployment.upstream_record(pool, index)?;
+            let upstream = self.first_upstreams[pool] + index;
             record.takes_work = self.takes_work(upstream, from_zone);
             if let UpstreamMode::Cold(_) = self.upstreams[upstream].mode {
                 record.announcement.phase = UpstreamPhase::Warming;
@@ -237,56 +241,56 @@
     }
 
     /// Whether `viewer` considers `other` alive.
-    pub(crate) fn sees(&self, viewer: usize, other: usize) -> bool {
+    pub(crate) fn sees_alive(&self, viewer: usize, other: usize) -> bool {
         let (a, b) = (self.deployment.zone_of(viewer), self.deployment.zone_of(other));
-        let cut = self.known_cut && a != b && (a == 0 || b == 0);
-        !self.known_lost[other] && !cut
+        let zone_cut = self.zone_cut_detected && a != b && (a == 0 || b == 0);
+        !self.loss_detected[other] && !zone_cut
     }
 
     /// Returns the index of the upstream that listens on this port.
-    pub(crate) fn upstream_at(&self, port: u16) -> usize {
+    pub(crate) fn upstream_by_port(&self, port: u16) -> usize {
         let port = usize::from(port) - 1_000;
-        self.first_upstream[port / 1_000] + port % 1_000
+        self.first_upstreams[port / 1_000] + port % 1_000
     }
 
     fn takes_work(&self, upstream: usize, from_zone: usize) -> bool {
         let zone = self.upstreams[upstream].zone;
-        let cut = self.known_cut && zone != from_zone && (zone == 0 || from_zone == 0);
-        let drains = self.known_drain && upstream == 0;
-        !cut && !drains
+        let zone_cut = self.zone_cut_detected && zone != from_zone && (zone == 0 || from_zone == 0);
+        let drains = self.drain_detected && upstream == 0;
+        !zone_cut && !drains
     }
 
     /// Whether the network silently drops everything sent from one host to another, as a middlebox
     /// does that has lost its connection state. This hits one direction in twenty, permanently from
-    /// `SILENT_AFTER` on.
-    fn is_silent(&self, from: usize, to: usize) -> bool {
-        let begun = self.now >= self.begin + SILENT_AFTER;
+    /// `SILENCE_DELAY` on.
+    fn is_path_silent(&self, from: usize, to: usize) -> bool {
+        let started = self.now >= self.measure_start + SILENCE_DELAY;
         self.scenario == LoadScenario::SilentConnections
-            && begun
+            && started
             && (from * 7 + to * 13).is_multiple_of(20)
     }
 
     fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cut && a != b && (a == 0 || b == 0)
+        self.zone_cut && a != b && (a == 0 || b == 0)
     }
 
-    fn counts(&self, arrived: Moment) -> bool {
-        arrived >= self.begin && arrived < self.end
+    fn is_measured(&self, arrived: Moment) -> bool {
+        arrived >= self.measure_start && arrived < self.measure_end
     }
 
     // -----------------------------------------------------------------------------------------
     // Events of callers and upstreams
 
     /// Draws the calls that arrive now, and schedules the next arrival.
-    pub(crate) fn arrivals(&mut self, pool: usize) -> Vec<usize> {
+    pub(crate) fn draw_arrivals(&mut self, pool: usize) -> Vec<usize> {
         let spec = &self.deployment.pools[pool];
         let burst = self.scenario.burst();
-        let rate = self.scenario.load() * spec.slots_in_all() / spec.mean_s();
+        let rate = self.scenario.load() * spec.total_slots() / spec.mean_service_s();
         #[expect(clippy::cast_precision_loss, reason = "bursts are small")]
         let gap = Exp::new(rate / burst as f64).expect("rates are positive");
         let wait = Duration::from_secs_f64(gap.sample(&mut self.callers));
-        if self.now + wait < self.end {
-            self.events.add(self.now + wait, SimEvent::Arrive { pool });
+        if self.now + wait < self.measure_end {
+            self.events.schedule(self.now + wait, SimEvent::Arrive { pool });
         }
         (0..burst).map(|_| self.draw_call(pool)).collect()
     }
@@ -296,42 +300,43 @@
         let mut pick: f64 = self.callers.random();
         let kinds = &self.deployment.pools[pool].kinds;
         let mut kind = 0;
-        while kind + 1 < kinds.len() && pick >= kinds[kind].part {
-            pick -= kinds[kind].part;
+        while kind + 1 < kinds.len() && pick >= kinds[kind].call_fraction {
+            pick -= kinds[kind].call_fraction;
             kind += 1;
         }
         // Log-normal with a coefficient of variation of 1, as the design assumes.
         let sigma = std::f64::consts::LN_2.sqrt();
         let mu = (kinds[kind].mean_ms / 1_000.0).ln() - sigma * sigma / 2.0;
-        let sizes = LogNormal::new(mu, sigma).expect("sigma is finite");
-        let size = Duration::from_secs_f64(sizes.sample(&mut self.callers).min(30.0));
+        let distribution = LogNormal::new(mu, sigma).expect("sigma is finite");
+        let nominal_time =
+            Duration::from_secs_f64(distribution.sample(&mut self.callers).min(30.0));
         let deadline = self.now + Duration::from_millis(kinds[kind].deadline_ms);
-        if self.counts(self.now) {
-            self.figures.pools[pool].offered[kind] += size.as_secs_f64();
+        if self.is_measured(self.now) {
+            self.figures.pools[pool].offered[kind] += nominal_time.as_secs_f64();
         }
         self.calls.push(SimCall {
             pool,
             kind,
             entry,
-            extra_way: Duration::ZERO,
+            extra_delay: Duration::ZERO,
             arrived: self.now,
             deadline,
-            size,
+            nominal_time,
             upstream: usize::MAX,
             attempt: 0,
             avoid: Vec::new(),
         });
-        let place = entry * self.deployment.pools.len() + pool;
-        self.budgets[place].note_request();
+        let index = entry * self.deployment.pools.len() + pool;
+        self.retry_budgets[index].note_request();
         self.calls.len() - 1
     }
 
     fn draw_entry(&mut self) -> usize {
         let entries = self.deployment.entries;
         loop {
-            let few = self.scenario.is_skewed() && self.callers.random::<f64>() < 0.8;
-            let among = if few { entries / 5 } else { entries };
-            let entry = self.callers.random_range(0..among);
+            let skewed = self.scenario.is_skewed() && self.callers.random::<f64>() < 0.8;
+            let candidate_count = if skewed { entries / 5 } else { entries };
+            let entry = self.callers.random_range(0..candidate_count);
             // The platform's load balancer skips a lost host as soon as connections to it fail.
             if self.alive[entry] {
                 return entry;
@@ -339,50 +344,50 @@
         }
     }
 
-    pub(crate) fn reach_upstream(&mut self, call: usize) {
+    pub(crate) fn arrive_at_upstream(&mut self, call: usize) {
         let upstream = self.calls[call].upstream;
         if self.upstreams[upstream].busy >= self.upstreams[upstream].slots {
             self.upstreams[upstream].queue.push_back(call);
         } else {
-            self.occupy(call);
+            self.start_work(call);
         }
     }
 
     /// Starts a call in a free slot of its upstream.
-    pub(crate) fn occupy(&mut self, call: usize) {
+    pub(crate) fn start_work(&mut self, call: usize) {
         let upstream = &mut self.upstreams[self.calls[call].upstream];
         upstream.busy += 1;
-        let at = self.now + upstream.service_time(self.now, self.calls[call].size);
-        self.events.add(at, SimEvent::EndAtUpstream { call });
+        let at = self.now + upstream.service_time(self.now, self.calls[call].nominal_time);
+        self.events.schedule(at, SimEvent::FinishAtUpstream { call });
     }
 
     /// Ends a call at its upstream and sends the answer to the call's entry.
-    pub(crate) fn end_at_upstream(&mut self, call: usize) {
+    pub(crate) fn finish_at_upstream(&mut self, call: usize) {
         let upstream = &mut self.upstreams[self.calls[call].upstream];
         upstream.busy -= 1;
-        let answers = upstream.answers();
+        let succeeds = upstream.succeeds();
         let zone = upstream.zone;
         if let Some(next) = upstream.queue.pop_front() {
-            self.occupy(next);
+            self.start_work(next);
         }
         let entry_zone = self.deployment.zone_of(self.calls[call].entry);
-        let outcome = match (answers, self.is_cut(entry_zone, zone)) {
+        let outcome = match (succeeds, self.is_cut(entry_zone, zone)) {
             (_, true) => AttemptOutcome::Broken,
             (true, _) => AttemptOutcome::Answered,
             (false, _) => AttemptOutcome::Failed,
         };
-        let at = self.now + self.deployment.delay(entry_zone, zone);
-        self.events.add(at, SimEvent::ReachEntry { call, outcome });
+        let at = self.now + self.deployment.one_way_delay(entry_zone, zone);
+        self.events.schedule(at, SimEvent::ReturnToEntry { call, outcome });
     }
 
     /// Records the outcome of an attempt at the call's entry. Returns whether the call is retried.
-    pub(crate) fn conclude(&mut self, number: usize, outcome: AttemptOutcome) -> bool {
+    pub(crate) fn record_outcome(&mut self, number: usize, outcome: AttemptOutcome) -> bool {
         if outcome == AttemptOutcome::Answered {
-            self.note_answer(number);
+            self.record_answer(number);
             return false;
         }
         let call = &self.calls[number];
-        let place = call.entry * self.deployment.pools.len() + call.pool;
+        let index = call.entry * self.deployment.pools.len() + call.pool;
         let question = RetryQuestion {
             most_attempts: 3,
             outcome,
@@ -393,46 +398,46 @@
             left: call.deadline.since(self.now),
             typical: Duration::from_millis(20),
         };
-        let again = self.budgets[place].decide(&question) == RetryDecision::Retry;
-        if again {
-            let upstream = call.upstream - self.first_upstream[call.pool];
-            let record = self.deployment.record(call.pool, upstream);
+        let retry = self.retry_budgets[index].decide(&question) == RetryDecision::Retry;
+        if retry {
+            let upstream = call.upstream - self.first_upstreams[call.pool];
+            let record = self.deployment.upstream_record(call.pool, upstream);
             let call = &mut self.calls[number];
             call.attempt += 1;
             call.avoid.extend(record.map(|record| record.announcement.id));
-        } else if self.counts(call.arrived) {
+        } else if self.is_measured(call.arrived) {
             self.figures.pools[call.pool].failed += 1;
         }
-        again
+        retry
     }
 
-    fn note_answer(&mut self, number: usize) {
+    fn record_answer(&mut self, number: usize) {
         let call = &self.calls[number];
-        let at = self.now + call.extra_way;
+        let at = self.now + call.extra_delay;
         let whole = at.since(call.arrived);
-        if !self.counts(call.arrived) {
+        if !self.is_measured(call.arrived) {
             return;
         }
-        let added = whole.saturating_sub(call.size + self.deployment.near * 2);
+        let added = whole.saturating_sub(call.nominal_time + self.deployment.same_zone_delay * 2);
         let in_time = at <= call.deadline;
         let figures = &mut self.figures.pools[call.pool];
-        figures.note(whole, added, call.kind == 0);
+        figures.record(whole, added, call.kind == 0);
         if in_time {
-            figures.served[call.kind] += call.size.as_secs_f64();
+            figures.served[call.kind] += call.nominal_time.as_secs_f64();
         } else {
-            figures.missed += 1;
+            figures.deadline_missed += 1;
         }
     }
 }
 
 impl MessageBody {
-    fn bytes(&self) -> usize {
+    fn encoded_len(&self) -> usize {
         match self {
             Self::Delta(delta) => delta.encode().map_or(0, |bytes| bytes.len()),
             Self::Sum(sum) => sum.encode().map_or(0, |bytes| bytes.len()),
-            Self::Ask { .. } => 24,
-            Self::Grant { .. } => 20,
-            Self::Return { .. } => 12,
+            Self::LeaseRequest { .. } => 24,
+            Self::LeaseGrant { .. } => 20,
+            Self::LeaseReturn { .. } => 12,
         }
     }
 }
--- a/crates/pulley_bench/src/decisions/simulation.rs
+++ b/crates/pulley_bench/src/decisions/simulation.rs
@@ -35,46 +35,50 @@
         other => bail!("unknown policy {other}; expected one of {}", POLICIES.join(", ")),
     };
     let mut world = SimWorld::new(deployment.clone(), scenario, seed);
-    incidents::plan(&mut world);
-    dispatcher.begin(&mut world)?;
+    incidents::schedule(&mut world);
+    dispatcher.start(&mut world)?;
     for pool in 0..deployment.pools.len() {
-        world.events.add(Moment::ZERO, SimEvent::Arrive { pool });
+        world.events.schedule(Moment::ZERO, SimEvent::Arrive { pool });
     }
     while let Some((now, event)) = world.events.pop() {
         world.now = now;
-        step(&mut world, dispatcher.as_mut(), event)?;
+        handle_event(&mut world, dispatcher.as_mut(), event)?;
     }
     Ok(world.figures)
 }
 
-fn step(world: &mut SimWorld, dispatcher: &mut dyn Dispatcher, event: SimEvent) -> Result<()> {
+fn handle_event(
+    world: &mut SimWorld,
+    dispatcher: &mut dyn Dispatcher,
+    event: SimEvent,
+) -> Result<()> {
     match event {
         SimEvent::Arrive { pool } => {
-            for call in world.arrivals(pool) {
-                dispatcher.arrive(world, call);
+            for call in world.draw_arrivals(pool) {
+                dispatcher.on_arrival(world, call);
             }
         }
-        SimEvent::ReachUpstream { call } => world.reach_upstream(call),
-        SimEvent::EndAtUpstream { call } => {
-            world.end_at_upstream(call);
-            dispatcher.freed(world, call);
+        SimEvent::ArriveAtUpstream { call } => world.arrive_at_upstream(call),
+        SimEvent::FinishAtUpstream { call } => {
+            world.finish_at_upstream(call);
+            dispatcher.on_slot_freed(world, call);
         }
-        SimEvent::ReachEntry { call, outcome } => {
-            reach_entry(world, dispatcher, call, outcome);
+        SimEvent::ReturnToEntry { call, outcome } => {
+            return_to_entry(world, dispatcher, call, outcome);
         }
-        SimEvent::Timer(timer) => dispatcher.timer(world, timer),
-        SimEvent::Deliver { from, to, body } => dispatcher.deliver(world, (from, to), body),
+        SimEvent::Timer(timer) => dispatcher.on_timer(world, timer),
+        SimEvent::Deliver { from, to, body } => dispatcher.on_message(world, (from, to), body),
         SimEvent::Incident(incident) => {
-            incidents::happen(world, incident, dispatcher.coordinator());
+            incidents::apply(world, incident, dispatcher.critical_host());
             if !matches!(incident, Incident::Noise) {
-                dispatcher.changed(world)?;
+                dispatcher.on_change(world)?;
             }
         }
     }
     Ok(())
 }
 
-fn reach_entry(
+fn return_to_entry(
     world: &mut SimWorld,
     dispatcher: &mut dyn Dispatcher,
     call: usize,
@@ -83,8 +87,8 @@
     if !world.alive[world.calls[call].entry] {
         return;
     }
-    dispatcher.ended(world, call, outcome);
-    if world.conclude(call, outcome) {
-        dispatcher.arrive(world, call);
+    dispatcher.on_outcome(world, call, outcome);
+    if world.record_outcome(call, outcome) {
+        dispatcher.on_arrival(world, call);
     }
 }
--- a/crates/pulley_bench/src/decisions/upstream_model.rs
+++ b/crates/pulley_bench/src/decisions/upstream_model.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum UpstreamMode {
     /// Works at its nominal speed.
-    Well,
+    Healthy,
     /// Takes longer by this factor.
     Slow(f64),
     /// Fails every request after a millisecond.
@@ -31,32 +31,32 @@
     pub(crate) queue: VecDeque<usize>,
 }
 
-const COLD_FACTOR: f64 = 5.0;
-const COLD_SECONDS: f64 = 3.0;
-const FAIL_TIME: Duration = Duration::from_millis(1);
+const COLD_SLOWDOWN: f64 = 5.0;
+const COLD_WARM_UP_S: f64 = 3.0;
+const FAILURE_LATENCY: Duration = Duration::from_millis(1);
 
 impl UpstreamModel {
     pub(crate) fn new(pool: usize, index: usize, zone: usize, slots: u32) -> Self {
         let queue = VecDeque::new();
-        Self { pool, index, zone, slots, mode: UpstreamMode::Well, busy: 0, queue }
+        Self { pool, index, zone, slots, mode: UpstreamMode::Healthy, busy: 0, queue }
     }
 
-    /// Returns how long a request holds its slot if it starts now. `size` is its service time at
-    /// nominal speed.
-    pub(crate) fn service_time(&self, now: Moment, size: Duration) -> Duration {
+    /// Returns how long a request holds its slot if it starts now. `nominal_time` is its service
+    /// time at nominal speed.
+    pub(crate) fn service_time(&self, now: Moment, nominal_time: Duration) -> Duration {
         match self.mode {
-            UpstreamMode::Well => size,
-            UpstreamMode::Slow(factor) => size.mul_f64(factor),
-            UpstreamMode::FailingFast => FAIL_TIME,
+            UpstreamMode::Healthy => nominal_time,
+            UpstreamMode::Slow(factor) => nominal_time.mul_f64(factor),
+            UpstreamMode::FailingFast => FAILURE_LATENCY,
             UpstreamMode::Cold(since) => {
-                let warmed = (now.since(since).as_secs_f64() / COLD_SECONDS).min(1.0);
-                size.mul_f64(COLD_FACTOR - (COLD_FACTOR - 1.0) * warmed)
+                let warmed = (now.since(since).as_secs_f64() / COLD_WARM_UP_S).min(1.0);
+                nominal_time.mul_f64(COLD_SLOWDOWN - (COLD_SLOWDOWN - 1.0) * warmed)
             }
         }
     }
 
     /// Whether a request that ends now succeeds.
-    pub(crate) fn answers(&self) -> bool {
+    pub(crate) fn succeeds(&self) -> bool {
         self.mode != UpstreamMode::FailingFast
     }
 }
--- a/crates/pulley_bench/src/fleet/daemon_fleet.rs
+++ b/crates/pulley_bench/src/fleet/daemon_fleet.rs
@@ -18,7 +18,7 @@
 const KEY: &str = "the-key-of-a-bench-on-loopback-0123456789";
 
 /// How long to wait for a condition before giving up.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Names of a daemon's listeners, in the order of [`DaemonProcess::addresses`].
 const LISTENERS: [&str; 4] = ["callers", "upstreams", "operators", "peers"];
@@ -54,7 +54,7 @@
     /// Time of the sample, or time between two samples, in seconds.
     pub(crate) at: f64,
     /// Processor time, in seconds.
-    pub(crate) processor: Vec<f64>,
+    pub(crate) cpu_seconds: Vec<f64>,
     /// Control bytes sent, without IP headers.
     pub(crate) control_bytes: Vec<f64>,
     /// Resident memory, in MB.
@@ -64,13 +64,13 @@
 impl FleetCost {
     /// Returns the usage since an earlier sample. Memory is the current value.
     pub(crate) fn since(&self, earlier: &Self) -> Self {
-        let minus = |now: &[f64], then: &[f64]| -> Vec<f64> {
-            now.iter().zip(then).map(|(now, then)| now - then).collect()
+        let difference = |now: &[f64], before: &[f64]| -> Vec<f64> {
+            now.iter().zip(before).map(|(now, before)| now - before).collect()
         };
         Self {
             at: self.at - earlier.at,
-            processor: minus(&self.processor, &earlier.processor),
-            control_bytes: minus(&self.control_bytes, &earlier.control_bytes),
+            cpu_seconds: difference(&self.cpu_seconds, &earlier.cpu_seconds),
+            control_bytes: difference(&self.control_bytes, &earlier.control_bytes),
             resident_mb: self.resident_mb.clone(),
         }
     }
@@ -104,7 +104,7 @@
                 let data = folder.path().join(format!("data-{number}"));
                 command.args(["--roles", "entry,replica", "--data-folder"]).arg(data);
             }
-            hosts.push(launch(command, &folder.path().join(format!("log-{number}")))?);
+            hosts.push(start_daemon(command, &folder.path().join(format!("log-{number}")))?);
         }
         Ok(Self { hosts, _folder: folder })
     }
@@ -124,21 +124,22 @@
         let body = json!({
             "change_id": "bench-1", "actor": "bench", "expect": 0, "sheet": sheet,
         });
-        await_that("the sheet is accepted", || {
-            let answer = ask(self.hosts[0].addresses[2], "POST", "/v1/sheet", &body.to_string());
+        wait_until("the sheet is accepted", || {
+            let answer =
+                request_json(self.hosts[0].addresses[2], "POST", "/v1/sheet", &body.to_string());
             answer.is_ok_and(|answer| answer.get("accepted").is_some())
         })?;
-        await_that("all hosts serve", || {
+        wait_until("all hosts serve", || {
             self.hosts.iter().all(|host| {
-                ask(host.addresses[1], "GET", "/healthz", "")
+                request_json(host.addresses[1], "GET", "/healthz", "")
                     .is_ok_and(|answer| answer["ready"] == true)
             })
         })
     }
 
     /// Waits until every host knows this many upstreams.
-    pub(crate) fn await_upstreams(&self, count: usize) -> Result<()> {
-        await_that("all upstreams are known", || {
+    pub(crate) fn wait_for_upstreams(&self, count: usize) -> Result<()> {
+        wait_until("all upstreams are known", || {
             self.statuses().is_ok_and(|all| all.iter().all(|status| status["upstreams"] == count))
         })
     }
@@ -149,14 +150,17 @@
         let sent = |status: &Value| status.pointer("/control/sent_bytes").and_then(Value::as_f64);
         Ok(FleetCost {
             at: process_clock(),
-            processor: self.hosts.iter().map(|host| processor_time(host.child.id())).collect(),
+            cpu_seconds: self.hosts.iter().map(|host| cpu_seconds_of(host.child.id())).collect(),
             control_bytes: statuses.iter().map(|status| sent(status).unwrap_or(0.0)).collect(),
             resident_mb: self.hosts.iter().map(|host| resident_mb(host.child.id())).collect(),
         })
     }
 
     fn statuses(&self) -> Result<Vec<Value>> {
-        self.hosts.iter().map(|host| ask(host.addresses[2], "GET", "/status", "")).collect()
+        self.hosts
+            .iter()
+            .map(|host| request_json(host.addresses[2], "GET", "/status", ""))
+            .collect()
     }
 }
 
@@ -183,17 +187,17 @@
     Ok(path)
 }
 
-fn launch(mut command: Command, log: &Path) -> Result<DaemonProcess> {
+fn start_daemon(mut command: Command, log: &Path) -> Result<DaemonProcess> {
     let output = File::create(log)?;
     command.env_clear().stdin(Stdio::null()).stdout(output.try_clone()?).stderr(output);
     let child = command.spawn().wrap_err("the daemon could not be started")?;
     let mut host = DaemonProcess { addresses: [SocketAddr::from(([127, 0, 0, 1], 0)); 4], child };
     let mut found = None;
-    let listens = await_that("the daemon listens", || {
+    let listening = wait_until("the daemon listens", || {
         found = fs::read_to_string(log).ok().and_then(|text| read_addresses(&text));
         found.is_some()
     });
-    if let Err(fault) = listens {
+    if let Err(fault) = listening {
         let _ = host.child.kill();
         bail!("{fault}: {}", fs::read_to_string(log).unwrap_or_default());
     }
@@ -206,13 +210,13 @@
     let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); 4];
     for (name, address) in LISTENERS.iter().zip(&mut addresses) {
         let key = format!("{name}=");
-        let word = line.split(' ').find_map(|word| word.strip_prefix(key.as_str()))?;
-        *address = word.parse().ok()?;
+        let value = line.split(' ').find_map(|value| value.strip_prefix(key.as_str()))?;
+        *address = value.parse().ok()?;
     }
     Some(addresses)
 }
 
-fn processor_time(id: u32) -> f64 {
+fn cpu_seconds_of(id: u32) -> f64 {
     /// Clock ticks per second; 100 on every platform that this runs on.
     const TICKS: f64 = 100.0;
     let text = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
@@ -237,18 +241,18 @@
 // -------------------------------------------------------------------------------------------------
 // Requests
 
-fn await_that(what: &str, mut condition: impl FnMut() -> bool) -> Result<()> {
+fn wait_until(condition_text: &str, mut condition: impl FnMut() -> bool) -> Result<()> {
     let began = Instant::now();
     while !condition() {
-        if began.elapsed() > PATIENCE {
-            return Err(eyre!("timed out waiting: {what}"));
+        if began.elapsed() > WAIT_TIMEOUT {
+            return Err(eyre!("timed out waiting: {condition_text}"));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
     Ok(())
 }
 
-fn ask(address: SocketAddr, method: &str, path: &str, body: &str) -> Result<Value> {
+fn request_json(address: SocketAddr, method: &str, path: &str, body: &str) -> Result<Value> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
     write!(
--- a/crates/pulley_bench/src/fleet/fleet_report.rs
+++ b/crates/pulley_bench/src/fleet/fleet_report.rs
@@ -4,7 +4,7 @@
 
 use super::FleetOptions;
 use super::daemon_fleet::FleetCost;
-use super::open_load::{LONGEST_MICROS, OpenLoadResult};
+use super::open_load::{MAX_LATENCY_MICROS, OpenLoadResult};
 use super::pool_upstreams::UpstreamCounts;
 
 /// Aggregated figures of all rounds, either with shared counts or without.
@@ -16,8 +16,8 @@
     failed: u64,
     late: u64,
     upstreams: UpstreamCounts,
-    processor: Vec<f64>,
-    control: Vec<f64>,
+    cpu_pct: Vec<f64>,
+    control_rates: Vec<f64>,
     resident_mb: f64,
 }
 
@@ -25,14 +25,14 @@
     pub(super) fn new(share_counts: bool) -> Self {
         Self {
             share_counts,
-            latencies: Histogram::new_with_bounds(1, LONGEST_MICROS, 3)
+            latencies: Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
                 .expect("the bounds are in order"),
             refused: 0,
             failed: 0,
             late: 0,
             upstreams: UpstreamCounts::default(),
-            processor: Vec::new(),
-            control: Vec::new(),
+            cpu_pct: Vec::new(),
+            control_rates: Vec::new(),
             resident_mb: 0.0,
         }
     }
@@ -41,20 +41,26 @@
         self.share_counts
     }
 
-    pub(super) fn add(&mut self, load: &OpenLoadResult, seen: &UpstreamCounts, cost: &FleetCost) {
+    pub(super) fn add(
+        &mut self,
+        load: &OpenLoadResult,
+        upstreams: &UpstreamCounts,
+        cost: &FleetCost,
+    ) {
         let _ = self.latencies.add(&load.latencies);
         self.refused += load.refused;
         self.failed += load.failed;
         self.late += load.late;
-        self.upstreams.requests += seen.requests;
-        self.upstreams.collisions += seen.collisions;
-        self.processor.extend(cost.processor.iter().map(|used| used / cost.at * 100.0));
-        self.control.extend(cost.control_bytes.iter().map(|sent| sent / cost.at));
+        self.upstreams.requests += upstreams.requests;
+        self.upstreams.collisions += upstreams.collisions;
+        self.cpu_pct.extend(cost.cpu_seconds.iter().map(|used| used / cost.at * 100.0));
+        self.control_rates.extend(cost.control_bytes.iter().map(|sent| sent / cost.at));
         self.resident_mb = cost.resident_mb.iter().copied().fold(self.resident_mb, f64::max);
     }
 
     pub(super) fn print(&self, options: &FleetOptions) {
-        let at = |part: f64| self.latencies.value_at_quantile(part) as f64 / 1_000.0;
+        let quantile_ms =
+            |quantile: f64| self.latencies.value_at_quantile(quantile) as f64 / 1_000.0;
         let requests = self.upstreams.requests.max(1) as f64;
         println!(
             "bench=fleet counts={} hosts={} upstreams={} slots={} load={} calls={} p50_ms={:.2} \
@@ -67,17 +73,17 @@
             options.slots,
             options.load,
             self.latencies.len(),
-            at(0.5),
-            at(0.99),
-            at(0.999),
+            quantile_ms(0.5),
+            quantile_ms(0.99),
+            quantile_ms(0.999),
             self.upstreams.collisions as f64 / requests * 100.0,
             self.refused,
             self.failed,
             self.late,
-            mean(&self.processor),
-            largest(&self.processor),
-            mean(&self.control),
-            largest(&self.control),
+            mean(&self.cpu_pct),
+            largest(&self.cpu_pct),
+            mean(&self.control_rates),
+            largest(&self.control_rates),
             self.resident_mb,
         );
     }
--- a/crates/pulley_bench/src/fleet/mod.rs
+++ b/crates/pulley_bench/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use pool_upstreams::{PoolUpstreams, UpstreamPlan};
 
 /// Worker threads for callers and upstreams, enough that they do not limit the measurement.
-const SIDE_THREADS: usize = 4;
+const LOAD_THREADS: usize = 4;
 
 /// How long the load runs before it is measured, so that connections are open and counts have
 /// settled.
@@ -34,7 +34,7 @@
     hosts: usize,
     upstreams: usize,
     slots: u32,
-    service: Duration,
+    service_time: Duration,
     load: f64,
     seconds: Duration,
     rounds: usize,
@@ -45,8 +45,9 @@
 /// Runs the subcommand.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let Some(options) = read_options(arguments)? else { return Ok(()) };
-    let ways: &[bool] = if options.compare { &[true, false] } else { &[true] };
-    let mut reports: Vec<FleetReport> = ways.iter().map(|way| FleetReport::new(*way)).collect();
+    let modes: &[bool] = if options.compare { &[true, false] } else { &[true] };
+    let mut reports: Vec<FleetReport> =
+        modes.iter().map(|share_counts| FleetReport::new(*share_counts)).collect();
     for round in 0..options.rounds {
         for report in &mut reports {
             measure(&options, options.seed + round as u64, report)?;
@@ -59,24 +60,25 @@
 }
 
 fn measure(options: &FleetOptions, seed: u64, report: &mut FleetReport) -> Result<()> {
-    let side = Builder::new_multi_thread().worker_threads(SIDE_THREADS).enable_all().build()?;
+    let load_runtime =
+        Builder::new_multi_thread().worker_threads(LOAD_THREADS).enable_all().build()?;
     let fleet = DaemonFleet::start(FleetPlan {
         hosts: options.hosts,
         replicas: options.hosts.min(3),
         share_counts: report.share_counts(),
     })?;
     fleet.apply_sheet(&sheet())?;
-    let upstreams = side.block_on(PoolUpstreams::start(UpstreamPlan {
+    let upstreams = load_runtime.block_on(PoolUpstreams::start(UpstreamPlan {
         pool: "cover".to_owned(),
         count: options.upstreams,
         slots: options.slots,
-        service: options.service,
+        service_time: options.service_time,
         announce_to: fleet.announce_addresses(),
         seed,
     }))?;
-    fleet.await_upstreams(options.upstreams)?;
+    fleet.wait_for_upstreams(options.upstreams)?;
     let capacity =
-        f64::from(options.slots) * options.upstreams as f64 / options.service.as_secs_f64();
+        f64::from(options.slots) * options.upstreams as f64 / options.service_time.as_secs_f64();
     let plan = OpenLoadPlan {
         entries: fleet.caller_addresses(),
         path: "/cover/check".to_owned(),
@@ -86,10 +88,10 @@
         seed,
     };
     let load = OpenLoad::new(plan);
-    side.block_on(load.warm_up());
+    load_runtime.block_on(load.warm_up());
     let before = fleet.cost()?;
     upstreams.reset();
-    let result = side.block_on(load.measure());
+    let result = load_runtime.block_on(load.measure());
     let after = fleet.cost()?;
     report.add(&result, &upstreams.counts(), &after.since(&before));
     Ok(())
@@ -122,14 +124,14 @@
         hosts: matches.opt_get_default("hosts", 25)?,
         upstreams: matches.opt_get_default("upstreams", 15)?,
         slots: matches.opt_get_default("slots", 2)?,
-        service: Duration::from_millis(matches.opt_get_default("service-ms", 20)?),
+        service_time: Duration::from_millis(matches.opt_get_default("service-ms", 20)?),
         load: matches.opt_get_default("load", 0.8)?,
         seconds: Duration::from_secs(matches.opt_get_default("seconds", 8)?),
         rounds: matches.opt_get_default("rounds", 1)?,
         compare: matches.opt_present("compare"),
         seed: matches.opt_get_default("seed", 1)?,
     };
-    if parsed.hosts == 0 || parsed.upstreams == 0 || parsed.service.is_zero() {
+    if parsed.hosts == 0 || parsed.upstreams == 0 || parsed.service_time.is_zero() {
         bail!("hosts, upstreams and service time are at least 1");
     }
     Ok(Some(parsed))
--- a/crates/pulley_bench/src/fleet/open_load.rs
+++ b/crates/pulley_bench/src/fleet/open_load.rs
@@ -18,11 +18,11 @@
 
 /// The highest latency that the histograms hold, in microseconds. Higher ones are recorded as this
 /// value.
-pub(super) const LONGEST_MICROS: u64 = 60_000_000;
+pub(super) const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
 /// Delay after which a call counts as sent late. Late calls show that the callers themselves could
 /// not keep up.
-const LATE: Duration = Duration::from_millis(5);
+const LATE_THRESHOLD: Duration = Duration::from_millis(5);
 
 /// Parameters of the load.
 #[derive(Clone, Debug)]
@@ -87,15 +87,15 @@
 
     async fn run(&self, duration: Duration, seed: u64) -> OpenLoadResult {
         let mut random = SmallRng::seed_from_u64(seed);
-        let gaps = Exp::new(self.plan.rate).expect("a rate above zero");
-        let (outcomes, mut collected) = mpsc::unbounded_channel();
+        let interarrival_times = Exp::new(self.plan.rate).expect("a rate above zero");
+        let (outcomes, mut received_outcomes) = mpsc::unbounded_channel();
         let mut due = Instant::now();
         let end = due + duration;
         let mut late = 0;
         while due < end {
-            due += Duration::from_secs_f64(gaps.sample(&mut random));
+            due += Duration::from_secs_f64(interarrival_times.sample(&mut random));
             tokio::time::sleep_until(due).await;
-            late += u64::from(due.elapsed() > LATE);
+            late += u64::from(due.elapsed() > LATE_THRESHOLD);
             let entry = self.plan.entries[random.random_range(0..self.plan.entries.len())];
             let call = self.call(entry, due);
             let outcomes = outcomes.clone();
@@ -105,12 +105,12 @@
         }
         drop(outcomes);
         let latencies =
-            Histogram::new_with_bounds(1, LONGEST_MICROS, 3).expect("the bounds are in order");
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).expect("the bounds are in order");
         let mut result = OpenLoadResult { latencies, refused: 0, failed: 0, late };
-        while let Some(outcome) = collected.recv().await {
+        while let Some(outcome) = received_outcomes.recv().await {
             match outcome {
-                CallOutcome::Answered(took) => {
-                    let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+                CallOutcome::Answered(latency) => {
+                    let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
                     result.latencies.saturating_record(micros);
                 }
                 CallOutcome::Refused => result.refused += 1,
@@ -120,8 +120,8 @@
         result
     }
 
-    /// Makes one call. Its latency counts from when the call was due, so that a call sent late,
-    /// while another one's slow answer holds the callers up, does not hide that delay.
+    /// Makes one call. Its latency counts from when the call was due. This avoids coordinated
+    /// omission: a caller held up by a slow answer to another call does not hide the delay.
     fn call(
         &self,
         entry: SocketAddr,
--- a/crates/pulley_bench/src/fleet/pool_upstreams.rs
+++ b/crates/pulley_bench/src/fleet/pool_upstreams.rs
@@ -24,11 +24,11 @@
 use tokio::sync::Semaphore;
 
 /// Interval at which an upstream announces itself.
-const ANNOUNCE_PACE: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How much longer than requested a sleep takes on average, because the timer rounds up to whole
 /// milliseconds. Without this correction, the load would be 5% higher at 20 ms.
-const TIMER_EXCESS: Duration = Duration::from_millis(1);
+const TIMER_OVERSHOOT: Duration = Duration::from_millis(1);
 
 /// Parameters of the upstreams.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     /// Requests that an upstream works on at once. Further requests wait in the upstream.
     pub(crate) slots: u32,
     /// Mean service time; log-normal with a coefficient of variation of 1.
-    pub(crate) service: Duration,
+    pub(crate) service_time: Duration,
     /// The hosts that the upstreams announce themselves to, in round-robin order.
     pub(crate) announce_to: Vec<SocketAddr>,
     /// Seed for the service times.
@@ -69,10 +69,10 @@
 }
 
 #[derive(Debug)]
-struct StandIn {
+struct StandInUpstream {
     slots: Semaphore,
     random: Mutex<SmallRng>,
-    service: LogNormal<f64>,
+    service_times: LogNormal<f64>,
     counters: Arc<UpstreamCounters>,
 }
 
@@ -82,17 +82,18 @@
         let counters = Arc::new(UpstreamCounters::default());
         // For a log-normal with mean m and cv 1: sigma² = ln 2, mu = ln m - sigma²/2.
         let sigma = 2_f64.ln().sqrt();
-        let service = LogNormal::new(plan.service.as_secs_f64().ln() - 2_f64.ln() / 2.0, sigma)?;
+        let service_times =
+            LogNormal::new(plan.service_time.as_secs_f64().ln() - 2_f64.ln() / 2.0, sigma)?;
         for number in 0..plan.count {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let address = listener.local_addr()?;
-            let stand_in = Arc::new(StandIn {
+            let upstream = Arc::new(StandInUpstream {
                 slots: Semaphore::new(plan.slots as usize),
                 random: Mutex::new(SmallRng::seed_from_u64(plan.seed ^ (number as u64) << 32)),
-                service,
+                service_times,
                 counters: Arc::clone(&counters),
             });
-            tokio::spawn(serve(listener, stand_in));
+            tokio::spawn(serve(listener, upstream));
             tokio::spawn(announce(plan.clone(), number, address));
         }
         Ok(Self { counters })
@@ -113,31 +114,31 @@
     }
 }
 
-async fn serve(listener: TcpListener, stand_in: Arc<StandIn>) {
+async fn serve(listener: TcpListener, upstream: Arc<StandInUpstream>) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
-        let stand_in = Arc::clone(&stand_in);
-        let service = service_fn(move |request| answer(request, Arc::clone(&stand_in)));
+        let upstream = Arc::clone(&upstream);
+        let service = service_fn(move |request| answer(request, Arc::clone(&upstream)));
         tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     }
 }
 
 async fn answer(
     request: Request<Incoming>,
-    stand_in: Arc<StandIn>,
+    upstream: Arc<StandInUpstream>,
 ) -> std::result::Result<Response<Full<Bytes>>, Infallible> {
     let body = Full::new(Bytes::from_static(b"covered\n"));
     if request.uri().path() == "/load" {
         return Ok(Response::new(body));
     }
-    stand_in.counters.requests.fetch_add(1, Ordering::Relaxed);
-    if stand_in.slots.available_permits() == 0 {
-        stand_in.counters.collisions.fetch_add(1, Ordering::Relaxed);
+    upstream.counters.requests.fetch_add(1, Ordering::Relaxed);
+    if upstream.slots.available_permits() == 0 {
+        upstream.counters.collisions.fetch_add(1, Ordering::Relaxed);
     }
-    let _slot = stand_in.slots.acquire().await;
-    let seconds = stand_in.service.sample(&mut *stand_in.random.lock());
-    let service = Duration::from_secs_f64(seconds.min(1.0)).saturating_sub(TIMER_EXCESS);
-    tokio::time::sleep(service).await;
+    let _slot = upstream.slots.acquire().await;
+    let seconds = upstream.service_times.sample(&mut *upstream.random.lock());
+    let service_time = Duration::from_secs_f64(seconds.min(1.0)).saturating_sub(TIMER_OVERSHOOT);
+    tokio::time::sleep(service_time).await;
     Ok(Response::new(body))
 }
 
@@ -158,6 +159,6 @@
         if let Ok(request) = request {
             let _ = client.request(request).await;
         }
-        tokio::time::sleep(ANNOUNCE_PACE).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
