--- a/crates/pulley_bench/src/decisions/incidents.rs
+++ b/crates/pulley_bench/src/decisions/incidents.rs
@@ -1,4 +1,4 @@
-//! Brings about what a scenario says.
+//! Schedules and applies the incidents of a scenario.
 
 use std::time::Duration;
 
@@ -9,62 +9,68 @@
 use super::sim_world::{Incident, SimEvent, SimWorld};
 use super::upstream_model::UpstreamMode;
 
-/// From the start of the measured time to the incident.
-const BEGIN_AFTER: Duration = Duration::from_secs(2);
+/// Delay of the incident after the measured time starts.
+const INCIDENT_DELAY: Duration = Duration::from_secs(2);
 
-/// How long an incident lasts, where it ends.
-const LASTS: Duration = Duration::from_secs(4);
+/// Duration of an incident that ends. It counts from when the hosts have detected the incident.
+const INCIDENT_DURATION: Duration = Duration::from_secs(4);
 
-/// How long the hosts take to learn of a drain.
-const GOSSIP: Duration = Duration::from_millis(300);
+/// Delay until gossip has told the hosts of a drain or of a restarted upstream.
+const GOSSIP_DELAY: Duration = Duration::from_millis(300);
 
-/// How long the hosts take to learn that hosts are lost.
-const SUSPICION: Duration = Duration::from_secs(1);
+/// Delay until the hosts detect that others are lost, or that a partition has ended.
+const DETECTION_DELAY: Duration = Duration::from_secs(1);
 
-/// An announcement's lease.
-const LEASE: Duration = Duration::from_secs(3);
+/// Lease of an announcement; when it expires, the hosts know that the upstream is unreachable.
+const ANNOUNCEMENT_LEASE: Duration = Duration::from_secs(3);
 
-/// Time between changes of the neighbours' noise.
-const NOISE_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which the upstreams slowed by noisy neighbours are drawn again.
+const NOISE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Part of the upstreams that noise slows at any time, and how much.
-const NOISY_PART: f64 = 0.08;
-const NOISY_FACTOR: f64 = 3.0;
+/// Fraction of the upstreams that noisy neighbours slow down at any time.
+const NOISY_FRACTION: f64 = 0.08;
 
-/// Puts a scenario's incidents into the queue.
-pub(crate) fn plan(world: &mut SimWorld) {
-    let begin = world.begin + BEGIN_AFTER;
-    let noticed = match world.scenario {
-        LoadScenario::Drain | LoadScenario::ColdStart => GOSSIP,
-        LoadScenario::ZoneCut => LEASE,
-        _ => SUSPICION,
+/// Factor by which noisy neighbours slow an upstream down.
+const NOISY_SLOWDOWN: f64 = 3.0;
+
+/// Schedules the incidents of the scenario.
+pub(crate) fn schedule(world: &mut SimWorld) {
+    let start = world.measure_start + INCIDENT_DELAY;
+    let detection_delay = match world.scenario {
+        LoadScenario::Drain | LoadScenario::ColdStart => GOSSIP_DELAY,
+        LoadScenario::ZoneCut => ANNOUNCEMENT_LEASE,
+        _ => DETECTION_DELAY,
     };
-    let mut add = |at: Moment, incident| world.events.add(at, SimEvent::Incident(incident));
+    let mut schedule_at =
+        |at: Moment, incident| world.events.schedule(at, SimEvent::Incident(incident));
     match world.scenario {
         LoadScenario::OneSlow | LoadScenario::OneFailingFast => {
-            add(Moment::ZERO + Duration::from_secs(1), Incident::Begin);
+            schedule_at(Moment::ZERO + Duration::from_secs(1), Incident::Begin);
         }
         LoadScenario::ZoneCut => {
-            add(begin, Incident::Begin);
-            add(begin + noticed, Incident::Noticed);
-            add(begin + noticed + LASTS, Incident::End);
-            add(begin + noticed + LASTS + SUSPICION, Incident::EndNoticed);
+            schedule_at(start, Incident::Begin);
+            schedule_at(start + detection_delay, Incident::Detected);
+            schedule_at(start + detection_delay + INCIDENT_DURATION, Incident::End);
+            schedule_at(
+                start + detection_delay + INCIDENT_DURATION + DETECTION_DELAY,
+                Incident::EndDetected,
+            );
         }
-        LoadScenario::Noisy => add(Moment::ZERO, Incident::Noise),
+        LoadScenario::Noisy => schedule_at(Moment::ZERO, Incident::Noise),
         LoadScenario::Drain
         | LoadScenario::ColdStart
         | LoadScenario::CoordinatorLost
         | LoadScenario::TwoHostsLost
         | LoadScenario::SilentConnections => {
-            add(begin, Incident::Begin);
-            add(begin + noticed, Incident::Noticed);
+            schedule_at(start, Incident::Begin);
+            schedule_at(start + detection_delay, Incident::Detected);
         }
         _ => {}
     }
 }
 
-/// Lets one happen. `coordinator` is the host that matters most to the first pool.
-pub(crate) fn happen(world: &mut SimWorld, incident: Incident, coordinator: usize) {
+/// Applies an incident. `coordinator` is the host whose loss affects the first pool most.
+pub(crate) fn apply(world: &mut SimWorld, incident: Incident, coordinator: usize) {
     let now = world.now;
     match (incident, world.scenario) {
         (Incident::Begin, LoadScenario::OneSlow) => {
@@ -82,26 +88,26 @@
             let other = (coordinator + 1) % world.deployment.entries;
             world.alive[other] = false;
         }
-        (Incident::Begin, LoadScenario::ZoneCut) => world.cut = true,
-        (Incident::End, LoadScenario::ZoneCut) => world.cut = false,
-        (Incident::Noticed, LoadScenario::ZoneCut) => world.known_cut = true,
-        (Incident::EndNoticed, LoadScenario::ZoneCut) => world.known_cut = false,
-        (Incident::Noticed, LoadScenario::Drain) => world.known_drain = true,
-        (Incident::Noticed, LoadScenario::CoordinatorLost | LoadScenario::TwoHostsLost) => {
-            world.known_lost = world.alive.iter().map(|alive| !alive).collect();
+        (Incident::Begin, LoadScenario::ZoneCut) => world.zone_cut = true,
+        (Incident::End, LoadScenario::ZoneCut) => world.zone_cut = false,
+        (Incident::Detected, LoadScenario::ZoneCut) => world.zone_cut_detected = true,
+        (Incident::EndDetected, LoadScenario::ZoneCut) => world.zone_cut_detected = false,
+        (Incident::Detected, LoadScenario::Drain) => world.drain_detected = true,
+        (Incident::Detected, LoadScenario::CoordinatorLost | LoadScenario::TwoHostsLost) => {
+            world.loss_detected = world.alive.iter().map(|alive| !alive).collect();
         }
-        (Incident::Noise, _) => make_noise(world),
+        (Incident::Noise, _) => redraw_noise(world),
         _ => {}
     }
 }
 
-fn make_noise(world: &mut SimWorld) {
+fn redraw_noise(world: &mut SimWorld) {
     for upstream in 0..world.upstreams.len() {
-        let slow = world.rng.random::<f64>() < NOISY_PART;
-        let mode = if slow { UpstreamMode::Slow(NOISY_FACTOR) } else { UpstreamMode::Well };
+        let slowed = world.rng.random::<f64>() < NOISY_FRACTION;
+        let mode = if slowed { UpstreamMode::Slow(NOISY_SLOWDOWN) } else { UpstreamMode::Healthy };
         world.upstreams[upstream].mode = mode;
     }
-    if world.now < world.end {
-        world.events.add(world.now + NOISE_EVERY, SimEvent::Incident(Incident::Noise));
+    if world.now < world.measure_end {
+        world.events.schedule(world.now + NOISE_INTERVAL, SimEvent::Incident(Incident::Noise));
     }
 }
--- a/crates/pulley_bench/src/decisions/mod.rs
+++ b/crates/pulley_bench/src/decisions/mod.rs
@@ -1,7 +1,9 @@
-//! Measures the decisions of `pulley_core`: outcomes under load in virtual time, and their cost.
+//! Measures the scheduling decisions of `pulley_core`: their results under simulated load, and
+//! their processor time.
 //!
-//! The schedulers and coordinators are the real ones. Callers, upstreams and the ways between
-//! hosts are small stand-ins; what they leave out is said where each is defined.
+//! The simulation runs the real schedulers and coordinators in virtual time. Callers, upstreams
+//! and the network between hosts are simplified models. Each model's documentation says what it
+//! leaves out.
 
 mod decision_cost;
 mod deployment;
@@ -27,7 +29,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// Gives an error for options that do not parse or names that are not known.
+/// Returns an error if an option cannot be parsed or a name is unknown.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     options.optflag("h", "help", "prints this text");
@@ -51,16 +53,16 @@
 fn run_all(matches: &Matches) -> Result<()> {
     let names = LoadScenario::ALL.map(|(name, _)| name);
     let probe_percent: u32 = matches.opt_get_default("probe-percent", 100)?;
-    let seeds = chosen(matches, "seed", &["1"]);
-    for deployment in chosen(matches, "deployment", &DeploymentSpec::NAMES) {
-        let deployment = DeploymentSpec::named(&deployment)?;
-        for scenario_name in chosen(matches, "scenario", &names) {
-            let scenario = LoadScenario::named(&scenario_name)?;
-            let mut sized = deployment.clone().in_scenario(scenario);
+    let seeds = selected(matches, "seed", &["1"]);
+    for deployment in selected(matches, "deployment", &DeploymentSpec::NAMES) {
+        let deployment = DeploymentSpec::from_name(&deployment)?;
+        for scenario_name in selected(matches, "scenario", &names) {
+            let scenario = LoadScenario::from_name(&scenario_name)?;
+            let mut sized = deployment.clone().for_scenario(scenario);
             for pool in &mut sized.pools {
                 pool.probe_budget = pool.probe_budget * probe_percent / 100;
             }
-            for policy in chosen(matches, "policy", &simulation::POLICIES) {
+            for policy in selected(matches, "policy", &simulation::POLICIES) {
                 for seed in &seeds {
                     let seed = seed.parse()?;
                     let figures = simulation::simulate(&sized, scenario, &policy, seed)?;
@@ -73,7 +75,7 @@
     Ok(())
 }
 
-fn chosen(matches: &Matches, option: &str, all: &[&str]) -> Vec<String> {
+fn selected(matches: &Matches, option: &str, all: &[&str]) -> Vec<String> {
     let given = matches.opt_strs(option);
     if given.is_empty() { all.iter().map(|name| (*name).to_owned()).collect() } else { given }
 }
--- a/crates/pulley_bench/src/decisions/run_report.rs
+++ b/crates/pulley_bench/src/decisions/run_report.rs
@@ -1,4 +1,4 @@
-//! What callers got in one run, as one line a pool.
+//! Figures of one run, printed as one line for each pool.
 
 use std::time::Duration;
 
@@ -12,13 +12,15 @@
 pub(crate) struct PoolFigures {
     latency: Histogram<u64>,
     added: Histogram<u64>,
-    first: Histogram<u64>,
+    /// Latency of the top-priority kind, the pool's first.
+    top_priority: Histogram<u64>,
     pub(crate) refused: u64,
     pub(crate) first_refused: u64,
-    pub(crate) missed: u64,
+    pub(crate) deadline_missed: u64,
     pub(crate) failed: u64,
-    /// Slot time asked for and answered in time, by kind, in seconds.
+    /// Slot time of all calls, in seconds, indexed by kind.
     pub(crate) offered: Vec<f64>,
+    /// Slot time of the calls answered before their deadline, in seconds, indexed by kind.
     pub(crate) served: Vec<f64>,
     pub(crate) probes: Vec<Moment>,
 }
@@ -27,12 +29,13 @@
 #[derive(Debug)]
 pub(crate) struct RunFigures {
     pub(crate) pools: Vec<PoolFigures>,
-    /// Control bytes by host: sent and received.
+    /// Control bytes sent, indexed by host.
     pub(crate) sent: Vec<u64>,
+    /// Control bytes received, indexed by host.
     pub(crate) received: Vec<u64>,
 }
 
-/// Names of one run.
+/// The scenario, policy and seed that identify a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunName<'a> {
     pub(crate) scenario: &'a str,
@@ -42,14 +45,15 @@
 
 impl PoolFigures {
     fn new(kinds: usize) -> Self {
-        let histogram = || Histogram::new_with_max(LONGEST_MICROS, 3).expect("bounds fit");
+        let histogram =
+            || Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("the bounds are valid");
         Self {
             latency: histogram(),
             added: histogram(),
-            first: histogram(),
+            top_priority: histogram(),
             refused: 0,
             first_refused: 0,
-            missed: 0,
+            deadline_missed: 0,
             failed: 0,
             offered: vec![0.0; kinds],
             served: vec![0.0; kinds],
@@ -57,31 +61,32 @@
         }
     }
 
-    /// Notes an answer: its whole time, what of it was neither work nor way, and whether its
-    /// kind goes first.
-    pub(crate) fn note(&mut self, whole: Duration, added: Duration, first: bool) {
+    /// Records an answer. `whole` is its total latency and `added` the part of it that is neither
+    /// service time nor network delay. `top_priority` tells whether its kind has top priority.
+    pub(crate) fn record(&mut self, whole: Duration, added: Duration, top_priority: bool) {
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX).max(1);
         self.latency.saturating_record(micros(whole));
         self.added.saturating_record(micros(added));
-        if first {
-            self.first.saturating_record(micros(whole));
+        if top_priority {
+            self.top_priority.saturating_record(micros(whole));
         }
     }
 
-    /// The largest deviation of a kind's part of the pool from what it is due, in percent.
+    /// Returns the largest difference between a kind's served and due fraction of the pool, in
+    /// percentage points.
     fn share_error(&self, shares: &[f64], capacity: f64) -> f64 {
-        let due = self.due(shares, capacity);
+        let due = self.due_fractions(shares, capacity);
         let served = self.served.iter().map(|slot_s| slot_s / capacity);
         served.zip(due).map(|(got, due)| (got - due).abs() * 100.0).fold(0.0, f64::max)
     }
 
-    /// What each kind is due, as a part of the pool.
-    fn due(&self, shares: &[f64], capacity: f64) -> Vec<f64> {
+    /// Returns the fraction of the pool that each kind is due.
+    fn due_fractions(&self, shares: &[f64], capacity: f64) -> Vec<f64> {
         let demand: Vec<f64> = self.offered.iter().map(|slot_s| slot_s / capacity).collect();
         water_fill(&demand, shares)
     }
 
-    /// The most probes in any window of ten seconds, as a rate.
+    /// Returns the highest probe rate over any window of ten seconds, in probes per second.
     fn probe_peak(&self) -> f64 {
         let mut most = 0;
         let mut first = 0;
@@ -95,13 +100,14 @@
     }
 }
 
-/// The longest latency told apart, ten minutes.
-const LONGEST_MICROS: u64 = 600_000_000;
+/// The highest latency that the histograms can hold: ten minutes.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-/// The window that probes are counted over.
+/// Window over which the peak probe rate is computed.
 const PROBE_WINDOW: Duration = Duration::from_secs(10);
 
-/// What each is due of a whole: its demand up to its share, and of what is left, by shares.
+/// Computes the weighted max-min fair fractions of a whole: each kind gets its demand up to its
+/// share, and what is left is divided among the others in proportion to their shares.
 fn water_fill(demand: &[f64], shares: &[f64]) -> Vec<f64> {
     let mut due = vec![0.0; demand.len()];
     let mut left = 1.0_f64;
@@ -121,9 +127,10 @@
     due
 }
 
-/// Parts of a whole as percentages with a slash between.
-fn parts(parts: &[f64]) -> String {
-    let texts: Vec<String> = parts.iter().map(|part| format!("{:.1}", part * 100.0)).collect();
+/// Formats fractions as percentages separated by slashes.
+fn percentages(fractions: &[f64]) -> String {
+    let texts: Vec<String> =
+        fractions.iter().map(|fraction| format!("{:.1}", fraction * 100.0)).collect();
     texts.join("/")
 }
 
@@ -137,7 +144,7 @@
         }
     }
 
-    /// Prints a line for each pool.
+    /// Prints one line for each pool.
     pub(crate) fn print(&self, deployment: &DeploymentSpec, name: RunName<'_>) {
         for pool in 0..self.pools.len() {
             println!("{}", self.line(deployment, name, pool));
@@ -148,14 +155,14 @@
     fn line(&self, deployment: &DeploymentSpec, name: RunName<'_>, pool: usize) -> String {
         let figures = &self.pools[pool];
         let spec = &deployment.pools[pool];
-        let seconds = deployment.measured.as_secs_f64();
+        let seconds = deployment.measured_time.as_secs_f64();
         let ms = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1_000.0
         };
         let shares: Vec<f64> =
             spec.kinds.iter().map(|kind| f64::from(kind.share_pct) / 100.0).collect();
-        let capacity = spec.slots_in_all() * seconds;
-        let most = |bytes: &[u64]| bytes.iter().copied().max().unwrap_or(0) as f64 / seconds;
+        let capacity = spec.total_slots() * seconds;
+        let peak_rate = |bytes: &[u64]| bytes.iter().copied().max().unwrap_or(0) as f64 / seconds;
         let latency = &figures.latency;
         let (deployment, spec_name) = (deployment.name, spec.name);
         format!(
@@ -176,17 +183,17 @@
             figures.refused,
             figures.first_refused,
             figures.failed,
-            figures.missed,
-            ms(&figures.first, 0.99),
+            figures.deadline_missed,
+            ms(&figures.top_priority, 0.99),
             figures.served.iter().sum::<f64>() / capacity * 100.0,
-            most(&self.sent),
-            most(&self.received),
+            peak_rate(&self.sent),
+            peak_rate(&self.received),
             figures.probes.len() as f64 / seconds,
             figures.probe_peak(),
             f64::from(spec.probe_budget) / 1_000.0,
             figures.share_error(&shares, capacity),
-            parts(&figures.served.iter().map(|slot_s| slot_s / capacity).collect::<Vec<_>>()),
-            parts(&figures.due(&shares, capacity)),
+            percentages(&figures.served.iter().map(|slot_s| slot_s / capacity).collect::<Vec<_>>()),
+            percentages(&figures.due_fractions(&shares, capacity)),
         )
     }
 }
--- a/crates/pulley_bench/src/decisions/upstream_model.rs
+++ b/crates/pulley_bench/src/decisions/upstream_model.rs
@@ -1,24 +1,25 @@
-//! A stand-in upstream: slots, a queue of its own, and ways to misbehave.
+//! Model of an upstream: slots, a FIFO queue, and modes in which it is slow or fails.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use pulley_core::Moment;
 
-/// How an upstream behaves from a moment on.
+/// How an upstream behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum UpstreamMode {
-    /// As announced.
-    Well,
-    /// So many times slower.
+    /// Works at its nominal speed.
+    Healthy,
+    /// Takes longer by this factor.
     Slow(f64),
-    /// Every request fails after a millisecond.
+    /// Fails every request after a millisecond.
     FailingFast,
-    /// Five times slower at first, well after three seconds.
+    /// Takes five times as long at the given time, and reaches its nominal speed linearly within
+    /// three seconds.
     Cold(Moment),
 }
 
-/// One stand-in upstream.
+/// A modelled upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamModel {
     pub(crate) pool: usize,
@@ -30,31 +31,32 @@
     pub(crate) queue: VecDeque<usize>,
 }
 
-const COLD_FACTOR: f64 = 5.0;
-const COLD_SECONDS: f64 = 3.0;
-const FAIL_TIME: Duration = Duration::from_millis(1);
+const COLD_SLOWDOWN: f64 = 5.0;
+const COLD_WARM_UP_S: f64 = 3.0;
+const FAILURE_LATENCY: Duration = Duration::from_millis(1);
 
 impl UpstreamModel {
     pub(crate) fn new(pool: usize, index: usize, zone: usize, slots: u32) -> Self {
         let queue = VecDeque::new();
-        Self { pool, index, zone, slots, mode: UpstreamMode::Well, busy: 0, queue }
+        Self { pool, index, zone, slots, mode: UpstreamMode::Healthy, busy: 0, queue }
     }
 
-    /// How long a request of this size holds a slot when it starts now.
-    pub(crate) fn service_time(&self, now: Moment, size: Duration) -> Duration {
+    /// Returns how long a request holds its slot if it starts now. `nominal_time` is its service
+    /// time at nominal speed.
+    pub(crate) fn service_time(&self, now: Moment, nominal_time: Duration) -> Duration {
         match self.mode {
-            UpstreamMode::Well => size,
-            UpstreamMode::Slow(factor) => size.mul_f64(factor),
-            UpstreamMode::FailingFast => FAIL_TIME,
+            UpstreamMode::Healthy => nominal_time,
+            UpstreamMode::Slow(factor) => nominal_time.mul_f64(factor),
+            UpstreamMode::FailingFast => FAILURE_LATENCY,
             UpstreamMode::Cold(since) => {
-                let warmed = (now.since(since).as_secs_f64() / COLD_SECONDS).min(1.0);
-                size.mul_f64(COLD_FACTOR - (COLD_FACTOR - 1.0) * warmed)
+                let warmed = (now.since(since).as_secs_f64() / COLD_WARM_UP_S).min(1.0);
+                nominal_time.mul_f64(COLD_SLOWDOWN - (COLD_SLOWDOWN - 1.0) * warmed)
             }
         }
     }
 
-    /// Whether a request that ends now is answered well.
-    pub(crate) fn answers(&self) -> bool {
+    /// Whether a request that ends now succeeds.
+    pub(crate) fn succeeds(&self) -> bool {
         self.mode != UpstreamMode::FailingFast
     }
 }
--- a/crates/pulley_bench/src/fleet/open_load.rs
+++ b/crates/pulley_bench/src/fleet/open_load.rs
@@ -1,4 +1,4 @@
-//! Callers that send at a given rate whether or not earlier answers have come.
+//! Open-loop load: callers send at a given rate whether or not earlier calls have been answered.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,43 +16,45 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The longest latency recorded, in microseconds; longer ones count as this long.
-pub(super) const LONGEST_MICROS: u64 = 60_000_000;
+/// The highest latency that the histograms hold, in microseconds. Higher ones are recorded as this
+/// value.
+pub(super) const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
-/// How late a caller may be before the run counts as one whose callers could not keep up.
-const LATE: Duration = Duration::from_millis(5);
+/// Delay after which a call counts as sent late. Late calls show that the callers themselves could
+/// not keep up.
+const LATE_THRESHOLD: Duration = Duration::from_millis(5);
 
-/// What load is made.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenLoadPlan {
-    /// The entries, one of them at random for each call.
+    /// The entries; each call goes to a random one.
     pub(crate) entries: Vec<SocketAddr>,
-    /// The path asked for.
+    /// Path of the requests.
     pub(crate) path: String,
-    /// Calls a second, arriving at random.
+    /// Mean calls per second, with Poisson arrivals.
     pub(crate) rate: f64,
-    /// How long it runs before it is measured.
+    /// How long the load runs before it is measured.
     pub(crate) warm_up: Duration,
-    /// How long it is measured.
+    /// How long the load is measured.
     pub(crate) duration: Duration,
-    /// Seed of arrivals and entries.
+    /// Seed for arrivals and the choice of entries.
     pub(crate) seed: u64,
 }
 
-/// What the callers saw.
+/// Results seen by the callers.
 #[derive(Debug)]
 pub(crate) struct OpenLoadResult {
-    /// Microseconds from when a call was due to its whole answer; successes only.
+    /// Microseconds from when a call was due until its answer was complete; successes only.
     pub(crate) latencies: Histogram<u64>,
-    /// Calls refused as not run.
+    /// Calls refused with the verdict `not-run`.
     pub(crate) refused: u64,
-    /// Calls that failed otherwise.
+    /// Calls that failed in another way.
     pub(crate) failed: u64,
-    /// Calls that left more than 5 ms late because the callers' own threads were busy.
+    /// Calls sent more than 5 ms late because the callers' own threads were busy.
     pub(crate) late: u64,
 }
 
-/// One run's callers.
+/// The callers of one run.
 #[derive(Debug)]
 pub(crate) struct OpenLoad {
     plan: OpenLoadPlan,
@@ -78,22 +80,22 @@
         let _ = self.run(self.plan.warm_up, !self.plan.seed).await;
     }
 
-    /// Runs the load and measures.
+    /// Runs the load and returns its results.
     pub(crate) async fn measure(&self) -> OpenLoadResult {
         self.run(self.plan.duration, self.plan.seed).await
     }
 
     async fn run(&self, duration: Duration, seed: u64) -> OpenLoadResult {
         let mut random = SmallRng::seed_from_u64(seed);
-        let gaps = Exp::new(self.plan.rate).expect("a rate above zero");
-        let (outcomes, mut collected) = mpsc::unbounded_channel();
+        let interarrival_times = Exp::new(self.plan.rate).expect("a rate above zero");
+        let (outcomes, mut received_outcomes) = mpsc::unbounded_channel();
         let mut due = Instant::now();
         let end = due + duration;
         let mut late = 0;
         while due < end {
-            due += Duration::from_secs_f64(gaps.sample(&mut random));
+            due += Duration::from_secs_f64(interarrival_times.sample(&mut random));
             tokio::time::sleep_until(due).await;
-            late += u64::from(due.elapsed() > LATE);
+            late += u64::from(due.elapsed() > LATE_THRESHOLD);
             let entry = self.plan.entries[random.random_range(0..self.plan.entries.len())];
             let call = self.call(entry, due);
             let outcomes = outcomes.clone();
@@ -103,12 +105,12 @@
         }
         drop(outcomes);
         let latencies =
-            Histogram::new_with_bounds(1, LONGEST_MICROS, 3).expect("the bounds are in order");
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).expect("the bounds are in order");
         let mut result = OpenLoadResult { latencies, refused: 0, failed: 0, late };
-        while let Some(outcome) = collected.recv().await {
+        while let Some(outcome) = received_outcomes.recv().await {
             match outcome {
-                CallOutcome::Answered(took) => {
-                    let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+                CallOutcome::Answered(latency) => {
+                    let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
                     result.latencies.saturating_record(micros);
                 }
                 CallOutcome::Refused => result.refused += 1,
@@ -118,8 +120,8 @@
         result
     }
 
-    /// Latency counts from when the call was due, so that a caller held up by a slow answer to
-    /// another one does not hide it.
+    /// Makes one call. Its latency counts from when the call was due. This avoids coordinated
+    /// omission: a caller held up by a slow answer to another call does not hide the delay.
     fn call(
         &self,
         entry: SocketAddr,
