--- a/crates/pulley_bench/src/capacity/change_cost.rs
+++ b/crates/pulley_bench/src/capacity/change_cost.rs
@@ -1,4 +1,4 @@
-//! What one change of a host or an upstream costs another host, by the size of the installation.
+//! Measures what the change of one host or upstream costs another host, by the number of hosts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,12 +18,12 @@
 
 use super::network::{address, announcement, record};
 
-/// How often each change is made.
+/// How often each kind of change is made.
 const CHANGES: u64 = 2_000;
-/// Pools, of which the upstreams belong to one each in turn.
+/// The number of pools. Upstreams are assigned to them round-robin.
 const POOLS: usize = 3;
 
-/// Prints a line for each number of hosts.
+/// Prints one line for each number of hosts.
 pub(super) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     options.optopt("", "hosts", "numbers of hosts", "N,…");
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// What a host holds that follows the changes of others.
+/// The state of the host that is measured while others change.
 struct ObserverHost {
     members: MemberTable,
     registry: UpstreamRegistry,
@@ -78,13 +78,14 @@
         Ok(observer)
     }
 
-    /// The time that an upstream's change takes, from its announcement to the schedulers.
+    /// Returns the nanoseconds from an upstream's announcement of a change until the schedulers have
+    /// applied it.
     fn upstream_cost(&mut self) -> Result<u128> {
         let begin = Instant::now();
         for change in 0..CHANGES {
             self.now = self.now + Duration::from_millis(50);
             let place = usize::try_from(change).unwrap_or(0) * 7 % self.upstreams;
-            // Each time it is announced as a later start, which drains or takes work again.
+            // A new incarnation each time, in turn draining and ready.
             let start = 2 + change;
             let phase =
                 if change % 2 == 0 { UpstreamPhase::Draining } else { UpstreamPhase::Ready };
@@ -94,7 +95,8 @@
         Ok(begin.elapsed().as_nanos() / u128::from(CHANGES))
     }
 
-    /// The time that a host's restart takes, from its message to the schedulers.
+    /// Returns the nanoseconds from the first message of a restarted host until the schedulers have
+    /// applied it.
     fn host_cost(&mut self) -> Result<u128> {
         let mut spent = Duration::ZERO;
         for change in 0..CHANGES {
@@ -114,7 +116,7 @@
         self.members.receive(self.now, address(host), &message);
     }
 
-    /// Does what a host does after a change.
+    /// Builds a new view and applies it to the schedulers, as a host does after a change.
     fn follow(&mut self) {
         self.members.take_moved();
         let live = self.members.live_entries();
@@ -129,14 +131,14 @@
     }
 }
 
-/// What a host that has just started says of itself in a ping.
+/// Returns the ping with which a host that has just started announces itself.
 fn message_of(host: usize, start: u64) -> bytes::Bytes {
     let mut observer = MemberTable::new(record(0, 0), MemberSettings::default(), 1);
     observer.seed(address(host));
     let greeting = observer.tick(Moment::ZERO).remove(0).body;
     let mut table = MemberTable::new(record(host, start), MemberSettings::default(), 1);
     table.receive(Moment::ZERO, address(0), &greeting);
-    // What it knows goes first, then the ping.
+    // The first message carries the known members, the second is the ping.
     table.tick(Moment::ZERO).remove(1).body
 }
 
--- a/crates/pulley_bench/src/capacity/daemon_group.rs
+++ b/crates/pulley_bench/src/capacity/daemon_group.rs
@@ -1,4 +1,4 @@
-//! Daemons of one installation as processes on loopback, and what the system says they use.
+//! Runs the daemons of one installation as processes on loopback and reads their resource use.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -17,50 +17,50 @@
 
 /// The key of the installation under test.
 const KEY: &str = "a-key-for-measurements-0123456789abcdef";
-/// How long a daemon may take to listen, and the group to become ready.
+/// The time limit for a daemon to listen and for the group to become ready.
 const PATIENCE: Duration = Duration::from_secs(60);
-/// How many of the hosts hold the log.
+/// The number of hosts with a replica of the log.
 const REPLICAS: usize = 3;
-/// Clock ticks a second in `/proc/PID/stat`, on all Linux systems of today.
+/// The clock ticks per second in `/proc/PID/stat`, the same on all current Linux systems.
 const TICKS: f64 = 100.0;
 
-/// A client for all requests of the bench.
+/// The HTTP client for all requests of the measurement.
 pub(super) type HttpCaller = Client<HttpConnector, Full<Bytes>>;
 
-/// Makes a client.
+/// Makes an HTTP client.
 pub(super) fn http_caller() -> HttpCaller {
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-/// One daemon process.
+/// One daemon process, which is killed on drop.
 pub(super) struct DaemonChild {
     child: Child,
-    /// Callers, upstreams, operators, peers.
+    /// The addresses for callers, upstreams, operators and peers, in this order.
     addresses: [SocketAddr; 4],
 }
 
 impl Drop for DaemonChild {
     fn drop(&mut self) {
-        // It may have ended by itself; there is nothing else to do about a failure here.
+        // The process may have ended by itself, and a failure cannot be handled here.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// What one process has used so far.
+/// The resources that one process has used since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ProcessUse {
     /// Processor time, in seconds.
     pub(super) processor: f64,
     /// Resident memory, in bytes.
     pub(super) resident: f64,
-    /// Bytes sent to other hosts, with the headers of UDP and IP, but not of TCP.
+    /// Bytes sent to other hosts, including the headers of UDP and IP but not those of TCP.
     pub(super) sent: f64,
     /// Messages and frames sent to other hosts.
     pub(super) messages: f64,
 }
 
-/// The daemons.
+/// The daemons of one installation.
 pub(super) struct DaemonGroup {
     pub(super) daemons: Vec<DaemonChild>,
     caller: HttpCaller,
@@ -68,7 +68,7 @@
 }
 
 impl DaemonGroup {
-    /// Starts so many daemons; three of them hold the log.
+    /// Starts `count` daemons. The first three hold the log.
     pub(super) async fn start(binary: &Path, count: usize) -> Result<Self> {
         let folder = TempDir::new()?;
         fs::write(folder.path().join("secret"), KEY)?;
@@ -107,19 +107,20 @@
         let output = fs::File::create(&log_path)?;
         command.env_clear().stdin(Stdio::null()).stdout(output.try_clone()?);
         let child = command.stderr(output).spawn()?;
-        // Guarded from here on, so that it ends even if it never listens.
+        // Wrapped before waiting, so that the process is killed even if it never listens.
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut daemon = DaemonChild { child, addresses: [any; 4] };
         daemon.addresses = read_addresses(&log_path).await?;
         Ok(daemon)
     }
 
-    /// Where upstreams announce themselves.
+    /// Returns the addresses to which upstreams announce themselves.
     pub(super) fn announce_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.addresses[1]).collect()
     }
 
-    /// Applies a sheet through the first host; returns the version in force after it.
+    /// Applies a sheet through the first host and returns the new version. Retries until the change is
+    /// accepted.
     pub(super) async fn apply(&self, change: &str, expect: u64, sheet: &str) -> Result<u64> {
         let began = Instant::now();
         let body = serde_json::json!({
@@ -132,7 +133,7 @@
                 return Ok(version);
             }
             if began.elapsed() > PATIENCE {
-                bail!("no accepted change: {answer}");
+                bail!("the change was not accepted within {PATIENCE:?}: {answer}");
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -142,7 +143,7 @@
         request(&self.caller, self.daemons[0].addresses[2], (method, path), body).await
     }
 
-    /// Waits until a condition holds of every host's status.
+    /// Waits until the status of every host meets a condition.
     pub(super) async fn await_status(&self, holds: impl Fn(&Value) -> bool) -> Result<()> {
         let began = Instant::now();
         for daemon in &self.daemons {
@@ -154,7 +155,9 @@
                     break;
                 }
                 if began.elapsed() > PATIENCE {
-                    bail!("a host doesn't get there: {status}");
+                    bail!(
+                        "a host does not reach the expected status within {PATIENCE:?}: {status}"
+                    );
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -162,8 +165,9 @@
         Ok(())
     }
 
-    /// What each process has used so far.
+    /// Returns the resources that each process has used so far.
     pub(super) async fn used(&self) -> Result<Vec<ProcessUse>> {
+        // Bytes of the headers of UDP and IPv4.
         const HEADERS: f64 = 28.0;
         let mut list = Vec::new();
         for daemon in &self.daemons {
@@ -179,7 +183,7 @@
     }
 }
 
-/// Sends one request as an operator does and reads the answer as JSON.
+/// Sends one request with the key of the installation and parses the answer as JSON.
 pub(super) async fn request(
     caller: &HttpCaller,
     to: SocketAddr,
@@ -211,16 +215,16 @@
             return Ok([find("callers")?, find("upstreams")?, find("operators")?, find("peers")?]);
         }
         if began.elapsed() > PATIENCE {
-            bail!("a daemon doesn't listen: {text}");
+            bail!("a daemon does not listen within {PATIENCE:?}: {text}");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Processor time in seconds and resident memory in bytes of a process.
+/// Reads the processor time in seconds and the resident memory in bytes of a process.
 fn read_process(id: u32) -> Result<(f64, f64)> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
-    // The name in brackets may hold blanks: fields are counted from behind it.
+    // The process name in parentheses may contain spaces, so fields are counted after it.
     let fields: Vec<&str> =
         stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let number = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok());
--- a/crates/pulley_bench/src/capacity/gossip_cost.rs
+++ b/crates/pulley_bench/src/capacity/gossip_cost.rs
@@ -1,4 +1,4 @@
-//! Bytes and time of gossip, in virtual time over the real state machines.
+//! Measures the bytes and the time of gossip, with the real state machines in virtual time.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -13,7 +13,7 @@
 use super::network::{Kind, Network, announcement, host_name};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// How long the hosts have to find each other and the upstreams before anything is counted.
+/// The seconds in which the hosts learn of each other and of the upstreams, before counting starts.
 const WARM_UP: u64 = 15;
 
 struct GossipSettings {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Runs the measurement and prints one line a kind of message and one for the whole.
+/// Runs the measurement. Prints one line for each kind of message and one for all kinds.
 pub(super) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     for name in ["hosts", "upstreams", "seconds", "plan-rows", "seed"] {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Lets each upstream announce itself within a second, each time to another host.
+/// Lets each upstream announce itself once within a second, to another host each second.
 fn announce_all(network: &mut Network, upstreams: usize, sequence: u64) {
     let steps = upstreams.clamp(1, 100);
     for step in 0..steps {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The fewest upstreams that any host may send work to.
+/// Returns the number of upstreams that a host may send work to, at the host with the fewest.
 fn lease_count(network: &Network, upstreams: usize) -> usize {
     let count = |host: &super::network::Host| {
         let takes = |upstream: &usize| {
@@ -102,7 +102,7 @@
     network.hosts.iter().map(count).min().unwrap_or(0)
 }
 
-#[expect(clippy::cast_precision_loss, reason = "counts far below the limit")]
+#[expect(clippy::cast_precision_loss, reason = "the counts are far below 2^53")]
 fn per_host_second(sum: u64, settings: &GossipSettings) -> f64 {
     sum as f64 / settings.hosts as f64 / settings.seconds as f64
 }
@@ -147,7 +147,7 @@
     );
 }
 
-/// How long a drain takes from one host to all.
+/// Measures how long a drain takes to spread from one host to all.
 fn time_drain(network: &mut Network, settings: &GossipSettings) {
     let mut times: Vec<Duration> = Vec::new();
     for upstream in 0..settings.upstreams.min(20) {
@@ -174,7 +174,7 @@
     );
 }
 
-/// How long a plan takes from the leader to all, and what it costs.
+/// Measures how long a plan takes to spread from the leader to all hosts, and the bytes sent for it.
 fn time_plan(network: &mut Network, settings: &GossipSettings) {
     for host in &mut network.hosts {
         host.sent.clear();
--- a/crates/pulley_bench/src/capacity/linear_fit.rs
+++ b/crates/pulley_bench/src/capacity/linear_fit.rs
@@ -1,19 +1,19 @@
-//! Least squares over a few variables.
+//! Least-squares fit over a few variables.
 
-/// A fitted line `y = sum of slope * x`.
+/// A fitted linear function, `y = sum of slope * x`.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LinearFit {
-    /// One slope a variable, in their order.
+    /// One slope per variable, in the order of the variables.
     pub(super) slopes: Vec<f64>,
-    /// The root of the mean squared difference between measured and fitted.
+    /// The root mean square of the differences between measured and fitted values.
     pub(super) error: f64,
-    /// The largest difference.
+    /// The largest absolute difference.
     pub(super) worst: f64,
 }
 
 impl LinearFit {
-    /// Fits the rows' variables to their values, by the normal equations; nothing if the rows
-    /// don't tell the variables apart.
+    /// Fits the variables of the rows to their values with the normal equations. Returns `None` if
+    /// the rows cannot separate the variables.
     pub(super) fn new(rows: &[(Vec<f64>, f64)]) -> Option<Self> {
         let count = rows.first()?.0.len();
         let mut matrix = vec![vec![0.0; count + 1]; count];
@@ -39,7 +39,8 @@
     }
 }
 
-/// Solves a system of equations by elimination with the largest pivot.
+/// Solves a system of linear equations by Gauss-Jordan elimination with partial pivoting. Returns
+/// `None` if the matrix is singular.
 fn solve(mut matrix: Vec<Vec<f64>>) -> Option<Vec<f64>> {
     const SINGULAR: f64 = 1e-9;
     let count = matrix.len();
--- a/crates/pulley_bench/src/capacity/message_cost.rs
+++ b/crates/pulley_bench/src/capacity/message_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of one message: sealed datagrams over a socket, announcements, heartbeats.
+//! Measures the time of one message: a sealed datagram over a socket and an announcement.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,16 +13,16 @@
 
 use super::network::announcement;
 
-/// The key of the two ends.
+/// The key shared by both ends.
 const KEY: &str = "a-key-for-measurements-0123456789abcdef";
-/// How many datagrams are under way at once: fewer than a socket's buffer holds.
+/// The number of datagrams in flight at once: fewer than a socket's buffer holds.
 const BURST: u32 = 32;
-/// How many datagrams are sent for each size.
+/// The number of datagrams sent for each size.
 const DATAGRAMS: u32 = 64_000;
-/// How many announcements are taken in.
+/// The number of announcements that are processed.
 const ANNOUNCEMENTS: u64 = 1_000_000;
 
-/// Runs the measurements.
+/// Runs both measurements.
 pub(super) fn run() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     for size in [50, 500, 1_200] {
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-/// Processor time of the whole process so far.
+/// Returns the processor time that the whole process has used so far.
 fn processor_time() -> Result<Duration> {
     let usage = getrusage(UsageWho::RUSAGE_SELF)?;
     let micros = (usage.user_time() + usage.system_time()).num_microseconds();
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Renewals of 1,200 upstreams at one host, as fast as they go.
+/// Measures announcements of 1,200 upstreams, renewed at one host without pause.
 fn time_announcements() {
     const UPSTREAMS: u64 = 1_200;
     let mut registry = UpstreamRegistry::new();
--- a/crates/pulley_bench/src/capacity/mod.rs
+++ b/crates/pulley_bench/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! What control costs: bytes and processor time a host, an upstream, a change.
+//! Measures the cost of control: bytes and processor time per host, upstream and change.
 
 mod change_cost;
 mod daemon_group;
@@ -13,7 +13,7 @@
 #[allow(
     dead_code,
     unreachable_pub,
-    reason = "shared with pulley_core's tests, which use more of it"
+    reason = "shared with the tests of pulley_core, which use more of it"
 )]
 mod virtual_hosts {
     pub(super) mod link_model;
@@ -48,7 +48,7 @@
         with half of the hosts and with all, what is sent for it and how long queues get at the
         entries' links of so many bytes a second, of which callers take a part; in virtual time";
 
-/// Runs one of the measurements.
+/// Runs the measurement named by the first argument.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let Some((scenario, rest)) = arguments.split_first() else { bail!("{USAGE}") };
     match scenario.as_str() {
--- a/crates/pulley_bench/src/capacity/plan_cost.rs
+++ b/crates/pulley_bench/src/capacity/plan_cost.rs
@@ -1,4 +1,5 @@
-//! What the rows of a configuration cost an entry: each request, each view, each change.
+//! Measures how the number of rows in a configuration affects an entry: the cost of each request,
+//! view and change.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -20,20 +21,20 @@
 
 use crate::path::resident_bytes;
 
-/// Pools that the rows belong to in turn.
+/// The number of pools. Rows are assigned to them round-robin.
 const POOLS: usize = 8;
-/// One row in so many matches any host name, the others all the same one.
+/// One row in this many matches any host name; all others match the same name.
 const ANY_HOST_EVERY: usize = 10;
-/// Upstreams of the pool that requests are placed in.
+/// The number of upstreams in the pool that receives the requests.
 const UPSTREAMS: u16 = 100;
-/// How often each decision is taken.
+/// How often each decision is repeated.
 const CALLS: u64 = 20_000;
-/// How often each step is done that a change or a round brings.
+/// How often each step of a change or of a counting round is repeated.
 const CHANGES: u32 = 20;
-/// Copies of a plan that its memory is read from.
+/// The number of copies of a plan over which its memory is averaged.
 const COPIES: usize = 20;
 
-/// Prints a line for each number of rows.
+/// Prints one line for each number of rows.
 pub(super) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     options.optopt("", "rows", "numbers of rows", "N,…");
@@ -58,12 +59,12 @@
     Ok(())
 }
 
-/// The plan as a host shows it to its traffic side after a change.
+/// Builds the indexed plan that a host hands to its traffic threads after a change.
 fn shown(plan: &Arc<PolicyPlan>) -> Arc<IndexedPlan> {
     Arc::new(IndexedPlan::new(Arc::clone(plan)))
 }
 
-/// Memory that the shown plan takes besides the stored one.
+/// Returns the bytes of memory that the indexed plan takes in addition to the stored one.
 fn shown_bytes(plan: &Arc<PolicyPlan>) -> Result<u64> {
     let before = resident_bytes()?;
     let copies: Vec<_> = (0..COPIES).map(|_| shown(plan)).collect();
@@ -72,7 +73,7 @@
     Ok(after.saturating_sub(before) / COPIES as u64)
 }
 
-/// The time to find a row, and to find that there is none.
+/// Returns the nanoseconds of a lookup that finds a row and of one that finds none.
 fn find_cost(plan: &Arc<PolicyPlan>, rows: usize) -> (u128, u128) {
     let plan = shown(plan);
     let hits: Vec<String> = (0..CALLS as usize).map(|n| path_of(n * 7_919 % rows)).collect();
@@ -89,7 +90,7 @@
     (hit, begin.elapsed().as_nanos() / u128::from(CALLS))
 }
 
-/// The time that the most connections of an upstream are looked up in.
+/// Returns the nanoseconds to look up the connection limit of a pool's upstreams.
 fn connections_cost(plan: &Arc<PolicyPlan>) -> Result<u128> {
     let (plan, pool) = (shown(plan), pool(0)?);
     let begin = Instant::now();
@@ -99,8 +100,8 @@
     Ok(begin.elapsed().as_nanos() / u128::from(CALLS))
 }
 
-/// The time that schedulers take over a view in: with the same plan, with a new one, and the time
-/// that the new plan is made ready to be shown in.
+/// Returns the microseconds to apply a view with an unchanged plan to the schedulers, to apply one
+/// with a new plan, and to index the new plan.
 fn view_cost(plan: &Arc<PolicyPlan>) -> Result<(f64, f64, f64)> {
     let clock = ProcessClock::start();
     let schedulers = SchedulerSet::new("host0000".parse()?, "zone0".parse()?, clock, 1);
@@ -121,8 +122,8 @@
     Ok((mean_us(same), mean_us(fresh), mean_us(show)))
 }
 
-/// The time of a request at a pool's scheduler, of a round of counts at one entry, and of a
-/// coordinator's look at what is due.
+/// Returns the nanoseconds of a request at a pool's scheduler, the microseconds of a counting round
+/// at one entry, and the nanoseconds of a coordinator's tick that has nothing to do.
 fn pool_cost(plan: &Arc<PolicyPlan>) -> Result<(u128, f64, u128)> {
     let records = records()?;
     let mut scheduler = PoolScheduler::new("h1".parse()?, "a".parse()?, pool(0)?, 7);
@@ -157,7 +158,7 @@
     Ok((place_ns, mean_us(round), tick_ns))
 }
 
-/// The time of a request from its arrival to its end, with several running.
+/// Returns the nanoseconds of a request from its arrival to its end, while others are running.
 fn place_cost(scheduler: &mut PoolScheduler, rows: usize) -> u128 {
     const RUNNING: u64 = 50;
     let begin = Instant::now();
@@ -181,7 +182,7 @@
     begin.elapsed().as_nanos() / u128::from(CALLS)
 }
 
-/// The time that a coordinator takes over a view with the same plan in.
+/// Returns the microseconds that a coordinator takes to apply an unchanged plan.
 fn coordinator_view_cost(plan: &Arc<PolicyPlan>) -> Result<f64> {
     let (plan, mut coordinator) = (shown(plan), coordinator(plan)?);
     let begin = Instant::now();
--- a/crates/pulley_bench/src/capacity/process_cost.rs
+++ b/crates/pulley_bench/src/capacity/process_cost.rs
@@ -1,4 +1,4 @@
-//! What whole daemons use at several sizes, and slopes fitted to it.
+//! Measures the resource use of whole daemons at several sizes and fits slopes to it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,9 +12,9 @@
 use super::daemon_group::{DaemonGroup, ProcessUse, http_caller, request};
 use super::linear_fit::LinearFit;
 
-/// How long the hosts have to settle after a change of size.
+/// The time in which the hosts settle after a change of size.
 const SETTLE: Duration = Duration::from_secs(4);
-/// What is measured: processor time in percent of a core, resident memory, and what is sent.
+/// The measures: processor time in percent of a core, resident memory, and bytes and messages sent.
 const MEASURES: [&str; 4] = ["cpu_percent", "rss_mb", "sent_bytes_s", "messages_s"];
 
 struct ProcessSettings {
@@ -26,13 +26,14 @@
     sheet: String,
 }
 
-/// One measured size.
+/// The results for one combination of hosts, upstreams and changes.
 struct SizePoint {
     hosts: usize,
     upstreams: usize,
     changes_s: f64,
-    /// Mean and largest over the hosts of each of [`MEASURES`].
+    /// The mean of each of [`MEASURES`] over the hosts.
     mean: [f64; 4],
+    /// The maximum of each of [`MEASURES`] over the hosts.
     largest: [f64; 4],
 }
 
@@ -92,7 +93,7 @@
     status["ready"] == true && live == hosts
 }
 
-/// Measures one window, with changes spread over it if a version is given.
+/// Measures one time window. If a version is given, changes are spread evenly over the window.
 async fn measure(
     group: &DaemonGroup,
     settings: &ProcessSettings,
@@ -106,7 +107,7 @@
     if let Some(version) = version {
         for change in 0..settings.changes {
             let name = format!("change-{upstreams}-{change}");
-            // The same sheet again is a change like any other: a new version for every host.
+            // Applying the same sheet again still makes a new version for every host.
             *version = group.apply(&name, *version, &settings.sheet).await?;
             let next = window / u32::try_from(settings.changes)? * u32::try_from(change + 1)?;
             tokio::time::sleep(next.saturating_sub(began.elapsed())).await;
@@ -161,7 +162,7 @@
     );
 }
 
-/// Fits a base and slopes for a host, an upstream and a change a second.
+/// Fits each measure to a base and to slopes per host, per upstream and per change a second.
 fn report_fits(points: &[SizePoint]) {
     for (index, name) in MEASURES.iter().enumerate() {
         for (which, values) in [("mean", 0), ("max", 1)] {
@@ -192,7 +193,7 @@
     }
 }
 
-/// Stand-in upstreams that announce themselves each second, each time to the next host.
+/// Starts stand-in upstreams that announce themselves each second, each time to the next host.
 fn announce_all(hosts: &[SocketAddr], count: usize) -> JoinSet<()> {
     let mut announcers = JoinSet::new();
     let caller = http_caller();
@@ -202,7 +203,7 @@
             let start = Duration::from_millis(upstream as u64 * 997 % 1_000);
             tokio::time::sleep(start).await;
             let mut ticker = tokio::time::interval(Duration::from_secs(1));
-            // Each run of announcers goes on where the last one stopped.
+            // Starts at the present time, so that sequences continue above those of earlier announcers.
             let mut sequence = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .map_or(1, |elapsed| elapsed.as_secs());
@@ -212,7 +213,7 @@
                 let place = usize::try_from(sequence).unwrap_or(0) + upstream * 7;
                 let body = announcement(upstream, sequence);
                 let to = hosts[place % hosts.len()];
-                // A lost announcement is followed by the next one.
+                // The next announcement makes up for a lost one.
                 let _ = request(&caller, to, ("POST", "/v1/announce"), &body).await;
             }
         });
--- a/crates/pulley_bench/src/capacity/spread_cost.rs
+++ b/crates/pulley_bench/src/capacity/spread_cost.rs
@@ -1,4 +1,4 @@
-//! How a change of many rows spreads over links of limited rate, in virtual time.
+//! Measures how a change of many rows spreads over links of limited rate, in virtual time.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use super::link_model::LinkTerms;
 use super::wide_change::{REPLICAS, WideChange};
 
-/// From which wait on a queue counts as long.
+/// The wait from which a queue counts as long.
 const LONG_QUEUE: Duration = Duration::from_millis(100);
-/// A change is watched at least for as long as it may take until it is in force everywhere.
+/// The limit for a change to be in force everywhere; each change is observed for at least this long.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
-/// The part of an entry's link that callers take, in hundredths.
+/// The percentage of an entry's link that callers use.
 const CALLERS_PERCENT: u32 = 50;
 
 fn list<T: FromStr>(matches: &Matches, name: &str, otherwise: &str) -> Result<Vec<T>>
@@ -25,7 +25,7 @@
     numbers.collect::<Result<_, _>>().wrap_err_with(|| format!("--{name} {text}"))
 }
 
-/// Prints a line for each number of hosts, rate of the entries' links and number of rows.
+/// Prints one line for each number of hosts, rate of the entries' links and number of rows.
 pub(super) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     for name in ["hosts", "link-bytes", "rows"] {
@@ -38,9 +38,9 @@
     let callers_percent: u32 = matches.opt_get_default("callers-percent", CALLERS_PERCENT)?;
     let most = Duration::from_secs(matches.opt_get_default("seconds", 30)?);
     let seed: u64 = matches.opt_get_default("seed", 1)?;
-    ensure!(callers_percent < 100, "--callers-percent {callers_percent}: they leave nothing");
+    ensure!(callers_percent < 100, "--callers-percent {callers_percent}: must be below 100");
     for hosts in list(&matches, "hosts", "30,186,482")? {
-        ensure!(hosts > REPLICAS, "--hosts {hosts}: no more than replicas");
+        ensure!(hosts > REPLICAS, "--hosts {hosts}: must be more than the {REPLICAS} replicas");
         for rate in list::<u32>(&matches, "link-bytes", "175000,300000,87000000")? {
             for added_rows in list(&matches, "rows", "140,1400,14000")? {
                 let entry_link = LinkTerms { rate, callers: rate / 100 * callers_percent };
