--- a/crates/pulley_bench/src/path/bare_forwarder.rs
+++ b/crates/pulley_bench/src/path/bare_forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarder made of hyper-util alone: no kinds, queue, limits, verdicts or retries.
+//! A forwarder that uses only hyper-util: it has no kinds, queue, limits, verdicts or retries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 
 type BareClient = Client<HttpConnector, Incoming>;
 
-/// The upstreams, taken in turn.
+/// The upstreams, selected round-robin.
 struct BareTurns {
     upstreams: Vec<Authority>,
     next: AtomicUsize,
 }
 
-/// Starts it on the present runtime.
+/// Starts the forwarder on the current runtime and returns its address.
 pub(super) async fn start(upstreams: Vec<SocketAddr>) -> Result<SocketAddr> {
     let upstreams: Result<Vec<_>, _> =
         upstreams.iter().map(|address| address.to_string().parse()).collect();
--- a/crates/pulley_bench/src/path/caller_load.rs
+++ b/crates/pulley_bench/src/path/caller_load.rs
@@ -1,4 +1,4 @@
-//! Callers that send at a fixed rate, or as fast as answers come.
+//! Callers that send at a fixed rate or as fast as answers arrive.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,21 +14,21 @@
 use pulleyd::process::{ProcessClock, TimerService};
 use tokio::net::TcpStream;
 
-/// Latencies are kept from 1 µs to a minute with three digits.
+/// The longest latency that is recorded: a minute. The shortest is 1 µs, with three digits each.
 const LONGEST_MICROS: u64 = 60_000_000;
 
-/// Calls before a turn that warm its connections and are not counted.
+/// The number of calls that warm up each connection before a run. They are not counted.
 const WARM_CALLS: usize = 50;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// What one turn gave.
+/// The result of one run.
 pub(super) struct LoadResult {
     pub(super) latencies: Histogram<u64>,
     pub(super) errors: u64,
 }
 
-/// Callers over a fixed number of connections.
+/// Callers that use a fixed number of connections.
 pub(super) struct CallerLoad {
     connections: usize,
     seconds: Duration,
@@ -36,7 +36,7 @@
     timer: TimerService,
 }
 
-/// Makes an empty histogram of microseconds.
+/// Makes an empty histogram of latencies in microseconds.
 pub(super) fn new_histogram() -> Result<Histogram<u64>> {
     Histogram::new_with_bounds(1, LONGEST_MICROS, 3).map_err(|fault| eyre!("{fault}"))
 }
@@ -51,7 +51,7 @@
         self.seconds
     }
 
-    /// Each connection sends again as soon as it has its answer.
+    /// Runs a closed loop: each connection sends its next call as soon as it has its answer.
     pub(super) async fn closed_loop(&self, address: SocketAddr) -> Result<LoadResult> {
         let mut tasks = Vec::new();
         for mut sender in self.connect(address).await? {
@@ -70,9 +70,10 @@
         merge(join_all(tasks).await)
     }
 
-    /// The calls of all connections together come at `rate`, evenly spread. A call is counted from
-    /// when it was due: if its connection is still held up by the one before, that wait is part of
-    /// it, or the slowest answers would hide the calls behind them.
+    /// Runs an open loop: all connections together send `rate` calls a second, evenly spread. The
+    /// latency of a call counts from its due time and so includes the wait for the previous call of
+    /// its connection. Otherwise the slowest answers would hide the delay of the calls behind them
+    /// (coordinated omission).
     pub(super) async fn open_loop(&self, address: SocketAddr, rate: u64) -> Result<LoadResult> {
         let gap = Duration::from_secs_f64(self.connections as f64 / rate.max(1) as f64);
         let calls = (self.seconds.as_secs_f64() / gap.as_secs_f64()) as u32;
--- a/crates/pulley_bench/src/path/forwarder_way.rs
+++ b/crates/pulley_bench/src/path/forwarder_way.rs
@@ -1,4 +1,4 @@
-//! The forwarder of `pulleyd` with everything it has, without a control thread.
+//! The complete forwarder of `pulleyd`, without a control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 };
 use pulleyd::request::{SchedulerSet, TrafficContext, TrafficLimits};
 
-/// Slots of each stand-in: more than callers, as queueing is not what is measured here.
+/// The slots of each stand-in upstream: more than callers, because queueing is not measured here.
 const SLOTS: u32 = 256;
 
 /// The running forwarder.
--- a/crates/pulley_bench/src/path/idle_memory.rs
+++ b/crates/pulley_bench/src/path/idle_memory.rs
@@ -1,4 +1,4 @@
-//! What an idle caller's connection costs in memory.
+//! Measures the memory of an idle connection of a caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 const REQUEST: &[u8] = b"GET /cover/lookup HTTP/1.1\r\nHost: bench\r\n\r\n";
 
-/// How long memory is left to settle before it is read.
+/// The time in which the memory settles before it is read.
 const SETTLING: Duration = Duration::from_millis(500);
 
-/// Opens connections that have each had one answer, and reads the resident memory before and
-/// after. Both ends are in this process; the callers' ends are bare sockets.
+/// Opens connections, each of which has received one answer, and reads the resident memory before
+/// and after. Both ends are in this process; the callers' ends are bare sockets.
 pub(super) fn measure(callers: &Runtime, address: SocketAddr, count: usize) -> Result<()> {
     if count == 0 {
         return Ok(());
@@ -45,7 +45,7 @@
     let mut length = 0;
     while !answer[..length].ends_with(&[b'a'; 256]) {
         let read = stream.read(&mut answer[length..]).await?;
-        ensure!(read > 0, "the connection was refused");
+        ensure!(read > 0, "the connection was closed before the answer was complete");
         length += read;
     }
     Ok(stream)
--- a/crates/pulley_bench/src/path/mod.rs
+++ b/crates/pulley_bench/src/path/mod.rs
@@ -1,8 +1,9 @@
-//! What the request path adds: direct, through the forwarder, and through a bare one.
+//! Measures what the request path adds: calls go directly, through the forwarder, and through a
+//! minimal one.
 //!
-//! All three ways share one process, the same stand-in upstreams and the same callers, and take
-//! turns, so that whatever else the machine does falls on each alike. Processor time is read by
-//! thread, so that callers and upstreams are not counted.
+//! All three paths share one process, the same stand-in upstreams and the same callers. Their runs
+//! alternate, so that other load on the machine affects all of them alike. Processor time is read
+//! per thread, so that callers and upstreams are not counted.
 
 mod bare_forwarder;
 mod caller_load;
@@ -25,13 +26,13 @@
 
 pub(crate) use thread_time::resident_bytes;
 
-/// Upstreams that the forwarders share the load among.
+/// The number of upstreams over which the forwarders distribute the load.
 const UPSTREAMS: usize = 4;
 
-/// Threads of the stand-ins and of the callers, enough that they are not what is measured.
+/// The threads of the stand-in upstreams and of the callers, enough not to be the bottleneck.
 const SIDE_THREADS: usize = 3;
 
-/// What a run is asked for.
+/// The options of the subcommand.
 #[derive(Clone, Copy, Debug)]
 struct PathOptions {
     threads: usize,
@@ -42,11 +43,11 @@
     idle: usize,
 }
 
-/// One way from callers to upstreams.
+/// One path from callers to upstreams, with its results.
 struct MeasuredWay {
     name: &'static str,
     address: SocketAddr,
-    /// How its threads are named; none for the direct way.
+    /// The name of its threads; `None` for the direct path.
     threads: Option<&'static str>,
     latencies: Histogram<u64>,
     calls: u64,
@@ -108,7 +109,7 @@
         .build()?)
 }
 
-/// Calls as fast as the answers come; returns the forwarder's calls a second.
+/// Measures calls sent as fast as answers arrive. Returns the forwarder's calls a second.
 fn measure_saturation(
     callers: &Runtime,
     load: &CallerLoad,
@@ -135,7 +136,7 @@
     Ok(forwarder_rate)
 }
 
-/// Calls at a fixed rate, whatever the answers do.
+/// Measures calls sent at a fixed rate, independent of the answers.
 fn measure_latency(
     callers: &Runtime,
     load: &CallerLoad,
@@ -193,7 +194,7 @@
         self.calls += result.latencies.len();
         self.errors += result.errors;
         let added = self.latencies.add(&result.latencies);
-        added.map_err(|fault| eyre!("latencies do not add up: {fault}"))
+        added.map_err(|fault| eyre!("the latencies cannot be merged: {fault}"))
     }
 
     fn thread_time(&self) -> Result<Duration> {
--- a/crates/pulley_bench/src/path/stand_in_upstream.rs
+++ b/crates/pulley_bench/src/path/stand_in_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that answers at once.
+//! A stand-in upstream that answers every request immediately.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// The answer: about the size of a cover lookup's.
+/// The body of each answer, about as large as that of a cover lookup.
 const ANSWER: [u8; 256] = [b'a'; 256];
 
-/// An upstream that answers at once.
+/// A stand-in upstream that answers every request immediately.
 pub(super) struct StandInUpstream;
 
 impl StandInUpstream {
-    /// Starts several and returns their addresses.
+    /// Starts `count` upstreams on the current runtime and returns their addresses.
     pub(super) async fn start_several(count: usize) -> Result<Vec<SocketAddr>> {
         let mut addresses = Vec::new();
         for _ in 0..count {
--- a/crates/pulley_bench/src/path/thread_time.rs
+++ b/crates/pulley_bench/src/path/thread_time.rs
@@ -1,14 +1,14 @@
-//! Processor time by thread, as the system accounts for it.
+//! Processor time per thread and resident memory, as accounted by the operating system.
 
 use std::fs;
 use std::time::Duration;
 
 use eyre::Result;
 
-/// Time that this process's threads of one name have been on a processor (Linux).
+/// Returns the processor time used by all threads of this process with the given name (Linux).
 ///
 /// # Errors
-/// If the system does not tell.
+/// If `/proc` cannot be read.
 pub(super) fn of_threads(name: &str) -> Result<Duration> {
     let mut total = Duration::ZERO;
     for entry in fs::read_dir("/proc/self/task")? {
@@ -24,10 +24,10 @@
     Ok(total)
 }
 
-/// Resident memory of this process in bytes (Linux).
+/// Returns the resident memory of this process in bytes (Linux).
 ///
 /// # Errors
-/// If the system does not tell.
+/// If `/proc` cannot be read.
 pub(crate) fn resident_bytes() -> Result<u64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
