--- a/crates/pulley_bench/src/recovery/audit_figures.rs
+++ b/crates/pulley_bench/src/recovery/audit_figures.rs
@@ -1,4 +1,4 @@
-//! How long a question about old audit records takes.
+//! Measures how long a search through old audit records takes.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 };
 use pulleyd::version::{LogStorage, SystemFolder, read_audit};
 
-/// About 73 days at 2,100 changes a day; a tenth of two years.
+/// The number of chunks written: about 73 days at 2,100 changes a day, a tenth of two years.
 const CHUNKS: u64 = 600;
 
-/// Writes chunks and looks through all of them for a change that is not there.
+/// Writes audit chunks and searches all of them for a change that none contains.
 pub(crate) fn measure_audit(folder: &Path) -> Result<()> {
     let folder = tempfile::tempdir_in(folder)?;
     let identity =
@@ -39,7 +39,8 @@
         limit: 1,
     };
     let begin = Instant::now();
-    read_audit(&SystemFolder::open(folder.path())?, &read).ok_or_else(|| eyre!("a gap"))?;
+    read_audit(&SystemFolder::open(folder.path())?, &read)
+        .ok_or_else(|| eyre!("an audit chunk is missing"))?;
     println!(
         "part=audit records={} chunks={CHUNKS} bytes={bytes} write_ms_per_chunk={:.2} \
          search_ms={:.1}",
--- a/crates/pulley_bench/src/recovery/daemon_hosts.rs
+++ b/crates/pulley_bench/src/recovery/daemon_hosts.rs
@@ -1,4 +1,4 @@
-//! Real daemons on loopback, and the few requests the measurement makes of them.
+//! Runs real daemons on loopback and sends them the requests of the measurement.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -14,20 +14,20 @@
 const KEY: &str = "a-key-for-measurements-only-0123456789";
 const LISTENERS: [&str; 4] = ["callers", "upstreams", "operators", "peers"];
 
-/// How long a daemon may take to listen, and a cluster to serve.
+/// The time limit for a daemon to listen and for a cluster to accept changes.
 const START_LIMIT: Duration = Duration::from_secs(60);
 
-/// How long an answer may take.
+/// The time limit for a connection attempt and for each read of an answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(10);
 
-/// One daemon process; ends with its owner.
+/// One daemon process, which is killed on drop.
 pub(crate) struct DaemonHost {
     child: Child,
-    /// Callers, upstreams, operators, peers.
+    /// The addresses for callers, upstreams, operators and peers, in this order.
     addresses: [SocketAddr; 4],
 }
 
-/// Real daemons on loopback.
+/// Real daemons of one cluster on loopback.
 pub(crate) struct DaemonHosts {
     pub(crate) hosts: Vec<DaemonHost>,
     folder: PathBuf,
@@ -35,8 +35,8 @@
 }
 
 impl DaemonHosts {
-    /// Starts daemons, the first `replicas` of which hold the log, and waits until all serve
-    /// version 1, which holds `sheet`.
+    /// Starts daemons and applies `sheet` as version 1. The first `replicas` daemons hold the log.
+    /// Returns once all daemons serve version 1.
     pub(crate) fn start(
         program: &Path,
         folder: &Path,
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Asks a host to apply a sheet.
+    /// Applies a sheet through a host and returns its answer.
     pub(crate) fn apply(
         &self,
         host: usize,
@@ -107,7 +107,7 @@
         link.send("POST", "/v1/sheet", &body)
     }
 
-    /// Waits until a host serves a version; returns how often it was asked.
+    /// Waits until a host serves a version. Returns the number of health checks made.
     pub(crate) fn await_version(&self, host: usize, version: u64, limit: Duration) -> Result<u32> {
         let begin = Instant::now();
         let mut asked = 0;
@@ -124,7 +124,7 @@
         bail!("host {host} does not serve version {version} within {limit:?}")
     }
 
-    /// The host that leads.
+    /// Returns the index of the host whose replica leads.
     pub(crate) fn leader(&self) -> Result<usize> {
         for (number, host) in self.hosts.iter().enumerate() {
             let mut link = HttpLink::connect(host.addresses[2])?;
@@ -133,17 +133,17 @@
                 return Ok(number);
             }
         }
-        bail!("no host leads")
+        bail!("no host is the leader")
     }
 
-    /// Ends a host without warning.
+    /// Kills a host without a graceful shutdown.
     pub(crate) fn kill(&mut self, host: usize) -> Result<()> {
         self.hosts[host].child.kill()?;
         self.hosts[host].child.wait()?;
         Ok(())
     }
 
-    /// Processor time that each host has used, in seconds.
+    /// Returns the processor time that each host has used, in seconds.
     pub(crate) fn processor_seconds(&self) -> Vec<f64> {
         self.hosts.iter().map(|host| processor_seconds(host.child.id())).collect()
     }
@@ -156,7 +156,7 @@
     }
 }
 
-/// The version that a change was accepted as, if it was.
+/// Returns the version from an answer, if the change was accepted.
 pub(crate) fn accepted(answer: &Value) -> Option<u64> {
     answer.pointer("/accepted/version").and_then(Value::as_u64)
 }
@@ -170,7 +170,7 @@
         }
         thread::sleep(Duration::from_millis(10));
     }
-    bail!("a daemon does not listen: {}", fs::read_to_string(log_path)?)
+    bail!("a daemon does not listen within {START_LIMIT:?}: {}", fs::read_to_string(log_path)?)
 }
 
 fn read_addresses(log: &str) -> Option<[SocketAddr; 4]> {
@@ -187,7 +187,7 @@
     const TICKS_PER_SECOND: f64 = 100.0;
     let text = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     let after_name = text.rsplit(')').next().unwrap_or_default();
-    // User and system time are fields 14 and 15; the name and what is before it are cut off.
+    // User and system time are fields 14 and 15. `after_name` begins at field 3.
     let ticks: u64 = after_name
         .split_whitespace()
         .skip(11)
@@ -197,7 +197,7 @@
     ticks as f64 / TICKS_PER_SECOND
 }
 
-/// A connection that is used again for each request.
+/// A persistent HTTP connection, reused for each request.
 struct HttpLink {
     stream: TcpStream,
 }
@@ -232,7 +232,7 @@
     }
 }
 
-/// The body, once all of it has come.
+/// Returns the body of an answer once it is complete.
 fn whole_body(raw: &[u8]) -> Result<Option<&[u8]>> {
     let Some(end) = raw.windows(4).position(|window| window == b"\r\n\r\n") else {
         return Ok(None);
@@ -241,7 +241,7 @@
     let length = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length:"))
-        .ok_or_else(|| eyre!("an answer without a length: {head}"))?;
+        .ok_or_else(|| eyre!("an answer without a content length: {head}"))?;
     let body = &raw[end + 4..];
     let length: usize = length.trim().parse()?;
     Ok((body.len() >= length).then(|| &body[..length]))
--- a/crates/pulley_bench/src/recovery/in_force_figures.rs
+++ b/crates/pulley_bench/src/recovery/in_force_figures.rs
@@ -1,4 +1,4 @@
-//! From accepted to in force, over real daemons.
+//! Measures the time from acceptance of a change until it is in force, over real daemons.
 
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -11,16 +11,16 @@
 
 const CHANGES: u64 = 60;
 
-/// Time between two changes; at 2,100 a day it would be 41 s.
+/// The time between two changes. At 2,100 changes a day it would be 41 s.
 const SPACING: Duration = Duration::from_millis(250);
 
-/// How long a version may take until it is in force, before the measurement gives up.
+/// The time limit for a version to be in force, after which the measurement fails.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(30);
 
-/// How long hosts are watched while nothing happens.
+/// The length of the measurement of idle hosts.
 const IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// Measures clusters of several sizes; `program` is the daemon, `sheet` any valid sheet.
+/// Measures clusters of several sizes. `program` is the daemon and `sheet` any valid sheet.
 pub(crate) fn measure_in_force(
     folder: &Path,
     program: &Path,
@@ -38,10 +38,10 @@
     Ok(())
 }
 
-/// The daemon that was built beside this program.
+/// Returns the path of the daemon in the folder of this program.
 ///
 /// # Errors
-/// If this program's own place is unknown.
+/// If the path of this program is unknown.
 pub(crate) fn daemon_beside() -> Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("pulleyd"))
 }
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-/// Ends the leader and asks for a change at once; the operator resends until it is answered.
+/// Kills the leader and requests a change at once, resending it until it is accepted.
 fn measure_lost_leader(hosts: &mut DaemonHosts, sheet: &str) -> Result<()> {
     let leader = hosts.leader()?;
     hosts.kill(leader)?;
@@ -128,7 +128,7 @@
     Ok(())
 }
 
-/// How long each of the hosts took, from `since`, until it served a version.
+/// Returns the time from `since` until each of the hosts served a version.
 fn watch(
     hosts: &DaemonHosts,
     watched: &[usize],
--- a/crates/pulley_bench/src/recovery/memory_figures.rs
+++ b/crates/pulley_bench/src/recovery/memory_figures.rs
@@ -1,4 +1,4 @@
-//! What the state machines take in memory and in a snapshot.
+//! Measures the size of the state machines in memory and in a snapshot.
 
 use std::time::Instant;
 
@@ -8,14 +8,14 @@
     LogTime, PolicyPlan, ReplicaMachines, RequestDigest, SnapshotPlace, StoredChange,
 };
 
-/// 2,100 changes a day.
+/// The number of changes in two years, at 2,100 changes a day.
 const TWO_YEARS: u64 = 2 * 365 * 2_100;
 
 const PAGE_BYTES: u64 = 4_096;
 
-/// Measures bytes a claim and bytes a change.
+/// Measures the memory of claims and of changes, at several counts.
 pub(crate) fn measure_memory() {
-    // What was measured is kept, so that the next does not reuse its memory.
+    // Earlier state machines stay allocated, so that later ones cannot reuse their memory.
     let mut kept = Vec::new();
     for claims in [100_000, 200_000, 400_000] {
         kept.push(measure_claims(claims));
@@ -60,14 +60,14 @@
         };
         let change = StoredChange::new(request, machines.configuration.current());
         machines.configuration.apply(LogIndex(number + 1), &change);
-        // The storage writes them; here they are dropped.
+        // Drops the audit records that the storage would write.
         machines.configuration.take_unwritten();
     }
     report("changes", count, before, &machines);
     Some(machines)
 }
 
-/// A plan of one row that differs from its neighbours' in its share.
+/// Returns a plan of one row whose share differs from those of consecutive numbers.
 fn small_plan(number: u64) -> Option<PolicyPlan> {
     let share = u16::try_from(number % 10_000).ok()?;
     Some(PolicyPlan { kinds: vec![row_plan(1, share).ok()?], ..PolicyPlan::default() })
@@ -87,7 +87,7 @@
     );
 }
 
-/// Memory of this process that is in use, from the operating system.
+/// Returns the resident memory of this process in bytes, as reported by the operating system.
 pub(super) fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
--- a/crates/pulley_bench/src/recovery/mod.rs
+++ b/crates/pulley_bench/src/recovery/mod.rs
@@ -1,7 +1,8 @@
-//! How fast the replicated log takes changes and claims, and how fast a replica comes back.
+//! Measures how fast the replicated log processes changes and claims, and how fast a replica
+//! recovers after a restart.
 //!
-//! Replicas run on a thread each with their real storage; their links are channels in memory, so
-//! that the figures show the log and the disk, not the network.
+//! Each replica runs on a thread with its real storage. The links are channels in memory, so that
+//! the results show the cost of the log and the disk, not of the network.
 
 mod audit_figures;
 mod daemon_hosts;
@@ -15,7 +16,7 @@
 
 use eyre::{Result, bail};
 
-/// A valid sheet.
+/// A valid sheet to apply.
 const SHEET: &str = include_str!("../../../../examples/kolkhi.csv");
 
 const USAGE: &str = "usage: pulley_bench recovery [--folder DIR] [--hosts N] [PART...]
@@ -33,10 +34,10 @@
 DIR holds the replicas' data folders; its disk decides the figures. N is the number of hosts for
 in-force; 3, 15 and 29 if it is not given.";
 
-/// Runs the parts that are named.
+/// Runs the parts named in the arguments, or all parts if none is named.
 ///
 /// # Errors
-/// If an argument is unknown or a data folder cannot be written.
+/// If an argument is unknown, a data folder cannot be written or a measurement fails.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let mut folder = std::env::temp_dir();
     let mut sizes = vec![3, 15, 29];
@@ -63,7 +64,7 @@
             ) => {
                 parts.push(argument.as_str());
             }
-            _ => bail!("cannot use {argument}\n{USAGE}"),
+            _ => bail!("unknown or incomplete argument {argument}\n{USAGE}"),
         }
     }
     let wanted = |part| parts.is_empty() || parts.contains(&part);
--- a/crates/pulley_bench/src/recovery/replica_cluster.rs
+++ b/crates/pulley_bench/src/recovery/replica_cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas on threads, with real storage and links in memory.
+//! A cluster of replicas on threads, with real storage and in-memory links.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -17,20 +17,20 @@
 use pulleyd::process::ProcessClock;
 use pulleyd::version::{LogStorage, StorageWorker};
 
-/// How long a cluster may take to elect its first leader.
+/// The time limit for the first election of a leader.
 const ELECTION_LIMIT: Duration = Duration::from_secs(20);
 
-/// What a replica's thread is told.
+/// An event for a replica's thread.
 enum ReplicaEvent {
     Input(DriverInput),
     Lead(Sender<bool>),
     Stop,
 }
 
-/// An answer with the token of its question.
+/// The token of a question with its answer.
 pub(crate) type TokenAnswer = (u64, ReplicaAnswer);
 
-/// Replicas on threads, with real storage and links in memory.
+/// A cluster of replicas on threads, with real storage and in-memory links.
 pub(crate) struct ReplicaCluster {
     inboxes: Vec<Sender<ReplicaEvent>>,
     threads: Vec<JoinHandle<()>>,
@@ -39,7 +39,7 @@
     traffic: Arc<LinkTraffic>,
 }
 
-/// What all replicas together have sent.
+/// The messages and bytes that all replicas together have sent.
 #[derive(Debug, Default)]
 pub(crate) struct LinkTraffic {
     pub(crate) messages: AtomicU64,
@@ -47,7 +47,7 @@
 }
 
 impl ReplicaCluster {
-    /// Starts replicas with data folders below `folder`, and waits for a leader.
+    /// Starts `size` replicas with data folders inside `folder` and waits for a leader.
     pub(crate) fn start(size: usize, folder: &Path, settings: &ReplicaSettings) -> Result<Self> {
         let founders: Vec<(HostId, MemberId)> = (0..size)
             .map(|number| Ok((format!("host-{number}").parse()?, MemberId(number as u64 + 1))))
@@ -83,18 +83,18 @@
         Ok(cluster)
     }
 
-    /// Asks the leader.
+    /// Sends a question to the leader.
     pub(crate) fn ask(&self, token: u64, question: ReplicaQuestion) {
         let input = DriverInput::Ask { token, question };
         let _ = self.inboxes[self.leader].send(ReplicaEvent::Input(input));
     }
 
-    /// What all replicas together have sent.
+    /// Returns the messages and bytes that all replicas together have sent.
     pub(crate) fn traffic(&self) -> &LinkTraffic {
         &self.traffic
     }
 
-    /// Waits for the next answer.
+    /// Waits up to 30 s for the next answer.
     pub(crate) fn answer(&self) -> Result<TokenAnswer> {
         Ok(self.answers.recv_timeout(Duration::from_secs(30))?)
     }
@@ -111,7 +111,7 @@
             }
             thread::sleep(Duration::from_millis(20));
         }
-        bail!("no replica leads within {ELECTION_LIMIT:?}")
+        bail!("no replica was elected within {ELECTION_LIMIT:?}")
     }
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// One replica on its thread.
+/// One replica, which runs on its own thread.
 struct RunningReplica {
     driver: ReplicaDriver,
     worker: StorageWorker,
@@ -152,7 +152,7 @@
                 Err(RecvTimeoutError::Timeout) => self.driver.handle(now, DriverInput::Tick),
                 Ok(ReplicaEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
             };
-            // A tick that is due must not starve behind a full queue.
+            // A due tick runs even while the queue always holds events, which would starve it otherwise.
             let due = self.driver.next_wakeup() <= now;
             let ticked = if due { self.driver.handle(now, DriverInput::Tick) } else { Vec::new() };
             for output in outputs.into_iter().chain(ticked) {
@@ -181,7 +181,7 @@
             DriverOutput::Answer { token, answer } => {
                 let _ = self.answered.send((token, answer));
             }
-            // Nobody asks for old audit records here.
+            // The measurements ignore versions and zones in force and request no old audit records.
             DriverOutput::InForce(_)
             | DriverOutput::ZonesInForce(_)
             | DriverOutput::ReadAudit(_) => {}
--- a/crates/pulley_bench/src/recovery/size_figures.rs
+++ b/crates/pulley_bench/src/recovery/size_figures.rs
@@ -1,4 +1,4 @@
-//! What one change costs, by how many routes the configuration has.
+//! Measures the cost of one change, by the number of routes in the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -15,16 +15,16 @@
 use super::memory_figures::resident_bytes;
 use super::stream_figures::row_plan;
 
-/// How often a step is repeated; the median counts.
+/// How often each step is repeated. The median is reported.
 const REPEATS: usize = 9;
 
-/// Copies of a configuration that are held at once, to tell what one takes.
+/// The number of copies of a configuration over which its memory is averaged.
 const COPIES: usize = 8;
 
-/// Routes of the configurations measured.
+/// The numbers of routes in the measured configurations.
 const SIZES: [usize; 4] = [140, 1_400, 5_000, 14_000];
 
-/// Measures a first configuration of each size, and a change of one weight on top of it.
+/// Measures a first configuration of each size and then a change of one weight in it.
 pub(crate) fn measure_sizes() -> Result<()> {
     for count in SIZES {
         let mut rows = routes(count)?;
@@ -76,7 +76,7 @@
     Ok(after)
 }
 
-/// Measures what a configuration in force takes in memory, as read from a snapshot.
+/// Measures the memory of a configuration in force, decoded as from a snapshot.
 fn measure_memory(request: &ChangeRequest) -> Result<()> {
     let version = ConfigVersion(1);
     let plan = StoredPlan { version, sheet: request.sheet.clone(), plan: request.plan.clone() };
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// The last outcome of a step and the median of its times, in milliseconds.
+/// Repeats a step. Returns its last result and the median of its times in milliseconds.
 fn repeated<T>(mut step: impl FnMut() -> Result<T>) -> Result<(T, f64)> {
     let mut times = Vec::new();
     let mut last = None;
@@ -101,26 +101,32 @@
     }
     times.sort_unstable();
     let median = times.get(REPEATS / 2).map_or(0.0, Duration::as_secs_f64) * 1e3;
-    Ok((last.ok_or_else(|| eyre!("no repeats"))?, median))
+    Ok((last.ok_or_else(|| eyre!("the step was not run"))?, median))
 }
 
-/// What a host sends to the leader.
+/// Returns the frame in which a host forwards a question to a replica.
 fn forwarded(question: &ReplicaQuestion) -> Result<Vec<u8>> {
     let mut router = QuestionRouter::new(host(0)?, 1);
     router.apply_replicas(vec![host(1)?]);
     let outputs = router.ask(Moment::ZERO, question.clone()).map(|(_, outputs)| outputs);
     match outputs.as_deref() {
         Some([RouterOutput::Send { body, .. }]) => Ok(body.to_vec()),
-        other => Err(eyre!("not sent: {}", other.map_or(0, <[_]>::len))),
+        other => Err(eyre!(
+            "expected one message, but the router has {} outputs",
+            other.map_or(0, <[_]>::len)
+        )),
     }
 }
 
-/// The leader reads it.
+/// Receives a forwarded frame as the leader does and returns the number of outputs.
 fn taken(frame: &[u8]) -> Result<usize> {
     let mut router = QuestionRouter::new(host(1)?, 1);
     router.apply_replicas(vec![host(1)?]);
     let outputs = router.receive(Moment::ZERO, &host(0)?, frame);
-    ensure!(matches!(outputs[..], [RouterOutput::AskLocal { .. }]), "not taken");
+    ensure!(
+        matches!(outputs[..], [RouterOutput::AskLocal { .. }]),
+        "the forwarded question was not received"
+    );
     Ok(outputs.len())
 }
 
@@ -131,7 +137,10 @@
 ) -> Result<ConfigurationMachine> {
     let mut machine = base.clone();
     let answer = machine.apply(index, change);
-    ensure!(matches!(answer, ChangeAnswer::Accepted { .. }), "not accepted: {answer:?}");
+    ensure!(
+        matches!(answer, ChangeAnswer::Accepted { .. }),
+        "the change was not accepted: {answer:?}"
+    );
     Ok(machine)
 }
 
@@ -139,7 +148,7 @@
     Ok(format!("host-{number}").parse()?)
 }
 
-/// Routes whose names have little in common.
+/// Returns rows with random names, paths and host names, which have little in common.
 fn routes(count: usize) -> Result<Vec<KindPlan>> {
     let mut random = StdRng::seed_from_u64(1);
     let mut word =
@@ -156,7 +165,7 @@
     (0..count).map(row).collect()
 }
 
-/// A configuration in one line, as operators send it.
+/// Returns a change to the given rows, whose sheet is one line of JSON as operators send it.
 fn request(rows: &[KindPlan], version: u64) -> Result<ChangeRequest> {
     let texts = rows.iter().map(|row| {
         format!(
--- a/crates/pulley_bench/src/recovery/start_figures.rs
+++ b/crates/pulley_bench/src/recovery/start_figures.rs
@@ -1,4 +1,4 @@
-//! How long a replica takes from its start until it holds its last state again.
+//! Measures how long a replica takes from its start until it has recovered its last state.
 
 use std::path::Path;
 use std::time::Instant;
@@ -12,7 +12,7 @@
 use super::replica_cluster::ReplicaCluster;
 use super::stream_figures::{SHEET_BYTES, change};
 
-/// Measures starts after logs of several lengths, with and without snapshots.
+/// Measures the start of a replica for several log lengths, with and without snapshots.
 pub(crate) fn measure_starts(folder: &Path) -> Result<()> {
     for changes in [100, 1_000, 5_000] {
         for snapshots in [true, false] {
@@ -35,8 +35,8 @@
     drop(cluster);
     let bytes = folder_size(&folder.path().join("replica-0"))?;
     let begin = Instant::now();
-    // Includes one election timeout: a single replica leads, and so knows what is committed, only
-    // once it has been elected again.
+    // Includes one election timeout: even a single replica has to be elected again before it leads
+    // and knows which entries are committed.
     let cluster = ReplicaCluster::start(1, folder.path(), &settings)?;
     let elected = begin.elapsed();
     cluster.ask(changes, change(changes, SHEET_BYTES)?);
@@ -44,7 +44,7 @@
     let served = begin.elapsed();
     let expected = format!("{:?}", ConfigVersion(changes + 1));
     if !format!("{answer:?}").contains(&expected) {
-        bail!("the replica came back without its last state: {answer:?}");
+        bail!("the replica did not recover its last state: {answer:?}");
     }
     println!(
         "part=start changes={changes} sheet_bytes={SHEET_BYTES} snapshots={snapshots} \
@@ -56,11 +56,11 @@
     Ok(())
 }
 
-/// Opening the folder and making the driver, without the election.
+/// Returns the milliseconds to open the folder and make the driver, without the election.
 fn recovery_ms(folder: &Path) -> Result<f64> {
     let identity =
         ReplicaIdentity { host: "host-0".parse()?, member: MemberId(1), cluster: "bench".parse()? };
-    // The running replica holds the folder's lock, so a copy is opened.
+    // Opens a copy, because the running replica holds the lock of the folder.
     let copy = tempfile::tempdir_in(folder)?;
     for item in std::fs::read_dir(folder.join("replica-0"))? {
         let item = item?;
--- a/crates/pulley_bench/src/recovery/stream_figures.rs
+++ b/crates/pulley_bench/src/recovery/stream_figures.rs
@@ -1,4 +1,4 @@
-//! Changes and claims a second, and how long one takes.
+//! Measures the throughput and the latency of changes and claims.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,15 +16,15 @@
 
 use super::replica_cluster::ReplicaCluster;
 
-/// Bytes of a sheet with some 1,200 rows.
+/// The bytes of a sheet with about 1,200 rows.
 pub(crate) const SHEET_BYTES: usize = 100_000;
 
-/// Bytes of a sheet as it is today, with some 30 rows.
+/// The bytes of a sheet of the present size, about 30 rows.
 const SMALL_SHEET_BYTES: usize = 3_000;
 
 const REPLICAS: usize = 3;
 
-/// Measures changes a second, one at a time and several under way.
+/// Measures changes a second, for several numbers in flight.
 pub(crate) fn measure_changes(folder: &Path) -> Result<()> {
     for bytes in [SHEET_BYTES, SMALL_SHEET_BYTES] {
         for (under_way, count) in [(1, 500), (16, 2_000), (64, 2_000)] {
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// Measures claims a second, by how many are under way.
+/// Measures claims a second, for several numbers in flight.
 pub(crate) fn measure_claims(folder: &Path) -> Result<()> {
     for (under_way, count) in [(1, 1_000), (16, 10_000), (256, 100_000), (2_048, 200_000)] {
         let stream = QuestionStream { under_way, count };
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// The change that makes version `number + 1` of version `number`.
+/// Returns the change that makes version `number + 1` from version `number`.
 pub(crate) fn change(number: u64, bytes: usize) -> Result<ReplicaQuestion> {
     Ok(ReplicaQuestion::Apply(ChangeRequest {
         change_id: format!("change-{number}").parse()?,
@@ -59,7 +59,7 @@
     }))
 }
 
-/// A change of one row in a sheet of some 1,200.
+/// Returns a change of one row in a sheet of 1,200 rows.
 pub(crate) fn row_change(number: u64) -> Result<ReplicaQuestion> {
     const ROWS: u64 = 1_200;
     let mut kinds = Vec::new();
@@ -83,7 +83,7 @@
     }))
 }
 
-/// A row of a sheet.
+/// Returns one row of a plan, with the given share.
 pub(crate) fn row_plan(row: u64, share: u16) -> Result<KindPlan> {
     Ok(KindPlan {
         pool: format!("pool-{row}").parse()?,
@@ -115,7 +115,7 @@
     matches!(answer, ReplicaAnswer::Claim(ClaimAnswer::Granted(_)))
 }
 
-/// Questions of which a fixed number is always under way.
+/// A stream of questions with a fixed number in flight.
 struct QuestionStream {
     under_way: u64,
     count: u64,
--- a/crates/pulley_bench/src/recovery/traffic_figures.rs
+++ b/crates/pulley_bench/src/recovery/traffic_figures.rs
@@ -1,4 +1,4 @@
-//! What replicas send each other.
+//! Measures the messages and bytes that replicas send to each other.
 
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 const IDLE_TIME: Duration = Duration::from_secs(10);
 const CHANGES: u64 = 40;
 
-/// Measures what five replicas send, idle and for each change of one row of a large sheet.
+/// Measures what five replicas send, both idle and for each change of one row in a large sheet.
 pub(crate) fn measure_traffic(folder: &Path) -> Result<()> {
     let folder = tempfile::tempdir_in(folder)?;
     let cluster = ReplicaCluster::start(REPLICAS, folder.path(), &ReplicaSettings::default())?;
