--- a/crates/pulley_bench/src/capacity/change_cost.rs
+++ b/crates/pulley_bench/src/capacity/change_cost.rs
@@ -68,56 +68,56 @@
             now: Moment::ZERO,
         };
         for host in 1..hosts {
-            observer.hear_of(host, 1);
+            observer.receive_ping(host, 1);
         }
         for upstream in 0..upstreams {
-            let announced = named(upstream, 1, UpstreamPhase::Ready)?;
+            let announced = upstream_announcement(upstream, 1, UpstreamPhase::Ready)?;
             observer.registry.announce(observer.now, announced)?;
         }
-        observer.follow();
+        observer.refresh_view();
         Ok(observer)
     }
 
     /// Returns the nanoseconds from an upstream's announcement of a change until the schedulers have
     /// applied it.
     fn upstream_cost(&mut self) -> Result<u128> {
-        let begin = Instant::now();
+        let started = Instant::now();
         for change in 0..CHANGES {
             self.now = self.now + Duration::from_millis(50);
-            let place = usize::try_from(change).unwrap_or(0) * 7 % self.upstreams;
+            let index = usize::try_from(change).unwrap_or(0) * 7 % self.upstreams;
             // A new incarnation each time, in turn draining and ready.
-            let start = 2 + change;
+            let incarnation = 2 + change;
             let phase =
                 if change % 2 == 0 { UpstreamPhase::Draining } else { UpstreamPhase::Ready };
-            self.registry.announce(self.now, named(place, start, phase)?)?;
-            self.follow();
+            self.registry.announce(self.now, upstream_announcement(index, incarnation, phase)?)?;
+            self.refresh_view();
         }
-        Ok(begin.elapsed().as_nanos() / u128::from(CHANGES))
+        Ok(started.elapsed().as_nanos() / u128::from(CHANGES))
     }
 
     /// Returns the nanoseconds from the first message of a restarted host until the schedulers have
     /// applied it.
     fn host_cost(&mut self) -> Result<u128> {
-        let mut spent = Duration::ZERO;
+        let mut total_time = Duration::ZERO;
         for change in 0..CHANGES {
             self.now = self.now + Duration::from_millis(50);
             let host = 1 + usize::try_from(change)? * 7 % (self.hosts - 1);
-            let message = message_of(host, 2 + change);
-            let begin = Instant::now();
+            let message = startup_ping(host, 2 + change);
+            let started = Instant::now();
             self.members.receive(self.now, address(host), &message);
-            self.follow();
-            spent += begin.elapsed();
+            self.refresh_view();
+            total_time += started.elapsed();
         }
-        Ok(spent.as_nanos() / u128::from(CHANGES))
+        Ok(total_time.as_nanos() / u128::from(CHANGES))
     }
 
-    fn hear_of(&mut self, host: usize, start: u64) {
-        let message = message_of(host, start);
+    fn receive_ping(&mut self, host: usize, incarnation: u64) {
+        let message = startup_ping(host, incarnation);
         self.members.receive(self.now, address(host), &message);
     }
 
     /// Builds a new view and applies it to the schedulers, as a host does after a change.
-    fn follow(&mut self) {
+    fn refresh_view(&mut self) {
         self.members.take_moved();
         let live = self.members.live_entries();
         let view = RunningView {
@@ -132,23 +132,27 @@
 }
 
 /// Returns the ping with which a host that has just started announces itself.
-fn message_of(host: usize, start: u64) -> bytes::Bytes {
+fn startup_ping(host: usize, incarnation: u64) -> bytes::Bytes {
     let mut observer = MemberTable::new(record(0, 0), MemberSettings::default(), 1);
     observer.seed(address(host));
     let greeting = observer.tick(Moment::ZERO).remove(0).body;
-    let mut table = MemberTable::new(record(host, start), MemberSettings::default(), 1);
+    let mut table = MemberTable::new(record(host, incarnation), MemberSettings::default(), 1);
     table.receive(Moment::ZERO, address(0), &greeting);
     // The first message carries the known members, the second is the ping.
     table.tick(Moment::ZERO).remove(1).body
 }
 
-fn named(upstream: usize, start: u64, phase: UpstreamPhase) -> Result<Announcement> {
+fn upstream_announcement(
+    upstream: usize,
+    incarnation: u64,
+    phase: UpstreamPhase,
+) -> Result<Announcement> {
     let pool = pool(upstream % POOLS)?;
-    Ok(Announcement { pool, phase, ..announcement(upstream, start, start) })
+    Ok(Announcement { pool, phase, ..announcement(upstream, incarnation, incarnation) })
 }
 
-fn pool(place: usize) -> Result<PoolName> {
-    Ok(format!("pool{place}").parse()?)
+fn pool(index: usize) -> Result<PoolName> {
+    Ok(format!("pool{index}").parse()?)
 }
 
 fn plan() -> Result<PolicyPlan> {
@@ -156,13 +160,13 @@
     Ok(PolicyPlan { kinds: kinds?, ..PolicyPlan::default() })
 }
 
-fn kind(place: usize) -> Result<KindPlan> {
+fn kind(index: usize) -> Result<KindPlan> {
     Ok(KindPlan {
-        pool: pool(place)?,
+        pool: pool(index)?,
         service: "desk".parse()?,
-        kind: format!("kind{place}").parse()?,
+        kind: format!("kind{index}").parse()?,
         method: MethodMatch::Any,
-        path_prefix: format!("/{place}").into(),
+        path_prefix: format!("/{index}").into(),
         priority: RequestPriority(0),
         share: ShareFraction::WHOLE,
         reserved_slots: SlotCount(0),
--- a/crates/pulley_bench/src/capacity/daemon_group.rs
+++ b/crates/pulley_bench/src/capacity/daemon_group.rs
@@ -18,11 +18,11 @@
 /// The key of the installation under test.
 const KEY: &str = "a-key-for-measurements-0123456789abcdef";
 /// The time limit for a daemon to listen and for the group to become ready.
-const PATIENCE: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 /// The number of hosts with a replica of the log.
 const REPLICAS: usize = 3;
 /// The clock ticks per second in `/proc/PID/stat`, the same on all current Linux systems.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// The HTTP client for all requests of the measurement.
 pub(super) type HttpCaller = Client<HttpConnector, Full<Bytes>>;
@@ -49,7 +49,7 @@
 
 /// The resources that one process has used since its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ProcessUse {
+pub(super) struct ProcessUsage {
     /// Processor time, in seconds.
     pub(super) processor: f64,
     /// Resident memory, in bytes.
@@ -64,7 +64,7 @@
 pub(super) struct DaemonGroup {
     pub(super) daemons: Vec<DaemonChild>,
     caller: HttpCaller,
-    _folder: TempDir,
+    temp_folder: TempDir,
 }
 
 impl DaemonGroup {
@@ -72,7 +72,7 @@
     pub(super) async fn start(binary: &Path, count: usize) -> Result<Self> {
         let folder = TempDir::new()?;
         fs::write(folder.path().join("secret"), KEY)?;
-        let mut group = Self { daemons: Vec::new(), caller: http_caller(), _folder: folder };
+        let mut group = Self { daemons: Vec::new(), caller: http_caller(), temp_folder: folder };
         for index in 0..count {
             let daemon = group.launch(binary, index).await?;
             group.daemons.push(daemon);
@@ -81,7 +81,7 @@
     }
 
     async fn launch(&self, binary: &Path, index: usize) -> Result<DaemonChild> {
-        let folder = self._folder.path();
+        let folder = self.temp_folder.path();
         let name = format!("h{index}");
         let log_path = folder.join(format!("{name}.log"));
         let founders: Vec<String> =
@@ -108,8 +108,8 @@
         command.env_clear().stdin(Stdio::null()).stdout(output.try_clone()?);
         let child = command.stderr(output).spawn()?;
         // Wrapped before waiting, so that the process is killed even if it never listens.
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut daemon = DaemonChild { child, addresses: [any; 4] };
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut daemon = DaemonChild { child, addresses: [any_port; 4] };
         daemon.addresses = read_addresses(&log_path).await?;
         Ok(daemon)
     }
@@ -122,41 +122,41 @@
     /// Applies a sheet through the first host and returns the new version. Retries until the change is
     /// accepted.
     pub(super) async fn apply(&self, change: &str, expect: u64, sheet: &str) -> Result<u64> {
-        let began = Instant::now();
+        let started = Instant::now();
         let body = serde_json::json!({
             "change_id": change, "actor": "bench", "expect": expect, "sheet": sheet,
         });
         loop {
-            let asked = self.operate("POST", "/v1/sheet", &body.to_string()).await;
-            let answer = asked.unwrap_or(Value::Null);
+            let result = self.operator_request("POST", "/v1/sheet", &body.to_string()).await;
+            let answer = result.unwrap_or(Value::Null);
             if let Some(version) = answer.pointer("/accepted/version").and_then(Value::as_u64) {
                 return Ok(version);
             }
-            if began.elapsed() > PATIENCE {
-                bail!("the change was not accepted within {PATIENCE:?}: {answer}");
+            if started.elapsed() > READY_TIMEOUT {
+                bail!("the change was not accepted within {READY_TIMEOUT:?}: {answer}");
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    async fn operate(&self, method: &str, path: &str, body: &str) -> Result<Value> {
+    async fn operator_request(&self, method: &str, path: &str, body: &str) -> Result<Value> {
         request(&self.caller, self.daemons[0].addresses[2], (method, path), body).await
     }
 
     /// Waits until the status of every host meets a condition.
-    pub(super) async fn await_status(&self, holds: impl Fn(&Value) -> bool) -> Result<()> {
-        let began = Instant::now();
+    pub(super) async fn await_status(&self, condition: impl Fn(&Value) -> bool) -> Result<()> {
+        let started = Instant::now();
         for daemon in &self.daemons {
             loop {
-                let asked =
+                let result =
                     request(&self.caller, daemon.addresses[2], ("GET", "/status"), "").await;
-                let status = asked.unwrap_or(Value::Null);
-                if holds(&status) {
+                let status = result.unwrap_or(Value::Null);
+                if condition(&status) {
                     break;
                 }
-                if began.elapsed() > PATIENCE {
+                if started.elapsed() > READY_TIMEOUT {
                     bail!(
-                        "a host does not reach the expected status within {PATIENCE:?}: {status}"
+                        "a host does not reach the expected status within {READY_TIMEOUT:?}: {status}"
                     );
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -166,20 +166,20 @@
     }
 
     /// Returns the resources that each process has used so far.
-    pub(super) async fn used(&self) -> Result<Vec<ProcessUse>> {
+    pub(super) async fn usage(&self) -> Result<Vec<ProcessUsage>> {
         // Bytes of the headers of UDP and IPv4.
-        const HEADERS: f64 = 28.0;
-        let mut list = Vec::new();
+        const HEADER_BYTES: f64 = 28.0;
+        let mut usages = Vec::new();
         for daemon in &self.daemons {
             let status = request(&self.caller, daemon.addresses[2], ("GET", "/status"), "").await?;
             let read = |path| status.pointer(path).and_then(Value::as_f64).unwrap_or(0.0);
             let (processor, resident) = read_process(daemon.child.id())?;
             let (datagrams, frames) =
                 (read("/control/datagrams_sent"), read("/control/link_frames"));
-            let sent = read("/control/sent_bytes") + datagrams * HEADERS;
-            list.push(ProcessUse { processor, resident, sent, messages: datagrams + frames });
+            let sent = read("/control/sent_bytes") + datagrams * HEADER_BYTES;
+            usages.push(ProcessUsage { processor, resident, sent, messages: datagrams + frames });
         }
-        Ok(list)
+        Ok(usages)
     }
 }
 
@@ -202,7 +202,7 @@
 }
 
 async fn read_addresses(log: &PathBuf) -> Result<[SocketAddr; 4]> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let text = fs::read_to_string(log)?;
         if let Some(line) = text.lines().find(|line| line.contains("event=listening")) {
@@ -214,8 +214,8 @@
             };
             return Ok([find("callers")?, find("upstreams")?, find("operators")?, find("peers")?]);
         }
-        if began.elapsed() > PATIENCE {
-            bail!("a daemon does not listen within {PATIENCE:?}: {text}");
+        if started.elapsed() > READY_TIMEOUT {
+            bail!("a daemon does not listen within {READY_TIMEOUT:?}: {text}");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -232,6 +232,7 @@
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = resident.and_then(|text| text.split_whitespace().next()?.parse::<f64>().ok());
-    let processor = ticks.ok_or_else(|| eyre!("no processor time in /proc/{id}/stat"))? / TICKS;
+    let processor =
+        ticks.ok_or_else(|| eyre!("no processor time in /proc/{id}/stat"))? / TICKS_PER_SECOND;
     Ok((processor, kilobytes.ok_or_else(|| eyre!("no VmRSS for {id}"))? * 1_024.0))
 }
--- a/crates/pulley_bench/src/capacity/gossip_cost.rs
+++ b/crates/pulley_bench/src/capacity/gossip_cost.rs
@@ -14,7 +14,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// The seconds in which the hosts learn of each other and of the upstreams, before counting starts.
-const WARM_UP: u64 = 15;
+const WARM_UP_SECONDS: u64 = 15;
 
 struct GossipSettings {
     hosts: usize,
@@ -24,13 +24,13 @@
     seed: u64,
 }
 
-fn option<T: FromStr>(matches: &Matches, name: &str, otherwise: T) -> Result<T>
+fn option_or<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T>
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
     match matches.opt_str(name) {
         Some(text) => text.parse().wrap_err_with(|| format!("--{name} {text}")),
-        None => Ok(otherwise),
+        None => Ok(default),
     }
 }
 
@@ -42,11 +42,11 @@
     }
     let matches = options.parse(arguments)?;
     let settings = GossipSettings {
-        hosts: option(&matches, "hosts", 30)?,
-        upstreams: option(&matches, "upstreams", 1_200)?,
-        seconds: option(&matches, "seconds", 30)?,
-        plan_rows: option(&matches, "plan-rows", 0)?,
-        seed: option(&matches, "seed", 1)?,
+        hosts: option_or(&matches, "hosts", 30)?,
+        upstreams: option_or(&matches, "upstreams", 1_200)?,
+        seconds: option_or(&matches, "seconds", 30)?,
+        plan_rows: option_or(&matches, "plan-rows", 0)?,
+        seed: option_or(&matches, "seed", 1)?,
     };
     measure(&settings);
     Ok(())
@@ -57,7 +57,7 @@
     let replicas = (0..settings.hosts.min(5)).map(host_name).collect();
     network.replicas = ReplicaSet { index: 1, hosts: replicas };
     network.leader = Some((0, 1));
-    for second in 1..=WARM_UP {
+    for second in 1..=WARM_UP_SECONDS {
         announce_all(&mut network, settings.upstreams, second);
     }
     for host in &mut network.hosts {
@@ -65,13 +65,13 @@
         host.spent.clear();
         host.received = 0;
     }
-    let mut worst_takers = usize::MAX;
+    let mut fewest_leases = usize::MAX;
     for second in 1..=settings.seconds {
-        announce_all(&mut network, settings.upstreams, WARM_UP + second);
-        worst_takers = worst_takers.min(lease_count(&network, settings.upstreams));
+        announce_all(&mut network, settings.upstreams, WARM_UP_SECONDS + second);
+        fewest_leases = fewest_leases.min(min_lease_count(&network, settings.upstreams));
     }
     report_kinds(&network, settings);
-    report_whole(&network, settings, worst_takers);
+    report_total(&network, settings, fewest_leases);
     time_drain(&mut network, settings);
     if settings.plan_rows > 0 {
         time_plan(&mut network, settings);
@@ -83,8 +83,8 @@
     let steps = upstreams.clamp(1, 100);
     for step in 0..steps {
         for upstream in (step..upstreams).step_by(steps) {
-            let place = upstream as u64 * 7_919 + sequence * 104_729;
-            let host = usize::try_from(place % network.hosts.len() as u64).unwrap_or(0);
+            let index = upstream as u64 * 7_919 + sequence * 104_729;
+            let host = usize::try_from(index % network.hosts.len() as u64).unwrap_or(0);
             network.announce(host, announcement(upstream, 1, sequence));
         }
         network.run_for(SECOND / u32::try_from(steps).unwrap_or(1));
@@ -92,12 +92,12 @@
 }
 
 /// Returns the number of upstreams that a host may send work to, at the host with the fewest.
-fn lease_count(network: &Network, upstreams: usize) -> usize {
+fn min_lease_count(network: &Network, upstreams: usize) -> usize {
     let count = |host: &super::network::Host| {
-        let takes = |upstream: &usize| {
+        let may_send = |upstream: &usize| {
             host.registry.takes_work(network.now, &announcement(*upstream, 1, 1).id)
         };
-        (0..upstreams).filter(takes).count()
+        (0..upstreams).filter(may_send).count()
     };
     network.hosts.iter().map(count).min().unwrap_or(0)
 }
@@ -130,20 +130,20 @@
     }
 }
 
-fn report_whole(network: &Network, settings: &GossipSettings, worst_takers: usize) {
+fn report_total(network: &Network, settings: &GossipSettings, fewest_leases: usize) {
     let GossipSettings { hosts, upstreams, seed, .. } = settings;
     let sent = |host: &super::network::Host| host.sent.values().map(|(_, bytes)| bytes).sum();
-    let each: Vec<u64> = network.hosts.iter().map(sent).collect();
+    let sent_bytes: Vec<u64> = network.hosts.iter().map(sent).collect();
     let received: Vec<u64> = network.hosts.iter().map(|host| host.received).collect();
-    let most = |list: &[u64]| list.iter().max().copied().unwrap_or(0) / settings.seconds;
+    let max_per_second = |list: &[u64]| list.iter().max().copied().unwrap_or(0) / settings.seconds;
     println!(
         "scenario=gossip hosts={hosts} upstreams={upstreams} seed={seed} kind=all \
          sent_bytes_s={:.0} sent_max_bytes_s={} received_bytes_s={:.0} received_max_bytes_s={} \
-         fewest_leases={worst_takers}",
-        per_host_second(each.iter().sum(), settings),
-        most(&each),
+         fewest_leases={fewest_leases}",
+        per_host_second(sent_bytes.iter().sum(), settings),
+        max_per_second(&sent_bytes),
         per_host_second(received.iter().sum(), settings),
-        most(&received),
+        max_per_second(&received),
     );
 }
 
@@ -154,12 +154,12 @@
         let mut draining = announcement(upstream, 1, 1_000);
         draining.phase = UpstreamPhase::Draining;
         let id = draining.id.clone();
-        let begun = network.now;
+        let started = network.now;
         network.announce(upstream * 37 % settings.hosts, draining);
         while network.hosts.iter().any(|host| host.registry.takes_work(network.now, &id)) {
             network.run_for(Duration::from_millis(1));
         }
-        times.push(network.now.since(begun));
+        times.push(network.now.since(started));
     }
     times.sort();
     let (median, worst) = (times.get(times.len() / 2), times.last());
@@ -179,20 +179,20 @@
     for host in &mut network.hosts {
         host.sent.clear();
     }
-    let begun = network.now;
+    let started = network.now;
     network.publish(1, settings.plan_rows);
-    let lacks = |network: &Network| {
+    let lacking_hosts = |network: &Network| {
         network.hosts.iter().filter(|host| host.plans.version() < ConfigVersion(1)).count()
     };
     let (mut half, mut all) = (None, None);
-    while all.is_none() && network.now.since(begun) < 10 * SECOND {
+    while all.is_none() && network.now.since(started) < 10 * SECOND {
         network.run_for(Duration::from_millis(1));
-        let lacking = lacks(network);
+        let lacking = lacking_hosts(network);
         if half.is_none() && lacking <= settings.hosts / 2 {
-            half = Some(network.now.since(begun));
+            half = Some(network.now.since(started));
         }
         if lacking == 0 {
-            all = Some(network.now.since(begun));
+            all = Some(network.now.since(started));
         }
     }
     let bytes: BTreeMap<usize, u64> = network
@@ -209,7 +209,7 @@
         settings.seed,
         half.map_or(0, |time| time.as_millis()),
         all.map_or(0, |time| time.as_millis()),
-        lacks(network),
+        lacking_hosts(network),
         bytes.values().sum::<u64>() / settings.hosts as u64,
         bytes.get(&0).copied().unwrap_or(0),
         bytes.values().max().copied().unwrap_or(0),
--- a/crates/pulley_bench/src/capacity/linear_fit.rs
+++ b/crates/pulley_bench/src/capacity/linear_fit.rs
@@ -6,9 +6,9 @@
     /// One slope per variable, in the order of the variables.
     pub(super) slopes: Vec<f64>,
     /// The root mean square of the differences between measured and fitted values.
-    pub(super) error: f64,
+    pub(super) rms_error: f64,
     /// The largest absolute difference.
-    pub(super) worst: f64,
+    pub(super) worst_error: f64,
 }
 
 impl LinearFit {
@@ -33,9 +33,9 @@
             })
             .collect();
         #[expect(clippy::cast_precision_loss, reason = "a few rows")]
-        let mean = differences.iter().map(|d| d * d).sum::<f64>() / rows.len() as f64;
-        let worst = differences.iter().copied().fold(0.0, f64::max);
-        Some(Self { slopes, error: mean.sqrt(), worst })
+        let mean_square = differences.iter().map(|d| d * d).sum::<f64>() / rows.len() as f64;
+        let worst_error = differences.iter().copied().fold(0.0, f64::max);
+        Some(Self { slopes, rms_error: mean_square.sqrt(), worst_error })
     }
 }
 
@@ -57,8 +57,8 @@
                 continue;
             }
             let factor = other[column] / line[column];
-            for (cell, above) in other.iter_mut().zip(&line) {
-                *cell -= factor * above;
+            for (cell, pivot_cell) in other.iter_mut().zip(&line) {
+                *cell -= factor * pivot_cell;
             }
         }
     }
--- a/crates/pulley_bench/src/capacity/message_cost.rs
+++ b/crates/pulley_bench/src/capacity/message_cost.rs
@@ -40,23 +40,23 @@
 }
 
 async fn time_datagrams(size: usize) -> Result<()> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let seal = |host: &str| -> Result<DatagramSeal> {
         Ok(DatagramSeal::new(host.parse()?, "capacity".parse()?, KeyRing::from_text(KEY)?))
     };
     let (inbound, mut received) = mpsc::channel(256);
-    let (unused, _kept) = mpsc::channel(1);
-    let far = PeerDatagrams::bind(any, seal("far-host")?, inbound).await?;
-    let near = PeerDatagrams::bind(any, seal("near-host")?, unused).await?;
-    let to = far.local_address()?;
+    let (unused_sender, _unused_receiver) = mpsc::channel(1);
+    let receiver = PeerDatagrams::bind(any_port, seal("far-host")?, inbound).await?;
+    let sender = PeerDatagrams::bind(any_port, seal("near-host")?, unused_sender).await?;
+    let to = receiver.local_address()?;
     let body = vec![7; size];
     let before = processor_time()?;
     let mut arrived = 0_u32;
     for _ in 0..DATAGRAMS / BURST {
-        let sent = (0..BURST).filter(|_| near.send(to, FrameClass::Counts, &body)).count();
+        let sent = (0..BURST).filter(|_| sender.send(to, FrameClass::Counts, &body)).count();
         for _ in 0..sent {
-            let next = tokio::time::timeout(Duration::from_secs(1), received.recv()).await;
-            arrived += u32::from(matches!(next, Ok(Some(_))));
+            let datagram = tokio::time::timeout(Duration::from_secs(1), received.recv()).await;
+            arrived += u32::from(matches!(datagram, Ok(Some(_))));
         }
     }
     let spent = processor_time()? - before;
@@ -77,9 +77,9 @@
         let upstream = usize::try_from(number % UPSTREAMS).unwrap_or(0);
         let announcement = announcement(upstream, 1, number / UPSTREAMS + 1);
         let now = Moment::from_micros(number);
-        let begun = Instant::now();
+        let started = Instant::now();
         let _ = registry.announce(now, announcement);
-        spent += begun.elapsed();
+        spent += started.elapsed();
     }
     println!(
         "scenario=announcement upstreams={UPSTREAMS} count={ANNOUNCEMENTS} wall_us={:.3}",
--- a/crates/pulley_bench/src/capacity/process_cost.rs
+++ b/crates/pulley_bench/src/capacity/process_cost.rs
@@ -9,11 +9,11 @@
 use serde_json::Value;
 use tokio::task::JoinSet;
 
-use super::daemon_group::{DaemonGroup, ProcessUse, http_caller, request};
+use super::daemon_group::{DaemonGroup, ProcessUsage, http_caller, request};
 use super::linear_fit::LinearFit;
 
 /// The time in which the hosts settle after a change of size.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// The measures: processor time in percent of a core, resident memory, and bytes and messages sent.
 const MEASURES: [&str; 4] = ["cpu_percent", "rss_mb", "sent_bytes_s", "messages_s"];
 
@@ -45,7 +45,7 @@
     }
     let matches = options.parse(arguments)?;
     let text =
-        |name: &str, otherwise: &str| matches.opt_str(name).unwrap_or_else(|| otherwise.to_owned());
+        |name: &str, default: &str| matches.opt_str(name).unwrap_or_else(|| default.to_owned());
     let sheet_path = text("sheet", "examples/kolkhi.csv");
     let settings = ProcessSettings {
         daemon: text("daemon", "target/release/pulleyd").into(),
@@ -77,7 +77,7 @@
                 status["upstreams"].as_u64().is_some_and(|known| known >= *upstreams as u64)
             };
             group.await_status(known).await?;
-            tokio::time::sleep(SETTLE).await;
+            tokio::time::sleep(SETTLE_TIME).await;
             points.push(measure(&group, settings, *upstreams, None).await?);
             if Some(upstreams) == settings.upstreams.last() {
                 points.push(measure(&group, settings, *upstreams, Some(&mut version)).await?);
@@ -100,8 +100,8 @@
     upstreams: usize,
     version: Option<&mut u64>,
 ) -> Result<SizePoint> {
-    let before = group.used().await?;
-    let began = std::time::Instant::now();
+    let before = group.usage().await?;
+    let started = std::time::Instant::now();
     let window = Duration::from_secs(settings.seconds);
     let mut changes_s = 0.0;
     if let Some(version) = version {
@@ -110,21 +110,21 @@
             // Applying the same sheet again still makes a new version for every host.
             *version = group.apply(&name, *version, &settings.sheet).await?;
             let next = window / u32::try_from(settings.changes)? * u32::try_from(change + 1)?;
-            tokio::time::sleep(next.saturating_sub(began.elapsed())).await;
+            tokio::time::sleep(next.saturating_sub(started.elapsed())).await;
         }
-        changes_s = settings.changes as f64 / began.elapsed().as_secs_f64();
+        changes_s = settings.changes as f64 / started.elapsed().as_secs_f64();
     }
-    tokio::time::sleep(window.saturating_sub(began.elapsed())).await;
-    let seconds = began.elapsed().as_secs_f64();
-    let after = group.used().await?;
+    tokio::time::sleep(window.saturating_sub(started.elapsed())).await;
+    let seconds = started.elapsed().as_secs_f64();
+    let after = group.usage().await?;
     let point = summarize(&before, &after, seconds, (upstreams, changes_s));
     report(&point);
     Ok(point)
 }
 
 fn summarize(
-    before: &[ProcessUse],
-    after: &[ProcessUse],
+    before: &[ProcessUsage],
+    after: &[ProcessUsage],
     seconds: f64,
     (upstreams, changes_s): (usize, f64),
 ) -> SizePoint {
@@ -165,7 +165,7 @@
 /// Fits each measure to a base and to slopes per host, per upstream and per change a second.
 fn report_fits(points: &[SizePoint]) {
     for (index, name) in MEASURES.iter().enumerate() {
-        for (which, values) in [("mean", 0), ("max", 1)] {
+        for (statistic, values) in [("mean", 0), ("max", 1)] {
             let rows: Vec<(Vec<f64>, f64)> = points
                 .iter()
                 .map(|point| {
@@ -175,19 +175,19 @@
                 })
                 .collect();
             let Some(fit) = LinearFit::new(&rows) else {
-                println!("scenario=fit of={name} over={which} fit=none");
+                println!("scenario=fit of={name} over={statistic} fit=none");
                 continue;
             };
             println!(
-                "scenario=fit of={name} over={which} points={} base={:.4} a_host={:.5} \
+                "scenario=fit of={name} over={statistic} points={} base={:.4} a_host={:.5} \
                  an_upstream={:.6} a_change_s={:.4} rms_error={:.4} worst_error={:.4}",
                 rows.len(),
                 fit.slopes[0],
                 fit.slopes[1],
                 fit.slopes[2],
                 fit.slopes[3],
-                fit.error,
-                fit.worst,
+                fit.rms_error,
+                fit.worst_error,
             );
         }
     }
@@ -210,9 +210,9 @@
             loop {
                 ticker.tick().await;
                 sequence += 1;
-                let place = usize::try_from(sequence).unwrap_or(0) + upstream * 7;
+                let index = usize::try_from(sequence).unwrap_or(0) + upstream * 7;
                 let body = announcement(upstream, sequence);
-                let to = hosts[place % hosts.len()];
+                let to = hosts[index % hosts.len()];
                 // The next announcement makes up for a lost one.
                 let _ = request(&caller, to, ("POST", "/v1/announce"), &body).await;
             }
--- a/crates/pulley_bench/src/capacity/spread_cost.rs
+++ b/crates/pulley_bench/src/capacity/spread_cost.rs
@@ -12,15 +12,15 @@
 /// The wait from which a queue counts as long.
 const LONG_QUEUE: Duration = Duration::from_millis(100);
 /// The limit for a change to be in force everywhere; each change is observed for at least this long.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
 /// The percentage of an entry's link that callers use.
 const CALLERS_PERCENT: u32 = 50;
 
-fn list<T: FromStr>(matches: &Matches, name: &str, otherwise: &str) -> Result<Vec<T>>
+fn number_list<T: FromStr>(matches: &Matches, name: &str, default: &str) -> Result<Vec<T>>
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
-    let text = matches.opt_str(name).unwrap_or_else(|| otherwise.to_owned());
+    let text = matches.opt_str(name).unwrap_or_else(|| default.to_owned());
     let numbers = text.split(',').map(str::parse);
     numbers.collect::<Result<_, _>>().wrap_err_with(|| format!("--{name} {text}"))
 }
@@ -36,47 +36,47 @@
     }
     let matches = options.parse(arguments)?;
     let callers_percent: u32 = matches.opt_get_default("callers-percent", CALLERS_PERCENT)?;
-    let most = Duration::from_secs(matches.opt_get_default("seconds", 30)?);
+    let max_time = Duration::from_secs(matches.opt_get_default("seconds", 30)?);
     let seed: u64 = matches.opt_get_default("seed", 1)?;
     ensure!(callers_percent < 100, "--callers-percent {callers_percent}: must be below 100");
-    for hosts in list(&matches, "hosts", "30,186,482")? {
+    for hosts in number_list(&matches, "hosts", "30,186,482")? {
         ensure!(hosts > REPLICAS, "--hosts {hosts}: must be more than the {REPLICAS} replicas");
-        for rate in list::<u32>(&matches, "link-bytes", "175000,300000,87000000")? {
-            for added_rows in list(&matches, "rows", "140,1400,14000")? {
+        for rate in number_list::<u32>(&matches, "link-bytes", "175000,300000,87000000")? {
+            for added_rows in number_list(&matches, "rows", "140,1400,14000")? {
                 let entry_link = LinkTerms { rate, callers: rate / 100 * callers_percent };
                 let change =
                     WideChange { hosts, entry_link, added_rows, long_queue: LONG_QUEUE, seed };
-                report(&change, most);
+                report(&change, max_time);
             }
         }
     }
     Ok(())
 }
 
-fn report(change: &WideChange, most: Duration) {
-    let figures = change.run(IN_FORCE_WITHIN, most);
-    let millis = |part: f64| {
-        let time = figures.part_in_force(part);
+fn report(change: &WideChange, max_time: Duration) {
+    let stats = change.run(IN_FORCE_LIMIT, max_time);
+    let in_force_ms = |fraction: f64| {
+        let time = stats.part_in_force(fraction);
         time.map_or_else(|| "none".to_owned(), |time| time.as_millis().to_string())
     };
-    let (entry_mean, entry_most) = figures.sent_by(REPLICAS..change.hosts);
-    let (replica_mean, replica_most) = figures.sent_by(0..REPLICAS);
+    let (entry_mean, entry_max) = stats.sent_by(REPLICAS..change.hosts);
+    let (replica_mean, replica_max) = stats.sent_by(0..REPLICAS);
     println!(
         "scenario=spread hosts={} link_bytes={} callers_bytes={} rows={} seed={} half_ms={} \
-         all_ms={} lacking={} entry_sent_bytes={entry_mean} most_entry_sent_bytes={entry_most} \
-         replica_sent_bytes={replica_mean} most_replica_sent_bytes={replica_most} \
+         all_ms={} lacking={} entry_sent_bytes={entry_mean} most_entry_sent_bytes={entry_max} \
+         replica_sent_bytes={replica_mean} most_replica_sent_bytes={replica_max} \
          longest_queue_ms={} long_queue_share={:.4} dropped={} watched_ms={}",
         change.hosts,
         change.entry_link.rate,
         change.entry_link.callers,
         change.added_rows,
         change.seed,
-        millis(0.5),
-        millis(1.0),
-        figures.lacking(),
-        figures.longest_queue().as_millis(),
-        figures.long_share(),
-        figures.dropped(),
-        figures.watched.as_millis(),
+        in_force_ms(0.5),
+        in_force_ms(1.0),
+        stats.lacking(),
+        stats.longest_queue().as_millis(),
+        stats.long_share(),
+        stats.dropped(),
+        stats.watched.as_millis(),
     );
 }
--- a/crates/pulley_bench/src/path/bare_forwarder.rs
+++ b/crates/pulley_bench/src/path/bare_forwarder.rs
@@ -18,7 +18,7 @@
 type BareClient = Client<HttpConnector, Incoming>;
 
 /// The upstreams, selected round-robin.
-struct BareTurns {
+struct UpstreamRotation {
     upstreams: Vec<Authority>,
     next: AtomicUsize,
 }
@@ -27,23 +27,23 @@
 pub(super) async fn start(upstreams: Vec<SocketAddr>) -> Result<SocketAddr> {
     let upstreams: Result<Vec<_>, _> =
         upstreams.iter().map(|address| address.to_string().parse()).collect();
-    let turns = Arc::new(BareTurns { upstreams: upstreams?, next: AtomicUsize::new(0) });
+    let rotation = Arc::new(UpstreamRotation { upstreams: upstreams?, next: AtomicUsize::new(0) });
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let client: BareClient = Client::builder(TokioExecutor::new()).build(connector);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    tokio::spawn(serve(listener, client, turns));
+    tokio::spawn(serve(listener, client, rotation));
     Ok(address)
 }
 
-async fn serve(listener: TcpListener, client: BareClient, turns: Arc<BareTurns>) {
+async fn serve(listener: TcpListener, client: BareClient, rotation: Arc<UpstreamRotation>) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
-        let (client, turns) = (client.clone(), Arc::clone(&turns));
+        let (client, rotation) = (client.clone(), Arc::clone(&rotation));
         tokio::spawn(async move {
             let service =
-                service_fn(move |request| forward(client.clone(), turns.clone(), request));
+                service_fn(move |request| forward(client.clone(), rotation.clone(), request));
             let builder = auto::Builder::new(TokioExecutor::new());
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         });
@@ -52,13 +52,13 @@
 
 async fn forward(
     client: BareClient,
-    turns: Arc<BareTurns>,
+    rotation: Arc<UpstreamRotation>,
     mut request: Request<Incoming>,
 ) -> Result<Response<Incoming>, hyper_util::client::legacy::Error> {
-    let turn = turns.next.fetch_add(1, Ordering::Relaxed) % turns.upstreams.len();
+    let index = rotation.next.fetch_add(1, Ordering::Relaxed) % rotation.upstreams.len();
     let mut parts = std::mem::take(request.uri_mut()).into_parts();
     parts.scheme = Some(Scheme::HTTP);
-    parts.authority = Some(turns.upstreams[turn].clone());
+    parts.authority = Some(rotation.upstreams[index].clone());
     *request.uri_mut() = Uri::from_parts(parts).unwrap_or_default();
     client.request(request).await
 }
--- a/crates/pulley_bench/src/path/caller_load.rs
+++ b/crates/pulley_bench/src/path/caller_load.rs
@@ -15,10 +15,10 @@
 use tokio::net::TcpStream;
 
 /// The longest latency that is recorded: a minute. The shortest is 1 µs, with three digits each.
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
 /// The number of calls that warm up each connection before a run. They are not counted.
-const WARM_CALLS: usize = 50;
+const WARM_UP_CALLS: usize = 50;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -31,37 +31,37 @@
 /// Callers that use a fixed number of connections.
 pub(super) struct CallerLoad {
     connections: usize,
-    seconds: Duration,
+    duration: Duration,
     clock: ProcessClock,
     timer: TimerService,
 }
 
 /// Makes an empty histogram of latencies in microseconds.
 pub(super) fn new_histogram() -> Result<Histogram<u64>> {
-    Histogram::new_with_bounds(1, LONGEST_MICROS, 3).map_err(|fault| eyre!("{fault}"))
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).map_err(|fault| eyre!("{fault}"))
 }
 
 impl CallerLoad {
-    pub(super) fn new(connections: usize, seconds: Duration) -> Result<Self> {
+    pub(super) fn new(connections: usize, duration: Duration) -> Result<Self> {
         let clock = ProcessClock::start();
-        Ok(Self { connections, seconds, clock, timer: TimerService::start(clock)? })
+        Ok(Self { connections, duration, clock, timer: TimerService::start(clock)? })
     }
 
-    pub(super) const fn seconds(&self) -> Duration {
-        self.seconds
+    pub(super) const fn duration(&self) -> Duration {
+        self.duration
     }
 
     /// Runs a closed loop: each connection sends its next call as soon as it has its answer.
     pub(super) async fn closed_loop(&self, address: SocketAddr) -> Result<LoadResult> {
         let mut tasks = Vec::new();
         for mut sender in self.connect(address).await? {
-            let end = Instant::now() + self.seconds;
+            let deadline = Instant::now() + self.duration;
             tasks.push(tokio::spawn(async move {
                 let mut result = LoadResult { latencies: new_histogram()?, errors: 0 };
-                while Instant::now() < end {
-                    let began = Instant::now();
+                while Instant::now() < deadline {
+                    let started = Instant::now();
                     let answered = call(&mut sender).await;
-                    result.note(began.elapsed(), answered.is_ok());
+                    result.record(started.elapsed(), answered.is_ok());
                     answered?;
                 }
                 Ok(result)
@@ -75,21 +75,21 @@
     /// its connection. Otherwise the slowest answers would hide the delay of the calls behind them
     /// (coordinated omission).
     pub(super) async fn open_loop(&self, address: SocketAddr, rate: u64) -> Result<LoadResult> {
-        let gap = Duration::from_secs_f64(self.connections as f64 / rate.max(1) as f64);
-        let calls = (self.seconds.as_secs_f64() / gap.as_secs_f64()) as u32;
+        let interval = Duration::from_secs_f64(self.connections as f64 / rate.max(1) as f64);
+        let calls = (self.duration.as_secs_f64() / interval.as_secs_f64()) as u32;
         let senders = self.connect(address).await?;
         let start = self.clock.now() + Duration::from_millis(5);
         let mut tasks = Vec::new();
-        for (place, mut sender) in senders.into_iter().enumerate() {
-            let first = start + gap.mul_f64(place as f64 / self.connections as f64);
+        for (index, mut sender) in senders.into_iter().enumerate() {
+            let first_due = start + interval.mul_f64(index as f64 / self.connections as f64);
             let (clock, timer) = (self.clock, self.timer.clone());
             tasks.push(tokio::spawn(async move {
                 let mut result = LoadResult { latencies: new_histogram()?, errors: 0 };
                 for number in 0..calls {
-                    let due = first + gap * number;
+                    let due = first_due + interval * number;
                     let _ = timer.at(due).await;
                     let answered = call(&mut sender).await;
-                    result.note(clock.now().since(due), answered.is_ok());
+                    result.record(clock.now().since(due), answered.is_ok());
                     answered?;
                 }
                 Ok(result)
@@ -107,28 +107,28 @@
             tokio::spawn(connection);
             senders.push(sender);
         }
-        let warm = senders.iter_mut().map(|sender| async move {
-            for _ in 0..WARM_CALLS {
+        let warm_ups = senders.iter_mut().map(|sender| async move {
+            for _ in 0..WARM_UP_CALLS {
                 call(sender).await?;
             }
             Ok::<_, eyre::Report>(())
         });
-        join_all(warm).await.into_iter().collect::<Result<()>>()?;
+        join_all(warm_ups).await.into_iter().collect::<Result<()>>()?;
         Ok(senders)
     }
 }
 
 impl LoadResult {
-    fn note(&mut self, latency: Duration, is_answered: bool) {
-        let micros = u64::try_from(latency.as_micros()).unwrap_or(LONGEST_MICROS);
-        self.latencies.saturating_record(micros.clamp(1, LONGEST_MICROS));
+    fn record(&mut self, latency: Duration, is_answered: bool) {
+        let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
+        self.latencies.saturating_record(micros.clamp(1, MAX_LATENCY_MICROS));
         self.errors += u64::from(!is_answered);
     }
 }
 
-type TurnEnd = Result<Result<LoadResult>, tokio::task::JoinError>;
+type TaskResult = Result<Result<LoadResult>, tokio::task::JoinError>;
 
-fn merge(results: Vec<TurnEnd>) -> Result<LoadResult> {
+fn merge(results: Vec<TaskResult>) -> Result<LoadResult> {
     let mut total = LoadResult { latencies: new_histogram()?, errors: 0 };
     for result in results {
         let result = result??;
--- a/crates/pulley_bench/src/path/forwarder_way.rs
+++ b/crates/pulley_bench/src/path/full_forwarder.rs
@@ -23,12 +23,12 @@
 const SLOTS: u32 = 256;
 
 /// The running forwarder.
-pub(super) struct ForwarderWay {
+pub(super) struct FullForwarder {
     address: SocketAddr,
     _threads: TrafficThreads,
 }
 
-impl ForwarderWay {
+impl FullForwarder {
     pub(super) fn start(threads: usize, upstreams: &[SocketAddr], idle: usize) -> Result<Self> {
         let threads = TrafficThreads::start(threads)?;
         let clock = ProcessClock::start();
@@ -46,8 +46,8 @@
         let limits = TrafficLimits { caller_connections, ..limits };
         let context = TrafficContext::new(view, schedulers, control, clock, timer, logger);
         let context = Arc::new(context.with_limits(limits));
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let listener = threads.handle().block_on(CallerListener::bind(any, context))?;
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let listener = threads.handle().block_on(CallerListener::bind(any_port, context))?;
         let address = listener.local_addr()?;
         threads.handle().spawn(listener.serve(std::future::pending(), Duration::ZERO));
         Ok(Self { address, _threads: threads })
@@ -78,15 +78,15 @@
     let records: Result<Vec<_>> = upstreams
         .iter()
         .enumerate()
-        .map(|(place, address)| upstream_record(&pool, place, *address))
+        .map(|(index, address)| upstream_record(&pool, index, *address))
         .collect();
-    let mut known = FastMap::default();
-    known.insert(pool, records?.into());
+    let mut pools = FastMap::default();
+    pools.insert(pool, records?.into());
     Ok(RunningView {
         version: ConfigVersion::default(),
         awaited: None,
         plan: Arc::new(PolicyPlan { kinds: vec![kind], ..PolicyPlan::default() }.into()),
-        upstreams: known,
+        upstreams: pools,
         readiness: HostReadiness::Ready,
         evacuated: Arc::default(),
         entries: Arc::default(),
@@ -94,9 +94,9 @@
     })
 }
 
-fn upstream_record(pool: &PoolName, place: usize, address: SocketAddr) -> Result<UpstreamRecord> {
+fn upstream_record(pool: &PoolName, index: usize, address: SocketAddr) -> Result<UpstreamRecord> {
     let announcement = Announcement {
-        id: format!("u{place}").parse()?,
+        id: format!("u{index}").parse()?,
         address,
         zone: "a".parse()?,
         pool: pool.clone(),
--- a/crates/pulley_bench/src/path/idle_memory.rs
+++ b/crates/pulley_bench/src/path/idle_memory.rs
@@ -13,7 +13,7 @@
 const REQUEST: &[u8] = b"GET /cover/lookup HTTP/1.1\r\nHost: bench\r\n\r\n";
 
 /// The time in which the memory settles before it is read.
-const SETTLING: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// Opens connections, each of which has received one answer, and reads the resident memory before
 /// and after. Both ends are in this process; the callers' ends are bare sockets.
@@ -23,16 +23,16 @@
     }
     callers.block_on(async {
         let before = resident_bytes()?;
-        let mut idle = Vec::with_capacity(count);
+        let mut streams = Vec::with_capacity(count);
         for _ in 0..count {
-            idle.push(answered_connection(address).await?);
+            streams.push(answered_connection(address).await?);
         }
-        tokio::time::sleep(SETTLING).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let after = resident_bytes()?;
-        let each = after.saturating_sub(before) / count as u64;
+        let connection_bytes = after.saturating_sub(before) / count as u64;
         println!(
             "scenario=path-idle connections={count} resident_before={before} \
-             resident_after={after} bytes_per_connection={each}"
+             resident_after={after} bytes_per_connection={connection_bytes}"
         );
         Ok(())
     })
--- a/crates/pulley_bench/src/path/mod.rs
+++ b/crates/pulley_bench/src/path/mod.rs
@@ -7,7 +7,7 @@
 
 mod bare_forwarder;
 mod caller_load;
-mod forwarder_way;
+mod full_forwarder;
 mod idle_memory;
 mod stand_in_upstream;
 mod thread_time;
@@ -21,7 +21,7 @@
 use tokio::runtime::{Builder, Runtime};
 
 use caller_load::{CallerLoad, LoadResult};
-use forwarder_way::ForwarderWay;
+use full_forwarder::FullForwarder;
 use stand_in_upstream::StandInUpstream;
 
 pub(crate) use thread_time::resident_bytes;
@@ -30,7 +30,7 @@
 const UPSTREAMS: usize = 4;
 
 /// The threads of the stand-in upstreams and of the callers, enough not to be the bottleneck.
-const SIDE_THREADS: usize = 3;
+const LOAD_THREADS: usize = 3;
 
 /// The options of the subcommand.
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
 }
 
 /// One path from callers to upstreams, with its results.
-struct MeasuredWay {
+struct MeasuredPath {
     name: &'static str,
     address: SocketAddr,
     /// The name of its threads; `None` for the direct path.
@@ -52,28 +52,28 @@
     latencies: Histogram<u64>,
     calls: u64,
     errors: u64,
-    busy: Duration,
+    cpu_time: Duration,
 }
 
 /// Runs the subcommand.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let Some(options) = read_options(arguments)? else { return Ok(()) };
-    let side = runtime("stand-in", SIDE_THREADS)?;
-    let callers = runtime("caller", SIDE_THREADS)?;
+    let stand_ins = runtime("stand-in", LOAD_THREADS)?;
+    let callers = runtime("caller", LOAD_THREADS)?;
     let bare = runtime("bare", options.threads)?;
-    let upstreams = side.block_on(StandInUpstream::start_several(UPSTREAMS))?;
-    let forwarder = ForwarderWay::start(options.threads, &upstreams, options.idle)?;
+    let upstreams = stand_ins.block_on(StandInUpstream::start_several(UPSTREAMS))?;
+    let forwarder = FullForwarder::start(options.threads, &upstreams, options.idle)?;
     let bare_address = bare.block_on(bare_forwarder::start(upstreams.clone()))?;
-    let mut ways = [
-        MeasuredWay::new("direct", upstreams[0], None)?,
-        MeasuredWay::new("forwarder", forwarder.address(), Some("traffic"))?,
-        MeasuredWay::new("bare", bare_address, Some("bare"))?,
+    let mut paths = [
+        MeasuredPath::new("direct", upstreams[0], None)?,
+        MeasuredPath::new("forwarder", forwarder.address(), Some("traffic"))?,
+        MeasuredPath::new("bare", bare_address, Some("bare"))?,
     ];
     let load = CallerLoad::new(options.connections, options.seconds)?;
-    let saturation = measure_saturation(&callers, &load, &mut ways, options.rounds)?;
-    let rate = options.rate.unwrap_or(saturation / 2);
-    measure_latency(&callers, &load, &mut ways, options.rounds, rate)?;
-    print_added(&ways, rate);
+    let saturation_rate = measure_saturation(&callers, &load, &mut paths, options.rounds)?;
+    let rate = options.rate.unwrap_or(saturation_rate / 2);
+    measure_latency(&callers, &load, &mut paths, options.rounds, rate)?;
+    print_added_latency(&paths, rate);
     idle_memory::measure(&callers, forwarder.address(), options.idle)
 }
 
@@ -113,23 +113,23 @@
 fn measure_saturation(
     callers: &Runtime,
     load: &CallerLoad,
-    ways: &mut [MeasuredWay],
+    paths: &mut [MeasuredPath],
     rounds: usize,
 ) -> Result<u64> {
     let mut forwarder_rate = 0;
-    for way in ways.iter_mut() {
-        way.reset();
+    for path in paths.iter_mut() {
+        path.reset();
     }
     for _ in 0..rounds {
-        for way in ways.iter_mut() {
-            way.take_turn(|address| callers.block_on(load.closed_loop(address)))?;
+        for path in paths.iter_mut() {
+            path.measure_run(|address| callers.block_on(load.closed_loop(address)))?;
         }
     }
-    let elapsed = load.seconds().as_secs_f64() * rounds as f64;
-    for way in ways.iter() {
-        let rate = way.calls as f64 / elapsed;
-        println!("scenario=path-saturation {} calls_per_s={rate:.0}", way.line());
-        if way.name == "forwarder" {
+    let elapsed = load.duration().as_secs_f64() * rounds as f64;
+    for path in paths.iter() {
+        let rate = path.calls as f64 / elapsed;
+        println!("scenario=path-saturation {} calls_per_s={rate:.0}", path.summary());
+        if path.name == "forwarder" {
             forwarder_rate = rate as u64;
         }
     }
@@ -140,34 +140,34 @@
 fn measure_latency(
     callers: &Runtime,
     load: &CallerLoad,
-    ways: &mut [MeasuredWay],
+    paths: &mut [MeasuredPath],
     rounds: usize,
     rate: u64,
 ) -> Result<()> {
-    for way in ways.iter_mut() {
-        way.reset();
+    for path in paths.iter_mut() {
+        path.reset();
     }
     for _ in 0..rounds {
-        for way in ways.iter_mut() {
-            way.take_turn(|address| callers.block_on(load.open_loop(address, rate)))?;
+        for path in paths.iter_mut() {
+            path.measure_run(|address| callers.block_on(load.open_loop(address, rate)))?;
         }
     }
-    for way in ways.iter() {
-        println!("scenario=path-latency rate={rate} {}", way.line());
+    for path in paths.iter() {
+        println!("scenario=path-latency rate={rate} {}", path.summary());
     }
     Ok(())
 }
 
-fn print_added(ways: &[MeasuredWay], rate: u64) {
-    let [direct, others @ ..] = ways else { return };
-    for way in others {
+fn print_added_latency(paths: &[MeasuredPath], rate: u64) {
+    let [direct, others @ ..] = paths else { return };
+    for path in others {
         let added = |quantile: f64| {
             let before = direct.latencies.value_at_quantile(quantile);
-            way.latencies.value_at_quantile(quantile).saturating_sub(before)
+            path.latencies.value_at_quantile(quantile).saturating_sub(before)
         };
         println!(
             "scenario=path-added rate={rate} way={} p50_us={} p99_us={} p999_us={}",
-            way.name,
+            path.name,
             added(0.5),
             added(0.99),
             added(0.999)
@@ -175,22 +175,25 @@
     }
 }
 
-impl MeasuredWay {
+impl MeasuredPath {
     fn new(name: &'static str, address: SocketAddr, threads: Option<&'static str>) -> Result<Self> {
         let latencies = caller_load::new_histogram()?;
-        let busy = Duration::ZERO;
-        Ok(Self { name, address, threads, latencies, calls: 0, errors: 0, busy })
+        let cpu_time = Duration::ZERO;
+        Ok(Self { name, address, threads, latencies, calls: 0, errors: 0, cpu_time })
     }
 
     fn reset(&mut self) {
         self.latencies.reset();
-        (self.calls, self.errors, self.busy) = (0, 0, Duration::ZERO);
+        (self.calls, self.errors, self.cpu_time) = (0, 0, Duration::ZERO);
     }
 
-    fn take_turn(&mut self, turn: impl FnOnce(SocketAddr) -> Result<LoadResult>) -> Result<()> {
+    fn measure_run(
+        &mut self,
+        run_load: impl FnOnce(SocketAddr) -> Result<LoadResult>,
+    ) -> Result<()> {
         let before = self.thread_time()?;
-        let result = turn(self.address)?;
-        self.busy += self.thread_time()?.saturating_sub(before);
+        let result = run_load(self.address)?;
+        self.cpu_time += self.thread_time()?.saturating_sub(before);
         self.calls += result.latencies.len();
         self.errors += result.errors;
         let added = self.latencies.add(&result.latencies);
@@ -198,16 +201,16 @@
     }
 
     fn thread_time(&self) -> Result<Duration> {
-        self.threads.map_or(Ok(Duration::ZERO), thread_time::of_threads)
+        self.threads.map_or(Ok(Duration::ZERO), thread_time::cpu_time_by_name)
     }
 
-    fn line(&self) -> String {
+    fn summary(&self) -> String {
         let quantile = |quantile: f64| self.latencies.value_at_quantile(quantile);
-        let cost = self.busy.as_secs_f64() * 1e6 / self.calls.max(1) as f64;
-        let by_core = if cost > 0.0 { 1e6 / cost } else { 0.0 };
+        let cpu_us = self.cpu_time.as_secs_f64() * 1e6 / self.calls.max(1) as f64;
+        let calls_per_core = if cpu_us > 0.0 { 1e6 / cpu_us } else { 0.0 };
         format!(
-            "way={} calls={} errors={} p50_us={} p99_us={} p999_us={} cpu_us_per_call={cost:.1} \
-             calls_per_s_per_core={by_core:.0}",
+            "way={} calls={} errors={} p50_us={} p99_us={} p999_us={} cpu_us_per_call={cpu_us:.1} \
+             calls_per_s_per_core={calls_per_core:.0}",
             self.name,
             self.calls,
             self.errors,
--- a/crates/pulley_bench/src/path/thread_time.rs
+++ b/crates/pulley_bench/src/path/thread_time.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// If `/proc` cannot be read.
-pub(super) fn of_threads(name: &str) -> Result<Duration> {
+pub(super) fn cpu_time_by_name(name: &str) -> Result<Duration> {
     let mut total = Duration::ZERO;
     for entry in fs::read_dir("/proc/self/task")? {
         let task = entry?.path();
--- a/crates/pulley_bench/src/recovery/audit_figures.rs
+++ b/crates/pulley_bench/src/recovery/audit_bench.rs
@@ -21,12 +21,12 @@
     let identity =
         ReplicaIdentity { host: "host-0".parse()?, member: MemberId(1), cluster: "bench".parse()? };
     let (mut storage, _) = LogStorage::open(folder.path(), &identity)?;
-    let begin = Instant::now();
+    let started = Instant::now();
     for number in 0..CHUNKS {
         let audit = vec![Arc::new(chunk(number)?)];
         storage.write(&[PersistBatch { audit, ..PersistBatch::default() }])?;
     }
-    let written = begin.elapsed();
+    let write_time = started.elapsed();
     let mut bytes = 0;
     for item in std::fs::read_dir(folder.path())? {
         bytes += item?.metadata()?.len();
@@ -38,15 +38,15 @@
         filter: AuditFilter { change_id, ..AuditFilter::default() },
         limit: 1,
     };
-    let begin = Instant::now();
+    let started = Instant::now();
     read_audit(&SystemFolder::open(folder.path())?, &read)
         .ok_or_else(|| eyre!("an audit chunk is missing"))?;
     println!(
         "part=audit records={} chunks={CHUNKS} bytes={bytes} write_ms_per_chunk={:.2} \
          search_ms={:.1}",
         CHUNKS * AUDIT_CHUNK as u64,
-        written.as_secs_f64() * 1e3 / CHUNKS as f64,
-        begin.elapsed().as_secs_f64() * 1e3,
+        write_time.as_secs_f64() * 1e3 / CHUNKS as f64,
+        started.elapsed().as_secs_f64() * 1e3,
     );
     Ok(())
 }
--- a/crates/pulley_bench/src/recovery/daemon_hosts.rs
+++ b/crates/pulley_bench/src/recovery/daemon_hosts.rs
@@ -15,10 +15,10 @@
 const LISTENERS: [&str; 4] = ["callers", "upstreams", "operators", "peers"];
 
 /// The time limit for a daemon to listen and for a cluster to accept changes.
-const START_LIMIT: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The time limit for a connection attempt and for each read of an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One daemon process, which is killed on drop.
 pub(crate) struct DaemonHost {
@@ -50,15 +50,15 @@
         for number in 0..size {
             hosts.launch(number, replicas)?;
         }
-        let begin = Instant::now();
-        while hosts.apply(0, "first", 0, sheet).ok().and_then(|a| accepted(&a)).is_none() {
-            if begin.elapsed() > START_LIMIT {
-                bail!("no change is accepted within {START_LIMIT:?}");
+        let started = Instant::now();
+        while hosts.apply(0, "first", 0, sheet).ok().and_then(|a| accepted_version(&a)).is_none() {
+            if started.elapsed() > START_TIMEOUT {
+                bail!("no change is accepted within {START_TIMEOUT:?}");
             }
             thread::sleep(Duration::from_millis(200));
         }
         for number in 0..size {
-            hosts.await_version(number, 1, START_LIMIT)?;
+            hosts.await_version(number, 1, START_TIMEOUT)?;
         }
         Ok(hosts)
     }
@@ -103,32 +103,39 @@
             "change_id": change_id, "actor": "bench", "expect": expect, "sheet": sheet,
         })
         .to_string();
-        let mut link = HttpLink::connect(self.hosts[host].addresses[2])?;
-        link.send("POST", "/v1/sheet", &body)
+        let mut connection = HttpConnection::connect(self.hosts[host].addresses[2])?;
+        connection.send("POST", "/v1/sheet", &body)
     }
 
     /// Waits until a host serves a version. Returns the number of health checks made.
-    pub(crate) fn await_version(&self, host: usize, version: u64, limit: Duration) -> Result<u32> {
-        let begin = Instant::now();
-        let mut asked = 0;
-        let mut link = HttpLink::connect(self.hosts[host].addresses[1])?;
-        while begin.elapsed() < limit {
-            asked += 1;
-            let health = link.send("GET", "/healthz", "")?;
-            let at = health.get("version").and_then(Value::as_u64).unwrap_or(0);
-            if at >= version && health.get("ready").and_then(Value::as_bool) == Some(true) {
-                return Ok(asked);
+    pub(crate) fn await_version(
+        &self,
+        host: usize,
+        version: u64,
+        timeout: Duration,
+    ) -> Result<u32> {
+        let started = Instant::now();
+        let mut checks = 0;
+        let mut connection = HttpConnection::connect(self.hosts[host].addresses[1])?;
+        while started.elapsed() < timeout {
+            checks += 1;
+            let health = connection.send("GET", "/healthz", "")?;
+            let served_version = health.get("version").and_then(Value::as_u64).unwrap_or(0);
+            if served_version >= version
+                && health.get("ready").and_then(Value::as_bool) == Some(true)
+            {
+                return Ok(checks);
             }
             thread::sleep(Duration::from_millis(2));
         }
-        bail!("host {host} does not serve version {version} within {limit:?}")
+        bail!("host {host} does not serve version {version} within {timeout:?}")
     }
 
     /// Returns the index of the host whose replica leads.
     pub(crate) fn leader(&self) -> Result<usize> {
         for (number, host) in self.hosts.iter().enumerate() {
-            let mut link = HttpLink::connect(host.addresses[2])?;
-            let status = link.send("GET", "/status", "")?;
+            let mut connection = HttpConnection::connect(host.addresses[2])?;
+            let status = connection.send("GET", "/status", "")?;
             if status.pointer("/replica/role").and_then(Value::as_str) == Some("leader") {
                 return Ok(number);
             }
@@ -157,20 +164,20 @@
 }
 
 /// Returns the version from an answer, if the change was accepted.
-pub(crate) fn accepted(answer: &Value) -> Option<u64> {
+pub(crate) fn accepted_version(answer: &Value) -> Option<u64> {
     answer.pointer("/accepted/version").and_then(Value::as_u64)
 }
 
 fn await_addresses(log_path: &Path) -> Result<[SocketAddr; 4]> {
-    let begin = Instant::now();
-    while begin.elapsed() < START_LIMIT {
+    let started = Instant::now();
+    while started.elapsed() < START_TIMEOUT {
         let log = fs::read_to_string(log_path)?;
         if let Some(addresses) = read_addresses(&log) {
             return Ok(addresses);
         }
         thread::sleep(Duration::from_millis(10));
     }
-    bail!("a daemon does not listen within {START_LIMIT:?}: {}", fs::read_to_string(log_path)?)
+    bail!("a daemon does not listen within {START_TIMEOUT:?}: {}", fs::read_to_string(log_path)?)
 }
 
 fn read_addresses(log: &str) -> Option<[SocketAddr; 4]> {
@@ -198,14 +205,14 @@
 }
 
 /// A persistent HTTP connection, reused for each request.
-struct HttpLink {
+struct HttpConnection {
     stream: TcpStream,
 }
 
-impl HttpLink {
+impl HttpConnection {
     fn connect(address: SocketAddr) -> Result<Self> {
-        let stream = TcpStream::connect_timeout(&address, ANSWER_LIMIT)?;
-        stream.set_read_timeout(Some(ANSWER_LIMIT))?;
+        let stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT)?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Self { stream })
     }
@@ -225,7 +232,7 @@
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
             raw.extend_from_slice(&chunk[..read]);
-            if let Some(body) = whole_body(&raw)? {
+            if let Some(body) = complete_body(&raw)? {
                 return Ok(serde_json::from_slice(body).unwrap_or(Value::Null));
             }
         }
@@ -233,7 +240,7 @@
 }
 
 /// Returns the body of an answer once it is complete.
-fn whole_body(raw: &[u8]) -> Result<Option<&[u8]>> {
+fn complete_body(raw: &[u8]) -> Result<Option<&[u8]>> {
     let Some(end) = raw.windows(4).position(|window| window == b"\r\n\r\n") else {
         return Ok(None);
     };
--- a/crates/pulley_bench/src/recovery/in_force_figures.rs
+++ b/crates/pulley_bench/src/recovery/in_force_bench.rs
@@ -7,12 +7,12 @@
 use eyre::{Result, bail, eyre};
 use hdrhistogram::Histogram;
 
-use super::daemon_hosts::{DaemonHosts, accepted};
+use super::daemon_hosts::{DaemonHosts, accepted_version};
 
 const CHANGES: u64 = 60;
 
 /// The time between two changes. At 2,100 changes a day it would be 41 s.
-const SPACING: Duration = Duration::from_millis(250);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The time limit for a version to be in force, after which the measurement fails.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(30);
@@ -33,7 +33,7 @@
         let mut hosts = DaemonHosts::start(program, folder.path(), *size, replicas, sheet)?;
         measure_idle(&hosts);
         measure_changes(&hosts, sheet)?;
-        measure_lost_leader(&mut hosts, sheet)?;
+        measure_leader_loss(&mut hosts, sheet)?;
     }
     Ok(())
 }
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// If the path of this program is unknown.
-pub(crate) fn daemon_beside() -> Result<PathBuf> {
+pub(crate) fn sibling_daemon() -> Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("pulleyd"))
 }
 
@@ -68,19 +68,19 @@
     let mut acceptance = Histogram::<u64>::new(3)?;
     let mut in_force = Histogram::<u64>::new(3)?;
     for version in 2..2 + CHANGES {
-        let through = usize::try_from(version)? % hosts.hosts.len();
-        let asked = Instant::now();
-        let answer = hosts.apply(through, &format!("change-{version}"), version - 1, sheet)?;
-        let answered = Instant::now();
-        if accepted(&answer) != Some(version) {
+        let target = usize::try_from(version)? % hosts.hosts.len();
+        let requested_at = Instant::now();
+        let answer = hosts.apply(target, &format!("change-{version}"), version - 1, sheet)?;
+        let answered_at = Instant::now();
+        if accepted_version(&answer) != Some(version) {
             bail!("change {version} was answered with {answer}");
         }
-        acceptance.record(micros(answered - asked))?;
-        let everyone: Vec<usize> = (0..hosts.hosts.len()).collect();
-        for time in watch(hosts, &everyone, version, answered)? {
+        acceptance.record(micros(answered_at - requested_at))?;
+        let all_hosts: Vec<usize> = (0..hosts.hosts.len()).collect();
+        for time in times_until_served(hosts, &all_hosts, version, answered_at)? {
             in_force.record(micros(time))?;
         }
-        thread::sleep(SPACING);
+        thread::sleep(CHANGE_INTERVAL);
     }
     println!(
         "part=in-force hosts={} load=changes count={CHANGES} accepted_p50_ms={:.1} \
@@ -96,40 +96,40 @@
 }
 
 /// Kills the leader and requests a change at once, resending it until it is accepted.
-fn measure_lost_leader(hosts: &mut DaemonHosts, sheet: &str) -> Result<()> {
+fn measure_leader_loss(hosts: &mut DaemonHosts, sheet: &str) -> Result<()> {
     let leader = hosts.leader()?;
     hosts.kill(leader)?;
-    let asked = Instant::now();
-    let left: Vec<usize> = (0..hosts.hosts.len()).filter(|host| *host != leader).collect();
+    let requested_at = Instant::now();
+    let remaining: Vec<usize> = (0..hosts.hosts.len()).filter(|host| *host != leader).collect();
     let base = 1 + CHANGES;
     let mut tries = 0;
     let version = loop {
-        let through = left[tries % left.len()];
+        let target = remaining[tries % remaining.len()];
         tries += 1;
-        let answer = hosts.apply(through, "after-the-loss", base, sheet);
-        if let Some(version) = answer.ok().as_ref().and_then(accepted) {
+        let answer = hosts.apply(target, "after-the-loss", base, sheet);
+        if let Some(version) = answer.ok().as_ref().and_then(accepted_version) {
             break version;
         }
-        if asked.elapsed() > IN_FORCE_LIMIT {
+        if requested_at.elapsed() > IN_FORCE_LIMIT {
             bail!("no change is accepted within {IN_FORCE_LIMIT:?} after the leader was lost");
         }
         thread::sleep(Duration::from_millis(50));
     };
-    let answered = Instant::now();
-    let times = watch(hosts, &left, version, answered)?;
+    let answered_at = Instant::now();
+    let times = times_until_served(hosts, &remaining, version, answered_at)?;
     let worst = times.into_iter().max().unwrap_or_default();
     println!(
         "part=in-force hosts={} load=leader-lost tries={tries} asked_to_accepted_ms={:.1} \
          accepted_to_in_force_max_ms={:.1}",
         hosts.hosts.len(),
-        millis(micros(answered - asked)),
+        millis(micros(answered_at - requested_at)),
         millis(micros(worst)),
     );
     Ok(())
 }
 
 /// Returns the time from `since` until each of the hosts served a version.
-fn watch(
+fn times_until_served(
     hosts: &DaemonHosts,
     watched: &[usize],
     version: u64,
--- a/crates/pulley_bench/src/recovery/memory_figures.rs
+++ b/crates/pulley_bench/src/recovery/memory_bench.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use super::stream_figures::row_plan;
+use super::stream_bench::row_plan;
 use pulley_core::version::{
     ChangeRequest, ClaimantId, ConfigVersion, KeyDigest, LedgerCommand, LedgerLimits, LogIndex,
     LogTime, PolicyPlan, ReplicaMachines, RequestDigest, SnapshotPlace, StoredChange,
@@ -16,12 +16,12 @@
 /// Measures the memory of claims and of changes, at several counts.
 pub(crate) fn measure_memory() {
     // Earlier state machines stay allocated, so that later ones cannot reuse their memory.
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     for claims in [100_000, 200_000, 400_000] {
-        kept.push(measure_claims(claims));
+        retained.push(measure_claims(claims));
     }
     for changes in [10_000, 200_000, TWO_YEARS] {
-        kept.extend(measure_changes(changes));
+        retained.extend(measure_changes(changes));
     }
 }
 
@@ -75,9 +75,9 @@
 
 fn report(what: &str, count: u64, before: u64, machines: &ReplicaMachines) {
     let after = resident_bytes();
-    let begin = Instant::now();
+    let started = Instant::now();
     let snapshot = machines.snapshot(SnapshotPlace::default());
-    let elapsed = begin.elapsed();
+    let elapsed = started.elapsed();
     let size = snapshot.map_or(0, |snapshot| snapshot.state.len());
     println!(
         "part=memory what={what} count={count} resident_bytes={} snapshot_bytes={size} \
--- a/crates/pulley_bench/src/recovery/mod.rs
+++ b/crates/pulley_bench/src/recovery/mod.rs
@@ -4,15 +4,15 @@
 //! Each replica runs on a thread with its real storage. The links are channels in memory, so that
 //! the results show the cost of the log and the disk, not of the network.
 
-mod audit_figures;
+mod audit_bench;
 mod daemon_hosts;
-mod in_force_figures;
-mod memory_figures;
+mod in_force_bench;
+mod memory_bench;
 mod replica_cluster;
-mod size_figures;
-mod start_figures;
-mod stream_figures;
-mod traffic_figures;
+mod size_bench;
+mod start_bench;
+mod stream_bench;
+mod traffic_bench;
 
 use eyre::{Result, bail};
 
@@ -69,29 +69,29 @@
     }
     let wanted = |part| parts.is_empty() || parts.contains(&part);
     if wanted("changes") {
-        stream_figures::measure_changes(&folder)?;
+        stream_bench::measure_changes(&folder)?;
     }
     if wanted("sizes") {
-        size_figures::measure_sizes()?;
+        size_bench::measure_sizes()?;
     }
     if wanted("claims") {
-        stream_figures::measure_claims(&folder)?;
+        stream_bench::measure_claims(&folder)?;
     }
     if wanted("start") {
-        start_figures::measure_starts(&folder)?;
+        start_bench::measure_starts(&folder)?;
     }
     if wanted("traffic") {
-        traffic_figures::measure_traffic(&folder)?;
+        traffic_bench::measure_traffic(&folder)?;
     }
     if wanted("in-force") {
-        let program = in_force_figures::daemon_beside()?;
-        in_force_figures::measure_in_force(&folder, &program, SHEET, &sizes)?;
+        let program = in_force_bench::sibling_daemon()?;
+        in_force_bench::measure_in_force(&folder, &program, SHEET, &sizes)?;
     }
     if wanted("audit") {
-        audit_figures::measure_audit(&folder)?;
+        audit_bench::measure_audit(&folder)?;
     }
     if wanted("memory") {
-        memory_figures::measure_memory();
+        memory_bench::measure_memory();
     }
     Ok(())
 }
--- a/crates/pulley_bench/src/recovery/replica_cluster.rs
+++ b/crates/pulley_bench/src/recovery/replica_cluster.rs
@@ -18,12 +18,12 @@
 use pulleyd::version::{LogStorage, StorageWorker};
 
 /// The time limit for the first election of a leader.
-const ELECTION_LIMIT: Duration = Duration::from_secs(20);
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An event for a replica's thread.
 enum ReplicaEvent {
     Input(DriverInput),
-    Lead(Sender<bool>),
+    IsLeader(Sender<bool>),
     Stop,
 }
 
@@ -53,7 +53,7 @@
             .map(|number| Ok((format!("host-{number}").parse()?, MemberId(number as u64 + 1))))
             .collect::<Result<_>>()?;
         let settings = ReplicaSettings { bootstrap: founders.clone(), ..settings.clone() };
-        let (answered, answers) = channel();
+        let (answer_sender, answers) = channel();
         let traffic = Arc::new(LinkTraffic::default());
         let (inboxes, queues): (Vec<_>, Vec<_>) = (0..size).map(|_| channel()).unzip();
         let mut threads = Vec::new();
@@ -66,16 +66,16 @@
             let seed = number as u64;
             let driver =
                 ReplicaDriver::new(identity, recovered, settings.clone(), clock.now(), seed);
-            let own: Sender<ReplicaEvent> = inboxes[number].clone();
+            let own_inbox: Sender<ReplicaEvent> = inboxes[number].clone();
             let worker = StorageWorker::start(storage, move |ticket, result| {
                 let input = DriverInput::Persisted { ticket, ok: result.is_ok() };
-                let _ = own.send(ReplicaEvent::Input(input));
+                let _ = own_inbox.send(ReplicaEvent::Input(input));
             })?;
             let peers =
                 founders.iter().map(|(host, _)| host.clone()).zip(inboxes.clone()).collect();
-            let answered = answered.clone();
+            let answer_sender = answer_sender.clone();
             let traffic = Arc::clone(&traffic);
-            let replica = RunningReplica { driver, worker, clock, peers, answered, traffic };
+            let replica = RunningReplica { driver, worker, clock, peers, answer_sender, traffic };
             threads.push(thread::spawn(move || replica.run(&queue)));
         }
         let mut cluster = Self { inboxes, threads, answers, leader: 0, traffic };
@@ -95,23 +95,23 @@
     }
 
     /// Waits up to 30 s for the next answer.
-    pub(crate) fn answer(&self) -> Result<TokenAnswer> {
+    pub(crate) fn next_answer(&self) -> Result<TokenAnswer> {
         Ok(self.answers.recv_timeout(Duration::from_secs(30))?)
     }
 
     fn find_leader(&self) -> Result<usize> {
         let clock = ProcessClock::start();
-        while clock.now().since(Moment::ZERO) < ELECTION_LIMIT {
+        while clock.now().since(Moment::ZERO) < ELECTION_TIMEOUT {
             for (number, inbox) in self.inboxes.iter().enumerate() {
-                let (reply, leads) = channel();
-                let _ = inbox.send(ReplicaEvent::Lead(reply));
-                if leads.recv_timeout(Duration::from_secs(1)).unwrap_or(false) {
+                let (reply, is_leader) = channel();
+                let _ = inbox.send(ReplicaEvent::IsLeader(reply));
+                if is_leader.recv_timeout(Duration::from_secs(1)).unwrap_or(false) {
                     return Ok(number);
                 }
             }
             thread::sleep(Duration::from_millis(20));
         }
-        bail!("no replica was elected within {ELECTION_LIMIT:?}")
+        bail!("no replica was elected within {ELECTION_TIMEOUT:?}")
     }
 }
 
@@ -132,7 +132,7 @@
     worker: StorageWorker,
     clock: ProcessClock,
     peers: Vec<(HostId, Sender<ReplicaEvent>)>,
-    answered: Sender<TokenAnswer>,
+    answer_sender: Sender<TokenAnswer>,
     traffic: Arc<LinkTraffic>,
 }
 
@@ -145,7 +145,7 @@
             let now = self.clock.now();
             let outputs = match event {
                 Ok(ReplicaEvent::Input(input)) => self.driver.handle(now, input),
-                Ok(ReplicaEvent::Lead(reply)) => {
+                Ok(ReplicaEvent::IsLeader(reply)) => {
                     let _ = reply.send(self.driver.node().is_leader());
                     continue;
                 }
@@ -153,15 +153,16 @@
                 Ok(ReplicaEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
             };
             // A due tick runs even while the queue always holds events, which would starve it otherwise.
-            let due = self.driver.next_wakeup() <= now;
-            let ticked = if due { self.driver.handle(now, DriverInput::Tick) } else { Vec::new() };
+            let is_due = self.driver.next_wakeup() <= now;
+            let ticked =
+                if is_due { self.driver.handle(now, DriverInput::Tick) } else { Vec::new() };
             for output in outputs.into_iter().chain(ticked) {
-                self.carry_out(output);
+                self.execute(output);
             }
         }
     }
 
-    fn carry_out(&mut self, output: DriverOutput) {
+    fn execute(&mut self, output: DriverOutput) {
         match output {
             DriverOutput::Send { to, body } => {
                 let from = self.driver.status().host;
@@ -179,7 +180,7 @@
                 }
             }
             DriverOutput::Answer { token, answer } => {
-                let _ = self.answered.send((token, answer));
+                let _ = self.answer_sender.send((token, answer));
             }
             // The measurements ignore versions and zones in force and request no old audit records.
             DriverOutput::InForce(_)
--- a/crates/pulley_bench/src/recovery/size_figures.rs
+++ b/crates/pulley_bench/src/recovery/size_bench.rs
@@ -12,8 +12,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::memory_figures::resident_bytes;
-use super::stream_figures::row_plan;
+use super::memory_bench::resident_bytes;
+use super::stream_bench::row_plan;
 
 /// How often each step is repeated. The median is reported.
 const REPEATS: usize = 9;
@@ -46,21 +46,22 @@
     request: &ChangeRequest,
 ) -> Result<ReplicaMachines> {
     let question = ReplicaQuestion::Apply(request.clone());
-    let (frame, send_ms) = repeated(|| forwarded(&question))?;
-    let (_, take_ms) = repeated(|| taken(&frame))?;
+    let (frame, send_ms) = time_repeats(|| forward_question(&question))?;
+    let (_, take_ms) = time_repeats(|| receive_frame(&frame))?;
     let current = base.configuration.current();
-    let (change, store_ms) = repeated(|| Ok(StoredChange::new(request.clone(), current)))?;
+    let (change, store_ms) = time_repeats(|| Ok(StoredChange::new(request.clone(), current)))?;
     let entry = LogEntry {
         index: LogIndex(request.given.map_or(0, |given| given.0)),
         term: Term(1),
         time: LogTime::default(),
         command: LogCommand::Change(Box::new(change.clone())),
     };
-    let (encoded, encode_ms) = repeated(|| Ok(postcard::to_stdvec(&entry)?))?;
-    let (_, decode_ms) = repeated(|| Ok(postcard::from_bytes::<LogEntry>(&encoded)?))?;
-    let (machine, apply_ms) = repeated(|| applied(&base.configuration, entry.index, &change))?;
+    let (encoded, encode_ms) = time_repeats(|| Ok(postcard::to_stdvec(&entry)?))?;
+    let (_, decode_ms) = time_repeats(|| Ok(postcard::from_bytes::<LogEntry>(&encoded)?))?;
+    let (machine, apply_ms) =
+        time_repeats(|| apply_change(&base.configuration, entry.index, &change))?;
     let after = ReplicaMachines { configuration: machine, ..ReplicaMachines::default() };
-    let (snapshot, snapshot_ms) = repeated(|| Ok(after.snapshot(SnapshotPlace::default())?))?;
+    let (snapshot, snapshot_ms) = time_repeats(|| Ok(after.snapshot(SnapshotPlace::default())?))?;
     println!(
         "part=sizes change={what} routes={count} sheet_bytes={} plan_bytes={} frame_bytes={} \
          entry_bytes={} entry_weight={} snapshot_bytes={} send_ms={send_ms:.1} \
@@ -82,22 +83,22 @@
     let plan = StoredPlan { version, sheet: request.sheet.clone(), plan: request.plan.clone() };
     let encoded = postcard::to_stdvec(&plan)?;
     let before = resident_bytes();
-    let held: Vec<StoredPlan> = (0..COPIES)
+    let copies: Vec<StoredPlan> = (0..COPIES)
         .map(|_| postcard::from_bytes(&encoded))
         .collect::<std::result::Result<_, _>>()?;
-    let bytes = resident_bytes().saturating_sub(before) / held.len() as u64;
+    let bytes = resident_bytes().saturating_sub(before) / copies.len() as u64;
     println!("part=plan-memory routes={} resident_bytes={bytes}", request.plan.kinds.len());
     Ok(())
 }
 
 /// Repeats a step. Returns its last result and the median of its times in milliseconds.
-fn repeated<T>(mut step: impl FnMut() -> Result<T>) -> Result<(T, f64)> {
+fn time_repeats<T>(mut step: impl FnMut() -> Result<T>) -> Result<(T, f64)> {
     let mut times = Vec::new();
     let mut last = None;
     for _ in 0..REPEATS {
-        let begin = Instant::now();
+        let started = Instant::now();
         last = Some(step()?);
-        times.push(begin.elapsed());
+        times.push(started.elapsed());
     }
     times.sort_unstable();
     let median = times.get(REPEATS / 2).map_or(0.0, Duration::as_secs_f64) * 1e3;
@@ -105,7 +106,7 @@
 }
 
 /// Returns the frame in which a host forwards a question to a replica.
-fn forwarded(question: &ReplicaQuestion) -> Result<Vec<u8>> {
+fn forward_question(question: &ReplicaQuestion) -> Result<Vec<u8>> {
     let mut router = QuestionRouter::new(host(0)?, 1);
     router.apply_replicas(vec![host(1)?]);
     let outputs = router.ask(Moment::ZERO, question.clone()).map(|(_, outputs)| outputs);
@@ -119,7 +120,7 @@
 }
 
 /// Receives a forwarded frame as the leader does and returns the number of outputs.
-fn taken(frame: &[u8]) -> Result<usize> {
+fn receive_frame(frame: &[u8]) -> Result<usize> {
     let mut router = QuestionRouter::new(host(1)?, 1);
     router.apply_replicas(vec![host(1)?]);
     let outputs = router.receive(Moment::ZERO, &host(0)?, frame);
@@ -130,7 +131,7 @@
     Ok(outputs.len())
 }
 
-fn applied(
+fn apply_change(
     base: &ConfigurationMachine,
     index: LogIndex,
     change: &StoredChange,
--- a/crates/pulley_bench/src/recovery/start_figures.rs
+++ b/crates/pulley_bench/src/recovery/start_bench.rs
@@ -10,7 +10,7 @@
 use pulleyd::version::LogStorage;
 
 use super::replica_cluster::ReplicaCluster;
-use super::stream_figures::{SHEET_BYTES, change};
+use super::stream_bench::{SHEET_BYTES, change};
 
 /// Measures the start of a replica for several log lengths, with and without snapshots.
 pub(crate) fn measure_starts(folder: &Path) -> Result<()> {
@@ -30,18 +30,18 @@
     let cluster = ReplicaCluster::start(1, folder.path(), &settings)?;
     for number in 0..changes {
         cluster.ask(number, change(number, SHEET_BYTES)?);
-        cluster.answer()?;
+        cluster.next_answer()?;
     }
     drop(cluster);
     let bytes = folder_size(&folder.path().join("replica-0"))?;
-    let begin = Instant::now();
+    let started = Instant::now();
     // Includes one election timeout: even a single replica has to be elected again before it leads
     // and knows which entries are committed.
     let cluster = ReplicaCluster::start(1, folder.path(), &settings)?;
-    let elected = begin.elapsed();
+    let elected = started.elapsed();
     cluster.ask(changes, change(changes, SHEET_BYTES)?);
-    let (_, answer) = cluster.answer()?;
-    let served = begin.elapsed();
+    let (_, answer) = cluster.next_answer()?;
+    let served = started.elapsed();
     let expected = format!("{:?}", ConfigVersion(changes + 1));
     if !format!("{answer:?}").contains(&expected) {
         bail!("the replica did not recover its last state: {answer:?}");
@@ -66,11 +66,11 @@
         let item = item?;
         std::fs::copy(item.path(), copy.path().join(item.file_name()))?;
     }
-    let begin = Instant::now();
+    let started = Instant::now();
     let (_storage, recovered) = LogStorage::open(copy.path(), &identity)?;
     let settings = ReplicaSettings::default();
     let driver = ReplicaDriver::new(identity, recovered, settings, Moment::ZERO, 1);
-    let elapsed = begin.elapsed().as_secs_f64() * 1e3;
+    let elapsed = started.elapsed().as_secs_f64() * 1e3;
     drop(driver);
     Ok(elapsed)
 }
--- a/crates/pulley_bench/src/recovery/stream_figures.rs
+++ b/crates/pulley_bench/src/recovery/stream_bench.rs
@@ -27,10 +27,10 @@
 /// Measures changes a second, for several numbers in flight.
 pub(crate) fn measure_changes(folder: &Path) -> Result<()> {
     for bytes in [SHEET_BYTES, SMALL_SHEET_BYTES] {
-        for (under_way, count) in [(1, 500), (16, 2_000), (64, 2_000)] {
-            let stream = QuestionStream { under_way, count };
-            let figures = stream.run(folder, |number| change(number, bytes), is_accepted)?;
-            figures.print(&format!("changes sheet_bytes={bytes}"), under_way);
+        for (in_flight, count) in [(1, 500), (16, 2_000), (64, 2_000)] {
+            let stream = QuestionStream { in_flight, count };
+            let result = stream.run(folder, |number| change(number, bytes), is_accepted)?;
+            result.print(&format!("changes sheet_bytes={bytes}"), in_flight);
         }
     }
     Ok(())
@@ -38,10 +38,10 @@
 
 /// Measures claims a second, for several numbers in flight.
 pub(crate) fn measure_claims(folder: &Path) -> Result<()> {
-    for (under_way, count) in [(1, 1_000), (16, 10_000), (256, 100_000), (2_048, 200_000)] {
-        let stream = QuestionStream { under_way, count };
-        let figures = stream.run(folder, claim, is_granted)?;
-        figures.print("claims", under_way);
+    for (in_flight, count) in [(1, 1_000), (16, 10_000), (256, 100_000), (2_048, 200_000)] {
+        let stream = QuestionStream { in_flight, count };
+        let result = stream.run(folder, claim, is_granted)?;
+        result.print("claims", in_flight);
     }
     Ok(())
 }
@@ -117,11 +117,11 @@
 
 /// A stream of questions with a fixed number in flight.
 struct QuestionStream {
-    under_way: u64,
+    in_flight: u64,
     count: u64,
 }
 
-struct StreamFigures {
+struct StreamResult {
     per_second: f64,
     latency: Histogram<u64>,
 }
@@ -131,39 +131,39 @@
         &self,
         folder: &Path,
         question: impl Fn(u64) -> Result<ReplicaQuestion>,
-        is_good: impl Fn(&ReplicaAnswer) -> bool,
-    ) -> Result<StreamFigures> {
+        is_expected: impl Fn(&ReplicaAnswer) -> bool,
+    ) -> Result<StreamResult> {
         let folder = tempfile::tempdir_in(folder)?;
         let ledger = LedgerLimits { capacity: 1_000_000, ..LedgerLimits::default() };
         let settings = ReplicaSettings::default().with_ledger(ledger);
         let cluster = ReplicaCluster::start(REPLICAS, folder.path(), &settings)?;
         let mut latency = Histogram::<u64>::new(3)?;
-        let mut asked = BTreeMap::new();
+        let mut pending = BTreeMap::new();
         let mut next = 0;
-        let begin = Instant::now();
+        let started = Instant::now();
         for _ in 0..self.count {
-            while next < self.count && asked.len() < self.under_way as usize {
-                asked.insert(next, Instant::now());
+            while next < self.count && pending.len() < self.in_flight as usize {
+                pending.insert(next, Instant::now());
                 cluster.ask(next, question(next)?);
                 next += 1;
             }
-            let (token, answer) = cluster.answer()?;
-            if !is_good(&answer) {
+            let (token, answer) = cluster.next_answer()?;
+            if !is_expected(&answer) {
                 bail!("question {token} was answered with {answer:?}");
             }
-            if let Some(at) = asked.remove(&token) {
-                latency.record(u64::try_from(at.elapsed().as_micros())?)?;
+            if let Some(asked_at) = pending.remove(&token) {
+                latency.record(u64::try_from(asked_at.elapsed().as_micros())?)?;
             }
         }
-        let per_second = self.count as f64 / begin.elapsed().as_secs_f64();
-        Ok(StreamFigures { per_second, latency })
+        let per_second = self.count as f64 / started.elapsed().as_secs_f64();
+        Ok(StreamResult { per_second, latency })
     }
 }
 
-impl StreamFigures {
-    fn print(&self, what: &str, under_way: u64) {
+impl StreamResult {
+    fn print(&self, what: &str, in_flight: u64) {
         println!(
-            "part={what} replicas={REPLICAS} under_way={under_way} count={} per_second={:.0} \
+            "part={what} replicas={REPLICAS} under_way={in_flight} count={} per_second={:.0} \
              p50_us={} p99_us={} max_us={}",
             self.latency.len(),
             self.per_second,
--- a/crates/pulley_bench/src/recovery/traffic_figures.rs
+++ b/crates/pulley_bench/src/recovery/traffic_bench.rs
@@ -9,7 +9,7 @@
 use pulley_core::version::ReplicaSettings;
 
 use super::replica_cluster::ReplicaCluster;
-use super::stream_figures::row_change;
+use super::stream_bench::row_change;
 
 const REPLICAS: usize = 5;
 const IDLE_TIME: Duration = Duration::from_secs(10);
@@ -20,7 +20,7 @@
     let folder = tempfile::tempdir_in(folder)?;
     let cluster = ReplicaCluster::start(REPLICAS, folder.path(), &ReplicaSettings::default())?;
     cluster.ask(0, row_change(0)?);
-    cluster.answer()?;
+    cluster.next_answer()?;
     let (messages, bytes) = sent(&cluster);
     thread::sleep(IDLE_TIME);
     let (idle_messages, idle_bytes) = sent(&cluster);
@@ -34,7 +34,7 @@
     let (_, before) = sent(&cluster);
     for number in 1..=CHANGES {
         cluster.ask(number, row_change(number)?);
-        cluster.answer()?;
+        cluster.next_answer()?;
     }
     let (_, after) = sent(&cluster);
     println!(
