--- a/crates/pulley_bench/src/capacity/change_cost.rs
+++ b/crates/pulley_bench/src/capacity/change_cost.rs
@@ -1,4 +1,4 @@
-//! What one change of a host or an upstream costs another host, by the size of the installation.
+//! Measures what the change of one host or upstream costs another host, by the number of hosts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,12 +18,12 @@
 
 use super::network::{address, announcement, record};
 
-/// How often each change is made.
+/// How often each kind of change is made.
 const CHANGES: u64 = 2_000;
-/// Pools, of which the upstreams belong to one each in turn.
+/// The number of pools. Upstreams are assigned to them round-robin.
 const POOLS: usize = 3;
 
-/// Prints a line for each number of hosts.
+/// Prints one line for each number of hosts.
 pub(super) fn run(arguments: &[String]) -> Result<()> {
     let mut options = Options::new();
     options.optopt("", "hosts", "numbers of hosts", "N,…");
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// What a host holds that follows the changes of others.
+/// The state of the host that is measured while others change.
 struct ObserverHost {
     members: MemberTable,
     registry: UpstreamRegistry,
@@ -68,54 +68,56 @@
             now: Moment::ZERO,
         };
         for host in 1..hosts {
-            observer.hear_of(host, 1);
+            observer.receive_ping(host, 1);
         }
         for upstream in 0..upstreams {
-            let announced = named(upstream, 1, UpstreamPhase::Ready)?;
+            let announced = upstream_announcement(upstream, 1, UpstreamPhase::Ready)?;
             observer.registry.announce(observer.now, announced)?;
         }
-        observer.follow();
+        observer.refresh_view();
         Ok(observer)
     }
 
-    /// The time that an upstream's change takes, from its announcement to the schedulers.
+    /// Returns the nanoseconds from an upstream's announcement of a change until the schedulers have
+    /// applied it.
     fn upstream_cost(&mut self) -> Result<u128> {
-        let begin = Instant::now();
+        let started = Instant::now();
         for change in 0..CHANGES {
             self.now = self.now + Duration::from_millis(50);
-            let place = usize::try_from(change).unwrap_or(0) * 7 % self.upstreams;
-            // Each time it is announced as a later start, which drains or takes work again.
-            let start = 2 + change;
+            let index = usize::try_from(change).unwrap_or(0) * 7 % self.upstreams;
+            // A new incarnation each time, in turn draining and ready.
+            let incarnation = 2 + change;
             let phase =
                 if change % 2 == 0 { UpstreamPhase::Draining } else { UpstreamPhase::Ready };
-            self.registry.announce(self.now, named(place, start, phase)?)?;
-            self.follow();
+            self.registry.announce(self.now, upstream_announcement(index, incarnation, phase)?)?;
+            self.refresh_view();
         }
-        Ok(begin.elapsed().as_nanos() / u128::from(CHANGES))
+        Ok(started.elapsed().as_nanos() / u128::from(CHANGES))
     }
 
-    /// The time that a host's restart takes, from its message to the schedulers.
+    /// Returns the nanoseconds from the first message of a restarted host until the schedulers have
+    /// applied it.
     fn host_cost(&mut self) -> Result<u128> {
-        let mut spent = Duration::ZERO;
+        let mut total_time = Duration::ZERO;
         for change in 0..CHANGES {
             self.now = self.now + Duration::from_millis(50);
             let host = 1 + usize::try_from(change)? * 7 % (self.hosts - 1);
-            let message = message_of(host, 2 + change);
-            let begin = Instant::now();
+            let message = startup_ping(host, 2 + change);
+            let started = Instant::now();
             self.members.receive(self.now, address(host), &message);
-            self.follow();
-            spent += begin.elapsed();
+            self.refresh_view();
+            total_time += started.elapsed();
         }
-        Ok(spent.as_nanos() / u128::from(CHANGES))
+        Ok(total_time.as_nanos() / u128::from(CHANGES))
     }
 
-    fn hear_of(&mut self, host: usize, start: u64) {
-        let message = message_of(host, start);
+    fn receive_ping(&mut self, host: usize, incarnation: u64) {
+        let message = startup_ping(host, incarnation);
         self.members.receive(self.now, address(host), &message);
     }
 
-    /// Does what a host does after a change.
-    fn follow(&mut self) {
+    /// Builds a new view and applies it to the schedulers, as a host does after a change.
+    fn refresh_view(&mut self) {
         self.members.take_moved();
         let live = self.members.live_entries();
         let view = RunningView {
@@ -129,24 +131,28 @@
     }
 }
 
-/// What a host that has just started says of itself in a ping.
-fn message_of(host: usize, start: u64) -> bytes::Bytes {
+/// Returns the ping with which a host that has just started announces itself.
+fn startup_ping(host: usize, incarnation: u64) -> bytes::Bytes {
     let mut observer = MemberTable::new(record(0, 0), MemberSettings::default(), 1);
     observer.seed(address(host));
     let greeting = observer.tick(Moment::ZERO).remove(0).body;
-    let mut table = MemberTable::new(record(host, start), MemberSettings::default(), 1);
+    let mut table = MemberTable::new(record(host, incarnation), MemberSettings::default(), 1);
     table.receive(Moment::ZERO, address(0), &greeting);
-    // What it knows goes first, then the ping.
+    // The first message carries the known members, the second is the ping.
     table.tick(Moment::ZERO).remove(1).body
 }
 
-fn named(upstream: usize, start: u64, phase: UpstreamPhase) -> Result<Announcement> {
+fn upstream_announcement(
+    upstream: usize,
+    incarnation: u64,
+    phase: UpstreamPhase,
+) -> Result<Announcement> {
     let pool = pool(upstream % POOLS)?;
-    Ok(Announcement { pool, phase, ..announcement(upstream, start, start) })
+    Ok(Announcement { pool, phase, ..announcement(upstream, incarnation, incarnation) })
 }
 
-fn pool(place: usize) -> Result<PoolName> {
-    Ok(format!("pool{place}").parse()?)
+fn pool(index: usize) -> Result<PoolName> {
+    Ok(format!("pool{index}").parse()?)
 }
 
 fn plan() -> Result<PolicyPlan> {
@@ -154,13 +160,13 @@
     Ok(PolicyPlan { kinds: kinds?, ..PolicyPlan::default() })
 }
 
-fn kind(place: usize) -> Result<KindPlan> {
+fn kind(index: usize) -> Result<KindPlan> {
     Ok(KindPlan {
-        pool: pool(place)?,
+        pool: pool(index)?,
         service: "desk".parse()?,
-        kind: format!("kind{place}").parse()?,
+        kind: format!("kind{index}").parse()?,
         method: MethodMatch::Any,
-        path_prefix: format!("/{place}").into(),
+        path_prefix: format!("/{index}").into(),
         priority: RequestPriority(0),
         share: ShareFraction::WHOLE,
         reserved_slots: SlotCount(0),
--- a/crates/pulley_bench/src/capacity/message_cost.rs
+++ b/crates/pulley_bench/src/capacity/message_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of one message: sealed datagrams over a socket, announcements, heartbeats.
+//! Measures the time of one message: a sealed datagram over a socket and an announcement.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,16 +13,16 @@
 
 use super::network::announcement;
 
-/// The key of the two ends.
+/// The key shared by both ends.
 const KEY: &str = "a-key-for-measurements-0123456789abcdef";
-/// How many datagrams are under way at once: fewer than a socket's buffer holds.
+/// The number of datagrams in flight at once: fewer than a socket's buffer holds.
 const BURST: u32 = 32;
-/// How many datagrams are sent for each size.
+/// The number of datagrams sent for each size.
 const DATAGRAMS: u32 = 64_000;
-/// How many announcements are taken in.
+/// The number of announcements that are processed.
 const ANNOUNCEMENTS: u64 = 1_000_000;
 
-/// Runs the measurements.
+/// Runs both measurements.
 pub(super) fn run() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     for size in [50, 500, 1_200] {
@@ -32,7 +32,7 @@
     Ok(())
 }
 
-/// Processor time of the whole process so far.
+/// Returns the processor time that the whole process has used so far.
 fn processor_time() -> Result<Duration> {
     let usage = getrusage(UsageWho::RUSAGE_SELF)?;
     let micros = (usage.user_time() + usage.system_time()).num_microseconds();
@@ -40,23 +40,23 @@
 }
 
 async fn time_datagrams(size: usize) -> Result<()> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let seal = |host: &str| -> Result<DatagramSeal> {
         Ok(DatagramSeal::new(host.parse()?, "capacity".parse()?, KeyRing::from_text(KEY)?))
     };
     let (inbound, mut received) = mpsc::channel(256);
-    let (unused, _kept) = mpsc::channel(1);
-    let far = PeerDatagrams::bind(any, seal("far-host")?, inbound).await?;
-    let near = PeerDatagrams::bind(any, seal("near-host")?, unused).await?;
-    let to = far.local_address()?;
+    let (unused_sender, _unused_receiver) = mpsc::channel(1);
+    let receiver = PeerDatagrams::bind(any_port, seal("far-host")?, inbound).await?;
+    let sender = PeerDatagrams::bind(any_port, seal("near-host")?, unused_sender).await?;
+    let to = receiver.local_address()?;
     let body = vec![7; size];
     let before = processor_time()?;
     let mut arrived = 0_u32;
     for _ in 0..DATAGRAMS / BURST {
-        let sent = (0..BURST).filter(|_| near.send(to, FrameClass::Counts, &body)).count();
+        let sent = (0..BURST).filter(|_| sender.send(to, FrameClass::Counts, &body)).count();
         for _ in 0..sent {
-            let next = tokio::time::timeout(Duration::from_secs(1), received.recv()).await;
-            arrived += u32::from(matches!(next, Ok(Some(_))));
+            let datagram = tokio::time::timeout(Duration::from_secs(1), received.recv()).await;
+            arrived += u32::from(matches!(datagram, Ok(Some(_))));
         }
     }
     let spent = processor_time()? - before;
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Renewals of 1,200 upstreams at one host, as fast as they go.
+/// Measures announcements of 1,200 upstreams, renewed at one host without pause.
 fn time_announcements() {
     const UPSTREAMS: u64 = 1_200;
     let mut registry = UpstreamRegistry::new();
@@ -77,9 +77,9 @@
         let upstream = usize::try_from(number % UPSTREAMS).unwrap_or(0);
         let announcement = announcement(upstream, 1, number / UPSTREAMS + 1);
         let now = Moment::from_micros(number);
-        let begun = Instant::now();
+        let started = Instant::now();
         let _ = registry.announce(now, announcement);
-        spent += begun.elapsed();
+        spent += started.elapsed();
     }
     println!(
         "scenario=announcement upstreams={UPSTREAMS} count={ANNOUNCEMENTS} wall_us={:.3}",
--- a/crates/pulley_bench/src/capacity/process_cost.rs
+++ b/crates/pulley_bench/src/capacity/process_cost.rs
@@ -1,4 +1,4 @@
-//! What whole daemons use at several sizes, and slopes fitted to it.
+//! Measures the resource use of whole daemons at several sizes and fits slopes to it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,12 +9,12 @@
 use serde_json::Value;
 use tokio::task::JoinSet;
 
-use super::daemon_group::{DaemonGroup, ProcessUse, http_caller, request};
+use super::daemon_group::{DaemonGroup, ProcessUsage, http_caller, request};
 use super::linear_fit::LinearFit;
 
-/// How long the hosts have to settle after a change of size.
-const SETTLE: Duration = Duration::from_secs(4);
-/// What is measured: processor time in percent of a core, resident memory, and what is sent.
+/// The time in which the hosts settle after a change of size.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// The measures: processor time in percent of a core, resident memory, and bytes and messages sent.
 const MEASURES: [&str; 4] = ["cpu_percent", "rss_mb", "sent_bytes_s", "messages_s"];
 
 struct ProcessSettings {
@@ -26,13 +26,14 @@
     sheet: String,
 }
 
-/// One measured size.
+/// The results for one combination of hosts, upstreams and changes.
 struct SizePoint {
     hosts: usize,
     upstreams: usize,
     changes_s: f64,
-    /// Mean and largest over the hosts of each of [`MEASURES`].
+    /// The mean of each of [`MEASURES`] over the hosts.
     mean: [f64; 4],
+    /// The maximum of each of [`MEASURES`] over the hosts.
     largest: [f64; 4],
 }
 
@@ -44,7 +45,7 @@
     }
     let matches = options.parse(arguments)?;
     let text =
-        |name: &str, otherwise: &str| matches.opt_str(name).unwrap_or_else(|| otherwise.to_owned());
+        |name: &str, default: &str| matches.opt_str(name).unwrap_or_else(|| default.to_owned());
     let sheet_path = text("sheet", "examples/kolkhi.csv");
     let settings = ProcessSettings {
         daemon: text("daemon", "target/release/pulleyd").into(),
@@ -76,7 +77,7 @@
                 status["upstreams"].as_u64().is_some_and(|known| known >= *upstreams as u64)
             };
             group.await_status(known).await?;
-            tokio::time::sleep(SETTLE).await;
+            tokio::time::sleep(SETTLE_TIME).await;
             points.push(measure(&group, settings, *upstreams, None).await?);
             if Some(upstreams) == settings.upstreams.last() {
                 points.push(measure(&group, settings, *upstreams, Some(&mut version)).await?);
@@ -92,38 +93,38 @@
     status["ready"] == true && live == hosts
 }
 
-/// Measures one window, with changes spread over it if a version is given.
+/// Measures one time window. If a version is given, changes are spread evenly over the window.
 async fn measure(
     group: &DaemonGroup,
     settings: &ProcessSettings,
     upstreams: usize,
     version: Option<&mut u64>,
 ) -> Result<SizePoint> {
-    let before = group.used().await?;
-    let began = std::time::Instant::now();
+    let before = group.usage().await?;
+    let started = std::time::Instant::now();
     let window = Duration::from_secs(settings.seconds);
     let mut changes_s = 0.0;
     if let Some(version) = version {
         for change in 0..settings.changes {
             let name = format!("change-{upstreams}-{change}");
-            // The same sheet again is a change like any other: a new version for every host.
+            // Applying the same sheet again still makes a new version for every host.
             *version = group.apply(&name, *version, &settings.sheet).await?;
             let next = window / u32::try_from(settings.changes)? * u32::try_from(change + 1)?;
-            tokio::time::sleep(next.saturating_sub(began.elapsed())).await;
+            tokio::time::sleep(next.saturating_sub(started.elapsed())).await;
         }
-        changes_s = settings.changes as f64 / began.elapsed().as_secs_f64();
+        changes_s = settings.changes as f64 / started.elapsed().as_secs_f64();
     }
-    tokio::time::sleep(window.saturating_sub(began.elapsed())).await;
-    let seconds = began.elapsed().as_secs_f64();
-    let after = group.used().await?;
+    tokio::time::sleep(window.saturating_sub(started.elapsed())).await;
+    let seconds = started.elapsed().as_secs_f64();
+    let after = group.usage().await?;
     let point = summarize(&before, &after, seconds, (upstreams, changes_s));
     report(&point);
     Ok(point)
 }
 
 fn summarize(
-    before: &[ProcessUse],
-    after: &[ProcessUse],
+    before: &[ProcessUsage],
+    after: &[ProcessUsage],
     seconds: f64,
     (upstreams, changes_s): (usize, f64),
 ) -> SizePoint {
@@ -161,10 +162,10 @@
     );
 }
 
-/// Fits a base and slopes for a host, an upstream and a change a second.
+/// Fits each measure to a base and to slopes per host, per upstream and per change a second.
 fn report_fits(points: &[SizePoint]) {
     for (index, name) in MEASURES.iter().enumerate() {
-        for (which, values) in [("mean", 0), ("max", 1)] {
+        for (statistic, values) in [("mean", 0), ("max", 1)] {
             let rows: Vec<(Vec<f64>, f64)> = points
                 .iter()
                 .map(|point| {
@@ -174,25 +175,25 @@
                 })
                 .collect();
             let Some(fit) = LinearFit::new(&rows) else {
-                println!("scenario=fit of={name} over={which} fit=none");
+                println!("scenario=fit of={name} over={statistic} fit=none");
                 continue;
             };
             println!(
-                "scenario=fit of={name} over={which} points={} base={:.4} a_host={:.5} \
+                "scenario=fit of={name} over={statistic} points={} base={:.4} a_host={:.5} \
                  an_upstream={:.6} a_change_s={:.4} rms_error={:.4} worst_error={:.4}",
                 rows.len(),
                 fit.slopes[0],
                 fit.slopes[1],
                 fit.slopes[2],
                 fit.slopes[3],
-                fit.error,
-                fit.worst,
+                fit.rms_error,
+                fit.worst_error,
             );
         }
     }
 }
 
-/// Stand-in upstreams that announce themselves each second, each time to the next host.
+/// Starts stand-in upstreams that announce themselves each second, each time to the next host.
 fn announce_all(hosts: &[SocketAddr], count: usize) -> JoinSet<()> {
     let mut announcers = JoinSet::new();
     let caller = http_caller();
@@ -202,17 +203,17 @@
             let start = Duration::from_millis(upstream as u64 * 997 % 1_000);
             tokio::time::sleep(start).await;
             let mut ticker = tokio::time::interval(Duration::from_secs(1));
-            // Each run of announcers goes on where the last one stopped.
+            // Starts at the present time, so that sequences continue above those of earlier announcers.
             let mut sequence = std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .map_or(1, |elapsed| elapsed.as_secs());
             loop {
                 ticker.tick().await;
                 sequence += 1;
-                let place = usize::try_from(sequence).unwrap_or(0) + upstream * 7;
+                let index = usize::try_from(sequence).unwrap_or(0) + upstream * 7;
                 let body = announcement(upstream, sequence);
-                let to = hosts[place % hosts.len()];
-                // A lost announcement is followed by the next one.
+                let to = hosts[index % hosts.len()];
+                // The next announcement makes up for a lost one.
                 let _ = request(&caller, to, ("POST", "/v1/announce"), &body).await;
             }
         });
--- a/crates/pulley_bench/src/path/idle_memory.rs
+++ b/crates/pulley_bench/src/path/idle_memory.rs
@@ -1,4 +1,4 @@
-//! What an idle caller's connection costs in memory.
+//! Measures the memory of an idle connection of a caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 
 const REQUEST: &[u8] = b"GET /cover/lookup HTTP/1.1\r\nHost: bench\r\n\r\n";
 
-/// How long memory is left to settle before it is read.
-const SETTLING: Duration = Duration::from_millis(500);
+/// The time in which the memory settles before it is read.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Opens connections that have each had one answer, and reads the resident memory before and
-/// after. Both ends are in this process; the callers' ends are bare sockets.
+/// Opens connections, each of which has received one answer, and reads the resident memory before
+/// and after. Both ends are in this process; the callers' ends are bare sockets.
 pub(super) fn measure(callers: &Runtime, address: SocketAddr, count: usize) -> Result<()> {
     if count == 0 {
         return Ok(());
     }
     callers.block_on(async {
         let before = resident_bytes()?;
-        let mut idle = Vec::with_capacity(count);
+        let mut streams = Vec::with_capacity(count);
         for _ in 0..count {
-            idle.push(answered_connection(address).await?);
+            streams.push(answered_connection(address).await?);
         }
-        tokio::time::sleep(SETTLING).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let after = resident_bytes()?;
-        let each = after.saturating_sub(before) / count as u64;
+        let connection_bytes = after.saturating_sub(before) / count as u64;
         println!(
             "scenario=path-idle connections={count} resident_before={before} \
-             resident_after={after} bytes_per_connection={each}"
+             resident_after={after} bytes_per_connection={connection_bytes}"
         );
         Ok(())
     })
@@ -45,7 +45,7 @@
     let mut length = 0;
     while !answer[..length].ends_with(&[b'a'; 256]) {
         let read = stream.read(&mut answer[length..]).await?;
-        ensure!(read > 0, "the connection was refused");
+        ensure!(read > 0, "the connection was closed before the answer was complete");
         length += read;
     }
     Ok(stream)
--- a/crates/pulley_bench/src/recovery/audit_figures.rs
+++ b/crates/pulley_bench/src/recovery/audit_bench.rs
@@ -1,4 +1,4 @@
-//! How long a question about old audit records takes.
+//! Measures how long a search through old audit records takes.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 };
 use pulleyd::version::{LogStorage, SystemFolder, read_audit};
 
-/// About 73 days at 2,100 changes a day; a tenth of two years.
+/// The number of chunks written: about 73 days at 2,100 changes a day, a tenth of two years.
 const CHUNKS: u64 = 600;
 
-/// Writes chunks and looks through all of them for a change that is not there.
+/// Writes audit chunks and searches all of them for a change that none contains.
 pub(crate) fn measure_audit(folder: &Path) -> Result<()> {
     let folder = tempfile::tempdir_in(folder)?;
     let identity =
         ReplicaIdentity { host: "host-0".parse()?, member: MemberId(1), cluster: "bench".parse()? };
     let (mut storage, _) = LogStorage::open(folder.path(), &identity)?;
-    let begin = Instant::now();
+    let started = Instant::now();
     for number in 0..CHUNKS {
         let audit = vec![Arc::new(chunk(number)?)];
         storage.write(&[PersistBatch { audit, ..PersistBatch::default() }])?;
     }
-    let written = begin.elapsed();
+    let write_time = started.elapsed();
     let mut bytes = 0;
     for item in std::fs::read_dir(folder.path())? {
         bytes += item?.metadata()?.len();
@@ -38,14 +38,15 @@
         filter: AuditFilter { change_id, ..AuditFilter::default() },
         limit: 1,
     };
-    let begin = Instant::now();
-    read_audit(&SystemFolder::open(folder.path())?, &read).ok_or_else(|| eyre!("a gap"))?;
+    let started = Instant::now();
+    read_audit(&SystemFolder::open(folder.path())?, &read)
+        .ok_or_else(|| eyre!("an audit chunk is missing"))?;
     println!(
         "part=audit records={} chunks={CHUNKS} bytes={bytes} write_ms_per_chunk={:.2} \
          search_ms={:.1}",
         CHUNKS * AUDIT_CHUNK as u64,
-        written.as_secs_f64() * 1e3 / CHUNKS as f64,
-        begin.elapsed().as_secs_f64() * 1e3,
+        write_time.as_secs_f64() * 1e3 / CHUNKS as f64,
+        started.elapsed().as_secs_f64() * 1e3,
     );
     Ok(())
 }
--- a/crates/pulley_bench/src/recovery/mod.rs
+++ b/crates/pulley_bench/src/recovery/mod.rs
@@ -1,21 +1,22 @@
-//! How fast the replicated log takes changes and claims, and how fast a replica comes back.
+//! Measures how fast the replicated log processes changes and claims, and how fast a replica
+//! recovers after a restart.
 //!
-//! Replicas run on a thread each with their real storage; their links are channels in memory, so
-//! that the figures show the log and the disk, not the network.
+//! Each replica runs on a thread with its real storage. The links are channels in memory, so that
+//! the results show the cost of the log and the disk, not of the network.
 
-mod audit_figures;
+mod audit_bench;
 mod daemon_hosts;
-mod in_force_figures;
-mod memory_figures;
+mod in_force_bench;
+mod memory_bench;
 mod replica_cluster;
-mod size_figures;
-mod start_figures;
-mod stream_figures;
-mod traffic_figures;
+mod size_bench;
+mod start_bench;
+mod stream_bench;
+mod traffic_bench;
 
 use eyre::{Result, bail};
 
-/// A valid sheet.
+/// A valid sheet to apply.
 const SHEET: &str = include_str!("../../../../examples/kolkhi.csv");
 
 const USAGE: &str = "usage: pulley_bench recovery [--folder DIR] [--hosts N] [PART...]
@@ -33,10 +34,10 @@
 DIR holds the replicas' data folders; its disk decides the figures. N is the number of hosts for
 in-force; 3, 15 and 29 if it is not given.";
 
-/// Runs the parts that are named.
+/// Runs the parts named in the arguments, or all parts if none is named.
 ///
 /// # Errors
-/// If an argument is unknown or a data folder cannot be written.
+/// If an argument is unknown, a data folder cannot be written or a measurement fails.
 pub(crate) fn run(arguments: &[String]) -> Result<()> {
     let mut folder = std::env::temp_dir();
     let mut sizes = vec![3, 15, 29];
@@ -63,34 +64,34 @@
             ) => {
                 parts.push(argument.as_str());
             }
-            _ => bail!("cannot use {argument}\n{USAGE}"),
+            _ => bail!("unknown or incomplete argument {argument}\n{USAGE}"),
         }
     }
     let wanted = |part| parts.is_empty() || parts.contains(&part);
     if wanted("changes") {
-        stream_figures::measure_changes(&folder)?;
+        stream_bench::measure_changes(&folder)?;
     }
     if wanted("sizes") {
-        size_figures::measure_sizes()?;
+        size_bench::measure_sizes()?;
     }
     if wanted("claims") {
-        stream_figures::measure_claims(&folder)?;
+        stream_bench::measure_claims(&folder)?;
     }
     if wanted("start") {
-        start_figures::measure_starts(&folder)?;
+        start_bench::measure_starts(&folder)?;
     }
     if wanted("traffic") {
-        traffic_figures::measure_traffic(&folder)?;
+        traffic_bench::measure_traffic(&folder)?;
     }
     if wanted("in-force") {
-        let program = in_force_figures::daemon_beside()?;
-        in_force_figures::measure_in_force(&folder, &program, SHEET, &sizes)?;
+        let program = in_force_bench::sibling_daemon()?;
+        in_force_bench::measure_in_force(&folder, &program, SHEET, &sizes)?;
     }
     if wanted("audit") {
-        audit_figures::measure_audit(&folder)?;
+        audit_bench::measure_audit(&folder)?;
     }
     if wanted("memory") {
-        memory_figures::measure_memory();
+        memory_bench::measure_memory();
     }
     Ok(())
 }
--- a/crates/pulley_bench/src/recovery/size_figures.rs
+++ b/crates/pulley_bench/src/recovery/size_bench.rs
@@ -1,4 +1,4 @@
-//! What one change costs, by how many routes the configuration has.
+//! Measures the cost of one change, by the number of routes in the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -12,19 +12,19 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::memory_figures::resident_bytes;
-use super::stream_figures::row_plan;
+use super::memory_bench::resident_bytes;
+use super::stream_bench::row_plan;
 
-/// How often a step is repeated; the median counts.
+/// How often each step is repeated. The median is reported.
 const REPEATS: usize = 9;
 
-/// Copies of a configuration that are held at once, to tell what one takes.
+/// The number of copies of a configuration over which its memory is averaged.
 const COPIES: usize = 8;
 
-/// Routes of the configurations measured.
+/// The numbers of routes in the measured configurations.
 const SIZES: [usize; 4] = [140, 1_400, 5_000, 14_000];
 
-/// Measures a first configuration of each size, and a change of one weight on top of it.
+/// Measures a first configuration of each size and then a change of one weight in it.
 pub(crate) fn measure_sizes() -> Result<()> {
     for count in SIZES {
         let mut rows = routes(count)?;
@@ -46,21 +46,22 @@
     request: &ChangeRequest,
 ) -> Result<ReplicaMachines> {
     let question = ReplicaQuestion::Apply(request.clone());
-    let (frame, send_ms) = repeated(|| forwarded(&question))?;
-    let (_, take_ms) = repeated(|| taken(&frame))?;
+    let (frame, send_ms) = time_repeats(|| forward_question(&question))?;
+    let (_, take_ms) = time_repeats(|| receive_frame(&frame))?;
     let current = base.configuration.current();
-    let (change, store_ms) = repeated(|| Ok(StoredChange::new(request.clone(), current)))?;
+    let (change, store_ms) = time_repeats(|| Ok(StoredChange::new(request.clone(), current)))?;
     let entry = LogEntry {
         index: LogIndex(request.given.map_or(0, |given| given.0)),
         term: Term(1),
         time: LogTime::default(),
         command: LogCommand::Change(Box::new(change.clone())),
     };
-    let (encoded, encode_ms) = repeated(|| Ok(postcard::to_stdvec(&entry)?))?;
-    let (_, decode_ms) = repeated(|| Ok(postcard::from_bytes::<LogEntry>(&encoded)?))?;
-    let (machine, apply_ms) = repeated(|| applied(&base.configuration, entry.index, &change))?;
+    let (encoded, encode_ms) = time_repeats(|| Ok(postcard::to_stdvec(&entry)?))?;
+    let (_, decode_ms) = time_repeats(|| Ok(postcard::from_bytes::<LogEntry>(&encoded)?))?;
+    let (machine, apply_ms) =
+        time_repeats(|| apply_change(&base.configuration, entry.index, &change))?;
     let after = ReplicaMachines { configuration: machine, ..ReplicaMachines::default() };
-    let (snapshot, snapshot_ms) = repeated(|| Ok(after.snapshot(SnapshotPlace::default())?))?;
+    let (snapshot, snapshot_ms) = time_repeats(|| Ok(after.snapshot(SnapshotPlace::default())?))?;
     println!(
         "part=sizes change={what} routes={count} sheet_bytes={} plan_bytes={} frame_bytes={} \
          entry_bytes={} entry_weight={} snapshot_bytes={} send_ms={send_ms:.1} \
@@ -76,62 +77,71 @@
     Ok(after)
 }
 
-/// Measures what a configuration in force takes in memory, as read from a snapshot.
+/// Measures the memory of a configuration in force, decoded as from a snapshot.
 fn measure_memory(request: &ChangeRequest) -> Result<()> {
     let version = ConfigVersion(1);
     let plan = StoredPlan { version, sheet: request.sheet.clone(), plan: request.plan.clone() };
     let encoded = postcard::to_stdvec(&plan)?;
     let before = resident_bytes();
-    let held: Vec<StoredPlan> = (0..COPIES)
+    let copies: Vec<StoredPlan> = (0..COPIES)
         .map(|_| postcard::from_bytes(&encoded))
         .collect::<std::result::Result<_, _>>()?;
-    let bytes = resident_bytes().saturating_sub(before) / held.len() as u64;
+    let bytes = resident_bytes().saturating_sub(before) / copies.len() as u64;
     println!("part=plan-memory routes={} resident_bytes={bytes}", request.plan.kinds.len());
     Ok(())
 }
 
-/// The last outcome of a step and the median of its times, in milliseconds.
-fn repeated<T>(mut step: impl FnMut() -> Result<T>) -> Result<(T, f64)> {
+/// Repeats a step. Returns its last result and the median of its times in milliseconds.
+fn time_repeats<T>(mut step: impl FnMut() -> Result<T>) -> Result<(T, f64)> {
     let mut times = Vec::new();
     let mut last = None;
     for _ in 0..REPEATS {
-        let begin = Instant::now();
+        let started = Instant::now();
         last = Some(step()?);
-        times.push(begin.elapsed());
+        times.push(started.elapsed());
     }
     times.sort_unstable();
     let median = times.get(REPEATS / 2).map_or(0.0, Duration::as_secs_f64) * 1e3;
-    Ok((last.ok_or_else(|| eyre!("no repeats"))?, median))
+    Ok((last.ok_or_else(|| eyre!("the step was not run"))?, median))
 }
 
-/// What a host sends to the leader.
-fn forwarded(question: &ReplicaQuestion) -> Result<Vec<u8>> {
+/// Returns the frame in which a host forwards a question to a replica.
+fn forward_question(question: &ReplicaQuestion) -> Result<Vec<u8>> {
     let mut router = QuestionRouter::new(host(0)?, 1);
     router.apply_replicas(vec![host(1)?]);
     let outputs = router.ask(Moment::ZERO, question.clone()).map(|(_, outputs)| outputs);
     match outputs.as_deref() {
         Some([RouterOutput::Send { body, .. }]) => Ok(body.to_vec()),
-        other => Err(eyre!("not sent: {}", other.map_or(0, <[_]>::len))),
+        other => Err(eyre!(
+            "expected one message, but the router has {} outputs",
+            other.map_or(0, <[_]>::len)
+        )),
     }
 }
 
-/// The leader reads it.
-fn taken(frame: &[u8]) -> Result<usize> {
+/// Receives a forwarded frame as the leader does and returns the number of outputs.
+fn receive_frame(frame: &[u8]) -> Result<usize> {
     let mut router = QuestionRouter::new(host(1)?, 1);
     router.apply_replicas(vec![host(1)?]);
     let outputs = router.receive(Moment::ZERO, &host(0)?, frame);
-    ensure!(matches!(outputs[..], [RouterOutput::AskLocal { .. }]), "not taken");
+    ensure!(
+        matches!(outputs[..], [RouterOutput::AskLocal { .. }]),
+        "the forwarded question was not received"
+    );
     Ok(outputs.len())
 }
 
-fn applied(
+fn apply_change(
     base: &ConfigurationMachine,
     index: LogIndex,
     change: &StoredChange,
 ) -> Result<ConfigurationMachine> {
     let mut machine = base.clone();
     let answer = machine.apply(index, change);
-    ensure!(matches!(answer, ChangeAnswer::Accepted { .. }), "not accepted: {answer:?}");
+    ensure!(
+        matches!(answer, ChangeAnswer::Accepted { .. }),
+        "the change was not accepted: {answer:?}"
+    );
     Ok(machine)
 }
 
@@ -139,7 +149,7 @@
     Ok(format!("host-{number}").parse()?)
 }
 
-/// Routes whose names have little in common.
+/// Returns rows with random names, paths and host names, which have little in common.
 fn routes(count: usize) -> Result<Vec<KindPlan>> {
     let mut random = StdRng::seed_from_u64(1);
     let mut word =
@@ -156,7 +166,7 @@
     (0..count).map(row).collect()
 }
 
-/// A configuration in one line, as operators send it.
+/// Returns a change to the given rows, whose sheet is one line of JSON as operators send it.
 fn request(rows: &[KindPlan], version: u64) -> Result<ChangeRequest> {
     let texts = rows.iter().map(|row| {
         format!(
--- a/crates/pulley_bench/src/recovery/stream_figures.rs
+++ b/crates/pulley_bench/src/recovery/stream_bench.rs
@@ -1,4 +1,4 @@
-//! Changes and claims a second, and how long one takes.
+//! Measures the throughput and the latency of changes and claims.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,37 +16,37 @@
 
 use super::replica_cluster::ReplicaCluster;
 
-/// Bytes of a sheet with some 1,200 rows.
+/// The bytes of a sheet with about 1,200 rows.
 pub(crate) const SHEET_BYTES: usize = 100_000;
 
-/// Bytes of a sheet as it is today, with some 30 rows.
+/// The bytes of a sheet of the present size, about 30 rows.
 const SMALL_SHEET_BYTES: usize = 3_000;
 
 const REPLICAS: usize = 3;
 
-/// Measures changes a second, one at a time and several under way.
+/// Measures changes a second, for several numbers in flight.
 pub(crate) fn measure_changes(folder: &Path) -> Result<()> {
     for bytes in [SHEET_BYTES, SMALL_SHEET_BYTES] {
-        for (under_way, count) in [(1, 500), (16, 2_000), (64, 2_000)] {
-            let stream = QuestionStream { under_way, count };
-            let figures = stream.run(folder, |number| change(number, bytes), is_accepted)?;
-            figures.print(&format!("changes sheet_bytes={bytes}"), under_way);
+        for (in_flight, count) in [(1, 500), (16, 2_000), (64, 2_000)] {
+            let stream = QuestionStream { in_flight, count };
+            let result = stream.run(folder, |number| change(number, bytes), is_accepted)?;
+            result.print(&format!("changes sheet_bytes={bytes}"), in_flight);
         }
     }
     Ok(())
 }
 
-/// Measures claims a second, by how many are under way.
+/// Measures claims a second, for several numbers in flight.
 pub(crate) fn measure_claims(folder: &Path) -> Result<()> {
-    for (under_way, count) in [(1, 1_000), (16, 10_000), (256, 100_000), (2_048, 200_000)] {
-        let stream = QuestionStream { under_way, count };
-        let figures = stream.run(folder, claim, is_granted)?;
-        figures.print("claims", under_way);
+    for (in_flight, count) in [(1, 1_000), (16, 10_000), (256, 100_000), (2_048, 200_000)] {
+        let stream = QuestionStream { in_flight, count };
+        let result = stream.run(folder, claim, is_granted)?;
+        result.print("claims", in_flight);
     }
     Ok(())
 }
 
-/// The change that makes version `number + 1` of version `number`.
+/// Returns the change that makes version `number + 1` from version `number`.
 pub(crate) fn change(number: u64, bytes: usize) -> Result<ReplicaQuestion> {
     Ok(ReplicaQuestion::Apply(ChangeRequest {
         change_id: format!("change-{number}").parse()?,
@@ -59,7 +59,7 @@
     }))
 }
 
-/// A change of one row in a sheet of some 1,200.
+/// Returns a change of one row in a sheet of 1,200 rows.
 pub(crate) fn row_change(number: u64) -> Result<ReplicaQuestion> {
     const ROWS: u64 = 1_200;
     let mut kinds = Vec::new();
@@ -83,7 +83,7 @@
     }))
 }
 
-/// A row of a sheet.
+/// Returns one row of a plan, with the given share.
 pub(crate) fn row_plan(row: u64, share: u16) -> Result<KindPlan> {
     Ok(KindPlan {
         pool: format!("pool-{row}").parse()?,
@@ -115,13 +115,13 @@
     matches!(answer, ReplicaAnswer::Claim(ClaimAnswer::Granted(_)))
 }
 
-/// Questions of which a fixed number is always under way.
+/// A stream of questions with a fixed number in flight.
 struct QuestionStream {
-    under_way: u64,
+    in_flight: u64,
     count: u64,
 }
 
-struct StreamFigures {
+struct StreamResult {
     per_second: f64,
     latency: Histogram<u64>,
 }
@@ -131,39 +131,39 @@
         &self,
         folder: &Path,
         question: impl Fn(u64) -> Result<ReplicaQuestion>,
-        is_good: impl Fn(&ReplicaAnswer) -> bool,
-    ) -> Result<StreamFigures> {
+        is_expected: impl Fn(&ReplicaAnswer) -> bool,
+    ) -> Result<StreamResult> {
         let folder = tempfile::tempdir_in(folder)?;
         let ledger = LedgerLimits { capacity: 1_000_000, ..LedgerLimits::default() };
         let settings = ReplicaSettings::default().with_ledger(ledger);
         let cluster = ReplicaCluster::start(REPLICAS, folder.path(), &settings)?;
         let mut latency = Histogram::<u64>::new(3)?;
-        let mut asked = BTreeMap::new();
+        let mut pending = BTreeMap::new();
         let mut next = 0;
-        let begin = Instant::now();
+        let started = Instant::now();
         for _ in 0..self.count {
-            while next < self.count && asked.len() < self.under_way as usize {
-                asked.insert(next, Instant::now());
+            while next < self.count && pending.len() < self.in_flight as usize {
+                pending.insert(next, Instant::now());
                 cluster.ask(next, question(next)?);
                 next += 1;
             }
-            let (token, answer) = cluster.answer()?;
-            if !is_good(&answer) {
+            let (token, answer) = cluster.next_answer()?;
+            if !is_expected(&answer) {
                 bail!("question {token} was answered with {answer:?}");
             }
-            if let Some(at) = asked.remove(&token) {
-                latency.record(u64::try_from(at.elapsed().as_micros())?)?;
+            if let Some(asked_at) = pending.remove(&token) {
+                latency.record(u64::try_from(asked_at.elapsed().as_micros())?)?;
             }
         }
-        let per_second = self.count as f64 / begin.elapsed().as_secs_f64();
-        Ok(StreamFigures { per_second, latency })
+        let per_second = self.count as f64 / started.elapsed().as_secs_f64();
+        Ok(StreamResult { per_second, latency })
     }
 }
 
-impl StreamFigures {
-    fn print(&self, what: &str, under_way: u64) {
+impl StreamResult {
+    fn print(&self, what: &str, in_flight: u64) {
         println!(
-            "part={what} replicas={REPLICAS} under_way={under_way} count={} per_second={:.0} \
+            "part={what} replicas={REPLICAS} under_way={in_flight} count={} per_second={:.0} \
              p50_us={} p99_us={} max_us={}",
             self.latency.len(),
             self.per_second,
--- a/crates/pulley_bench/src/recovery/traffic_figures.rs
+++ b/crates/pulley_bench/src/recovery/traffic_bench.rs
@@ -1,4 +1,4 @@
-//! What replicas send each other.
+//! Measures the messages and bytes that replicas send to each other.
 
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -9,18 +9,18 @@
 use pulley_core::version::ReplicaSettings;
 
 use super::replica_cluster::ReplicaCluster;
-use super::stream_figures::row_change;
+use super::stream_bench::row_change;
 
 const REPLICAS: usize = 5;
 const IDLE_TIME: Duration = Duration::from_secs(10);
 const CHANGES: u64 = 40;
 
-/// Measures what five replicas send, idle and for each change of one row of a large sheet.
+/// Measures what five replicas send, both idle and for each change of one row in a large sheet.
 pub(crate) fn measure_traffic(folder: &Path) -> Result<()> {
     let folder = tempfile::tempdir_in(folder)?;
     let cluster = ReplicaCluster::start(REPLICAS, folder.path(), &ReplicaSettings::default())?;
     cluster.ask(0, row_change(0)?);
-    cluster.answer()?;
+    cluster.next_answer()?;
     let (messages, bytes) = sent(&cluster);
     thread::sleep(IDLE_TIME);
     let (idle_messages, idle_bytes) = sent(&cluster);
@@ -34,7 +34,7 @@
     let (_, before) = sent(&cluster);
     for number in 1..=CHANGES {
         cluster.ask(number, row_change(number)?);
-        cluster.answer()?;
+        cluster.next_answer()?;
     }
     let (_, after) = sent(&cluster);
     println!(
