--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -5,7 +5,7 @@
 use eyre::Result;
 use pulley_core::process::{CountDelta, CountSum, UpstreamPhase, UpstreamRecord};
 use pulley_core::request::{
-    AttemptOutcome, RequestVerdict, RetryBudget, RetryDecision, RetryQuestion,
+    AttemptOutcome, RequestVerdict, RetryBudget, RetryDecision, RetryInputs,
 };
 use pulley_core::{Moment, UpstreamId};
 use rand::rngs::SmallRng;
@@ -378,15 +378,15 @@
         }
         let call = &self.calls[number];
         let place = call.entry * self.deployment.pools.len() + call.pool;
-        let question = RetryQuestion {
+        let question = RetryInputs {
             most_attempts: 3,
             outcome,
             verdict: RequestVerdict::MayHaveRun,
             idempotent: true,
             attempt: call.attempt,
-            retried_below: false,
-            left: call.deadline.since(self.now),
-            typical: Duration::from_millis(20),
+            retried_downstream: false,
+            time_left: call.deadline.since(self.now),
+            min_time: Duration::from_millis(20),
         };
         let again = self.budgets[place].decide(&question) == RetryDecision::Retry;
         if again {
--- a/crates/pulley_core/src/request/mod.rs
+++ b/crates/pulley_core/src/request/mod.rs
@@ -19,8 +19,8 @@
 
 pub use arrival_probes::ProbeReading;
 pub use pool_scheduler::PoolScheduler;
-pub use pool_scheduler_probes::{ProbeQuestion, ProbeReach, ProbeTarget};
-pub use retry_budget::{GiveUpCause, RetryAllowance, RetryBudget, RetryDecision, RetryQuestion};
+pub use pool_scheduler_probes::{ProbeQuery, ProbeReach, ProbeTarget};
+pub use retry_budget::{GiveUpCause, RetryAllowance, RetryBudget, RetryDecision, RetryInputs};
 pub use share_leases::{KindDemand, divide_slots};
 pub use start_wait::{not_ready_retry, start_wait};
 pub use ticket::{
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -237,10 +237,10 @@
         report: Option<LoadReport>,
     ) -> SchedulerEffects {
         let Some(running) = self.running.remove(&number) else { return Vec::new() };
-        let usual_ms = self.upstreams.usual_ms();
+        let median_latency_ms = self.upstreams.median_latency_ms();
         let state = self.upstreams.at_mut(running.upstream);
         state.last_report = report.map(|report| (now, report)).or(state.last_report);
-        state.finish(now, outcome, now.since(running.started), usual_ms);
+        state.finish(now, outcome, now.since(running.started), median_latency_ms);
         if state.takes_work() {
             self.upstreams.add_outstanding(-1.0);
         }
@@ -458,8 +458,8 @@
     /// Recalculates how many requests this entry may start until the next sum.
     pub(crate) fn grant_leases(&mut self, entries: u16, interval: Duration) {
         let slots = self.upstreams.usable_slots();
-        let usual_ms = self.upstreams.usual_ms().max(1.0);
-        let answers = interval.as_secs_f32() * 1_000.0 / usual_ms;
+        let median_latency_ms = self.upstreams.median_latency_ms().max(1.0);
+        let answers = interval.as_secs_f32() * 1_000.0 / median_latency_ms;
         self.overcommit = (OVERCOMMIT + OVERCOMMIT_PER_ANSWER * answers).min(MAX_OVERCOMMIT);
         let terms = LeaseTerms {
             slots: slots * self.overcommit,
@@ -538,7 +538,7 @@
 
     /// Returns the usual answer time.
     pub(super) fn usual(&self) -> Duration {
-        Duration::from_secs_f32(self.upstreams.usual_ms() / 1_000.0)
+        Duration::from_secs_f32(self.upstreams.median_latency_ms() / 1_000.0)
     }
 
     /// Returns the time that must be left when a request starts.
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -78,9 +78,9 @@
 
 /// A query for upstreams to probe.
 #[derive(Clone, Copy, Debug)]
-pub struct ProbeQuestion<'a> {
+pub struct ProbeQuery<'a> {
     /// Upstreams that were already probed.
-    pub asked: &'a [UpstreamId],
+    pub probed: &'a [UpstreamId],
     /// Most upstreams to probe.
     pub wanted: usize,
     /// Where to look.
@@ -113,23 +113,23 @@
         &mut self,
         now: Moment,
         ticket: &RequestTicket,
-        question: &ProbeQuestion<'_>,
+        query: &ProbeQuery<'_>,
     ) -> Vec<ProbeTarget> {
         if self.queue.len() > 0 || self.shares.index_of(ticket.kind).is_none() {
             return Vec::new();
         }
-        let asked = question.asked;
-        let passed = |id: &UpstreamId| asked.contains(id) || ticket.avoid.contains(id);
+        let probed = query.probed;
+        let passed = |id: &UpstreamId| probed.contains(id) || ticket.avoid.contains(id);
         let mut candidates = self.upstreams.probe_candidates(now, &self.zone, passed);
-        let stays = question.reach == ProbeReach::OwnZone && self.own_zone_responds(now);
+        let stays = query.reach == ProbeReach::OwnZone && self.own_zone_responds(now);
         if stays {
             candidates.retain(|upstream| !upstream.in_other_zone);
         }
         candidates.shuffle(&mut self.rng);
         let candidates = self.alternate_zones(now, candidates);
         self.probes.refill(now);
-        let limit = if self.probes.is_ample() { question.wanted } else { SCARCE_PROBES };
-        let count = self.probes.take(now, limit.min(question.wanted).min(candidates.len()));
+        let limit = if self.probes.is_ample() { query.wanted } else { SCARCE_PROBES };
+        let count = self.probes.take(now, limit.min(query.wanted).min(candidates.len()));
         let targets = candidates.into_iter().take(count).map(|upstream| {
             let announcement = &self.upstreams.at(upstream.index).record.announcement;
             ProbeTarget { upstream: announcement.id.clone(), address: announcement.address }
@@ -169,9 +169,9 @@
     /// Requests of the zone would probe them one after the other, wait for each, and come late
     /// while upstreams of other zones stand idle. An upstream that is only slow is probed again a
     /// second later. So is a silent zone, by requests that find no other.
-    pub fn note_unanswered(&mut self, now: Moment, upstream: &UpstreamId) {
+    pub fn record_probe_timeout(&mut self, now: Moment, upstream: &UpstreamId) {
         if let Some(index) = self.upstreams.index_of(upstream) {
-            self.upstreams.at_mut(index).note_unanswered(now);
+            self.upstreams.at_mut(index).record_probe_timeout(now);
         }
     }
 
@@ -293,8 +293,13 @@
 
     /// Whether one of the probed upstreams should answer a request by its target.
     #[must_use]
-    pub fn is_soon(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
-        self.meets_target(now, ticket, readings, 1.0)
+    pub fn meets_target(
+        &self,
+        now: Moment,
+        ticket: &RequestTicket,
+        readings: &[ProbeReading],
+    ) -> bool {
+        self.meets_target_at_size(now, ticket, readings, 1.0)
     }
 
     /// Whether a request would start at the best of the probed upstreams, but its answer would come
@@ -307,14 +312,19 @@
     /// expensive. Once half of the probes are used up, the rest is kept for requests that would
     /// otherwise find no upstream at all.
     #[must_use]
-    pub fn is_risky(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
+    pub fn may_miss_target(
+        &self,
+        now: Moment,
+        ticket: &RequestTicket,
+        readings: &[ProbeReading],
+    ) -> bool {
         let starts = self.best_cost(now, readings).is_some_and(|cost| cost <= MAX_START_COST);
         let may_ask = starts && ticket.target.is_some() && self.probes.is_ample();
-        may_ask && !self.meets_target(now, ticket, readings, LARGE_WORK_FACTOR)
+        may_ask && !self.meets_target_at_size(now, ticket, readings, LARGE_WORK_FACTOR)
     }
 
     /// Whether work of `size` times the usual size should be answered by its target.
-    fn meets_target(
+    fn meets_target_at_size(
         &self,
         now: Moment,
         ticket: &RequestTicket,
@@ -357,7 +367,7 @@
     /// Returns until when a request may look for an upstream. After that its answer would miss its
     /// target, and its caller should be refused.
     #[must_use]
-    pub fn patience(&self, now: Moment, ticket: &RequestTicket) -> Moment {
+    pub fn placement_deadline(&self, now: Moment, ticket: &RequestTicket) -> Moment {
         let (Some(kind_index), Some(target)) = (self.shares.index_of(ticket.kind), ticket.target)
         else {
             return now;
@@ -388,7 +398,7 @@
 
     /// Whether any upstream has reported its load within the last second.
     #[must_use]
-    pub fn has_heard(&self, now: Moment) -> bool {
+    pub fn has_recent_reports(&self, now: Moment) -> bool {
         let mut readings = self.upstreams.available().filter_map(|state| state.last_report);
         readings.any(|(at, _)| now.since(at) <= RECENT_SPAN)
     }
--- a/crates/pulley_core/src/request/retry_budget.rs
+++ b/crates/pulley_core/src/request/retry_budget.rs
@@ -45,7 +45,7 @@
 
 /// The inputs of a retry decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryQuestion {
+pub struct RetryInputs {
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
     /// Whether the request may have run.
@@ -58,11 +58,11 @@
     pub most_attempts: u8,
     /// Whether the answer says that another layer of this system has already given up on the
     /// request.
-    pub retried_below: bool,
+    pub retried_downstream: bool,
     /// Time left until the deadline.
-    pub left: Duration,
-    /// The usual answer time.
-    pub typical: Duration,
+    pub time_left: Duration,
+    /// Least time that another attempt needs.
+    pub min_time: Duration,
 }
 
 /// What to do after a failed attempt.
@@ -84,7 +84,7 @@
     /// The attempts of the request are used up.
     TooManyAttempts,
     /// The layer next to the failure has already retried.
-    RetriedBelow,
+    RetriedDownstream,
     /// The time left is too short for another attempt.
     DeadlineTooClose,
     /// The budget is used up.
@@ -133,8 +133,8 @@
     /// failure retries. The answer that it passes up carries a mark that keeps the other layers
     /// from retrying.
     #[must_use]
-    pub fn decide(&mut self, question: &RetryQuestion) -> RetryDecision {
-        if let Some(cause) = give_up_cause(question) {
+    pub fn decide(&mut self, inputs: &RetryInputs) -> RetryDecision {
+        if let Some(cause) = give_up_cause(inputs) {
             return RetryDecision::GiveUp(cause);
         }
         if self.saved < RETRY_COST {
@@ -157,22 +157,22 @@
     }
 }
 
-fn give_up_cause(question: &RetryQuestion) -> Option<GiveUpCause> {
-    if question.outcome == AttemptOutcome::Answered {
+fn give_up_cause(inputs: &RetryInputs) -> Option<GiveUpCause> {
+    if inputs.outcome == AttemptOutcome::Answered {
         return Some(GiveUpCause::Answered);
     }
-    if question.outcome == AttemptOutcome::Cancelled {
+    if inputs.outcome == AttemptOutcome::Cancelled {
         return Some(GiveUpCause::CallerLeft);
     }
     // A binding that may have run must not run again: it would charge two premiums for one cargo.
-    if question.verdict != RequestVerdict::NotRun && !question.idempotent {
+    if inputs.verdict != RequestVerdict::NotRun && !inputs.idempotent {
         return Some(GiveUpCause::NotIdempotent);
     }
-    if question.retried_below {
-        return Some(GiveUpCause::RetriedBelow);
+    if inputs.retried_downstream {
+        return Some(GiveUpCause::RetriedDownstream);
     }
-    if question.attempt.saturating_add(1) >= question.most_attempts {
+    if inputs.attempt.saturating_add(1) >= inputs.most_attempts {
         return Some(GiveUpCause::TooManyAttempts);
     }
-    (question.left <= question.typical).then_some(GiveUpCause::DeadlineTooClose)
+    (inputs.time_left <= inputs.min_time).then_some(GiveUpCause::DeadlineTooClose)
 }
--- a/crates/pulley_core/src/request/ticket.rs
+++ b/crates/pulley_core/src/request/ticket.rs
@@ -107,7 +107,7 @@
     /// Returns the load after one of the counted requests has ended. The next queued request takes
     /// its slot.
     #[must_use]
-    pub fn less_one(mut self) -> Self {
+    pub fn without_answered_request(mut self) -> Self {
         match self.waiting {
             Some(waiting) if waiting > 0 => self.waiting = Some(waiting - 1),
             _ => self.in_flight = self.in_flight.map(|count| count.saturating_sub(1)),
--- a/crates/pulley_core/src/request/upstream_state.rs
+++ b/crates/pulley_core/src/request/upstream_state.rs
@@ -145,7 +145,7 @@
     }
 
     /// Records that the upstream has left a probe unanswered.
-    pub(crate) fn note_unanswered(&mut self, now: Moment) {
+    pub(crate) fn record_probe_timeout(&mut self, now: Moment) {
         self.unanswered_at = Some(now);
     }
 
--- a/crates/pulley_core/src/request/upstream_table.rs
+++ b/crates/pulley_core/src/request/upstream_table.rs
@@ -73,7 +73,7 @@
     others_per_slot: f32,
     outstanding: f32,
     part_floor: f32,
-    usual_ms: f32,
+    median_latency_ms: f32,
 }
 
 /// An upstream that may be probed.
@@ -109,7 +109,7 @@
             others_per_slot: 0.0,
             outstanding: 0.0,
             part_floor: 0.0,
-            usual_ms: 0.0,
+            median_latency_ms: 0.0,
         }
     }
 
@@ -318,7 +318,7 @@
         self.usable_slots = usable.max(announced * USABLE_FLOOR);
         self.others_per_slot = others / f32::max(announced, 1.0);
         self.outstanding = self.available().map(Self::load).sum();
-        self.usual_ms = median_ms(self.available().filter_map(UpstreamState::latency_ms));
+        self.median_latency_ms = median_ms(self.available().filter_map(UpstreamState::latency_ms));
     }
 
     pub(crate) fn at(&self, index: usize) -> &UpstreamState {
@@ -415,8 +415,8 @@
     }
 
     /// Returns the usual answer time in milliseconds; 0 if it is unknown.
-    pub(crate) fn usual_ms(&self) -> f32 {
-        self.usual_ms
+    pub(crate) fn median_latency_ms(&self) -> f32 {
+        self.median_latency_ms
     }
 
     /// Discards the other entries' outstanding requests.
@@ -468,8 +468,9 @@
     /// usual answer time two thirds of what was counted is gone.
     fn freshness(&self, age: Option<Duration>) -> f32 {
         let Some(age) = age else { return 0.0 };
-        let usual_ms = if self.usual_ms > 0.0 { self.usual_ms } else { DEFAULT_ANSWER_MS };
-        (-age.as_secs_f32() * 1_000.0 / usual_ms).exp()
+        let median_latency_ms =
+            if self.median_latency_ms > 0.0 { self.median_latency_ms } else { DEFAULT_ANSWER_MS };
+        (-age.as_secs_f32() * 1_000.0 / median_latency_ms).exp()
     }
 
     fn best(
--- a/crates/pulley_core/tests/arrival_probes/main.rs
+++ b/crates/pulley_core/tests/arrival_probes/main.rs
@@ -11,8 +11,8 @@
     UpstreamSequence,
 };
 use pulley_core::request::{
-    AttemptOutcome, LoadReport, PoolScheduler, ProbeQuestion, ProbeReach, ProbeReading,
-    ProbeTarget, RequestNumber, RequestTicket, SchedulerEffect,
+    AttemptOutcome, LoadReport, PoolScheduler, ProbeQuery, ProbeReach, ProbeReading, ProbeTarget,
+    RequestNumber, RequestTicket, SchedulerEffect,
 };
 use pulley_core::version::{KindPlan, MethodMatch, RequestPriority, RouteTerms, WorkLength};
 use pulley_core::{IndexedPlan, Moment, PolicyPlan, RefusalCause};
@@ -132,8 +132,11 @@
     let [SchedulerEffect::Refuse { cause, retry_after, .. }] = effects[..] else { panic!() };
     assert_eq!(cause, RefusalCause::PoolBusy);
     assert!(retry_after >= 50 * MS);
-    let patience = scheduler.patience(now, &ticket(1, now));
-    assert!(patience > now + 100 * MS && patience < now + TARGET, "{patience:?}");
+    let placement_deadline = scheduler.placement_deadline(now, &ticket(1, now));
+    assert!(
+        placement_deadline > now + 100 * MS && placement_deadline < now + TARGET,
+        "{placement_deadline:?}"
+    );
 }
 
 // An upstream of another zone is idle, and one of the own zone has busy slots. The own one answers
@@ -144,11 +147,11 @@
     let records = [upstream(0, "a", 6), upstream(1, "b", 6)];
     let mut scheduler = entry(3, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
-    let question = |reach| ProbeQuestion { asked: &[], wanted: 3, reach };
-    let own = scheduler.probe_targets(now, &ticket(1, now), &question(ProbeReach::OwnZone));
+    let query = |reach| ProbeQuery { probed: &[], wanted: 3, reach };
+    let own = scheduler.probe_targets(now, &ticket(1, now), &query(ProbeReach::OwnZone));
     assert_eq!(own.len(), 1);
     assert_eq!(own[0].upstream.as_str(), "u0");
-    let all = scheduler.probe_targets(now, &ticket(1, now), &question(ProbeReach::EveryZone));
+    let all = scheduler.probe_targets(now, &ticket(1, now), &query(ProbeReach::EveryZone));
     assert_eq!(all.iter().map(|target| target.upstream.as_str()).collect::<Vec<_>>(), ["u0", "u1"]);
     let readings = [reading(0, 3, 0, 1.0), reading(1, 0, 0, 1.0)];
     assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(2, now), &readings)), Some("u0"));
@@ -165,19 +168,19 @@
     let records = [upstream(0, "a", 2), upstream(1, "b", 2), upstream(2, "b", 2)];
     let mut scheduler = entry(7, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
-    let question = ProbeQuestion { asked: &[], wanted: 1, reach: ProbeReach::OwnZone };
-    scheduler.probe_targets(now, &ticket(1, now), &question);
-    let is_risky = |scheduler: &PoolScheduler, running, slowdown| {
-        scheduler.is_risky(now, &ticket(1, now), &[reading(0, running, 0, slowdown)])
+    let query = ProbeQuery { probed: &[], wanted: 1, reach: ProbeReach::OwnZone };
+    scheduler.probe_targets(now, &ticket(1, now), &query);
+    let may_miss_target = |scheduler: &PoolScheduler, running, slowdown| {
+        scheduler.may_miss_target(now, &ticket(1, now), &[reading(0, running, 0, slowdown)])
     };
-    assert!(is_risky(&scheduler, 1, 1.2));
-    assert!(!is_risky(&scheduler, 0, 1.0));
-    assert!(!is_risky(&scheduler, 0, 5.0));
+    assert!(may_miss_target(&scheduler, 1, 1.2));
+    assert!(!may_miss_target(&scheduler, 0, 1.0));
+    assert!(!may_miss_target(&scheduler, 0, 5.0));
     let both = [reading(0, 1, 0, 1.2), reading(1, 0, 0, 1.0)];
     for number in 0..8 {
-        scheduler.probe_targets(now, &ticket(number, now), &question);
+        scheduler.probe_targets(now, &ticket(number, now), &query);
     }
-    assert!(!is_risky(&scheduler, 1, 1.2));
+    assert!(!may_miss_target(&scheduler, 1, 1.2));
     assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(9, now), &both)), Some("u1"));
 }
 
@@ -190,15 +193,15 @@
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 6)).collect();
     let mut scheduler = entry(8, &records);
     let mut now = Moment::ZERO + Duration::from_secs(1);
-    assert!(!scheduler.has_heard(now));
+    assert!(!scheduler.has_recent_reports(now));
     let first = scheduler.arrive_probed(now, &ticket(0, now), &[reading(0, 0, 0, 1.0)]);
     assert_eq!(chosen(&first), Some("u0"));
     for number in 1..=4 {
         now = now + 100 * MS;
-        assert!(scheduler.has_heard(now));
+        assert!(scheduler.has_recent_reports(now));
         assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(number, now), &[])), Some("u0"));
     }
-    assert!(!scheduler.has_heard(now + Duration::from_secs(1)));
+    assert!(!scheduler.has_recent_reports(now + Duration::from_secs(1)));
 }
 
 // A burst comes when upstreams have the least time to answer probes. No entry may send more than
@@ -210,8 +213,8 @@
     let mut asked: Vec<(Moment, usize)> = Vec::new();
     for step in 0..3_000_u64 {
         let now = Moment::ZERO + Duration::from_millis(5_000 + step);
-        let question = ProbeQuestion { asked: &[], wanted: 3, reach: ProbeReach::EveryZone };
-        asked.push((now, scheduler.probe_targets(now, &ticket(step, now), &question).len()));
+        let query = ProbeQuery { probed: &[], wanted: 3, reach: ProbeReach::EveryZone };
+        asked.push((now, scheduler.probe_targets(now, &ticket(step, now), &query).len()));
     }
     for (place, (from, _)) in asked.iter().enumerate() {
         let window = asked[place..].iter().take_while(|(at, _)| at.since(*from) < 1_000 * MS);
@@ -348,11 +351,11 @@
     let first = scheduler.arrive_probed(now, &ticket(0, now), &[reading(0, 0, 0, 1.0)]);
     assert_eq!(chosen(&first), Some("u0"));
     let later = now + 500 * MS;
-    let question = ProbeQuestion { asked: &[], wanted: 3, reach: ProbeReach::EveryZone };
+    let query = ProbeQuery { probed: &[], wanted: 3, reach: ProbeReach::EveryZone };
     let slowed = [reading(1, 0, 0, 7.0)];
     let kept = scheduler.arrive_probed(later, &ticket(1, later), &slowed);
     assert_eq!(chosen(&kept), None, "another upstream can still be probed");
-    while !scheduler.probe_targets(later, &ticket(2, later), &question).is_empty() {}
+    while !scheduler.probe_targets(later, &ticket(2, later), &query).is_empty() {}
     let sent = scheduler.arrive_probed(later, &ticket(3, later), &slowed);
     assert_eq!(chosen(&sent), Some("u0"));
 }
@@ -365,13 +368,13 @@
     let records: Vec<_> = (0..3).map(|index| upstream(index, "a", 3)).collect();
     let mut scheduler = entry(11, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
-    let question = ProbeQuestion { asked: &[], wanted: 3, reach: ProbeReach::EveryZone };
-    assert_eq!(scheduler.probe_targets(now, &ticket(0, now), &question).len(), 3);
+    let query = ProbeQuery { probed: &[], wanted: 3, reach: ProbeReach::EveryZone };
+    assert_eq!(scheduler.probe_targets(now, &ticket(0, now), &query).len(), 3);
     scheduler.arrive_probed(now, &ticket(1, now), &[reading(1, 0, 0, 7.0), reading(2, 0, 0, 1.0)]);
     for number in 2..4 {
-        scheduler.probe_targets(now, &ticket(number, now), &question);
+        scheduler.probe_targets(now, &ticket(number, now), &query);
     }
-    let targets = scheduler.probe_targets(now, &ticket(4, now), &question);
+    let targets = scheduler.probe_targets(now, &ticket(4, now), &query);
     let mut asked: Vec<_> = targets.iter().map(|target| target.upstream.as_str()).collect();
     asked.sort_unstable();
     assert_eq!(asked, ["u0", "u2"]);
@@ -393,17 +396,17 @@
     scheduler.set_probe_rate(300.0);
     let now = Moment::ZERO + Duration::from_secs(1);
     let ask = |scheduler: &mut PoolScheduler, now: Moment| {
-        let question = ProbeQuestion { asked: &[], wanted: 3, reach: ProbeReach::OwnZone };
-        scheduler.probe_targets(now, &ticket(1, now), &question)
+        let query = ProbeQuery { probed: &[], wanted: 3, reach: ProbeReach::OwnZone };
+        scheduler.probe_targets(now, &ticket(1, now), &query)
     };
     let first = ask(&mut scheduler, now);
     assert!(first.iter().all(|target| zone_of(target) == "a"));
     // One silent upstream does not make its zone silent: others of the zone are probed.
-    scheduler.note_unanswered(now, &first[0].upstream);
+    scheduler.record_probe_timeout(now, &first[0].upstream);
     let second = ask(&mut scheduler, now + 40 * MS);
     assert!(second.iter().all(|target| zone_of(target) == "a" && *target != first[0]));
     for target in first.iter().chain(&second) {
-        scheduler.note_unanswered(now + 80 * MS, &target.upstream);
+        scheduler.record_probe_timeout(now + 80 * MS, &target.upstream);
     }
     let third = ask(&mut scheduler, now + 90 * MS);
     assert!(third.iter().all(|target| zone_of(target) == "b"), "{third:?}");
@@ -423,9 +426,9 @@
     let mut scheduler = entry(4, &records);
     let now = Moment::ZERO + Duration::from_secs(1);
     for record in &records {
-        scheduler.note_unanswered(now, &record.announcement.id);
+        scheduler.record_probe_timeout(now, &record.announcement.id);
     }
-    let question = ProbeQuestion { asked: &[], wanted: 3, reach: ProbeReach::OwnZone };
-    assert_eq!(scheduler.probe_targets(now, &ticket(1, now), &question).len(), 3);
+    let query = ProbeQuery { probed: &[], wanted: 3, reach: ProbeReach::OwnZone };
+    assert_eq!(scheduler.probe_targets(now, &ticket(1, now), &query).len(), 3);
     assert!(chosen(&scheduler.arrive(now, &ticket(2, now))).is_some());
 }
--- a/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
+++ b/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
@@ -6,8 +6,8 @@
 
 use pulley_core::process::UpstreamRecord;
 use pulley_core::request::{
-    AttemptOutcome, LoadReport, PoolScheduler, ProbeQuestion, ProbeReach, ProbeReading,
-    RequestNumber, SchedulerEffect,
+    AttemptOutcome, LoadReport, PoolScheduler, ProbeQuery, ProbeReach, ProbeReading, RequestNumber,
+    SchedulerEffect,
 };
 use pulley_core::{Moment, UpstreamId};
 use rand::rngs::SmallRng;
@@ -213,7 +213,7 @@
             // A request looks in its own zone first, and in all zones when it probes again.
             let is_first = self.shape.other_zone > 0 && at == first_sent;
             let reach = if is_first { ProbeReach::OwnZone } else { ProbeReach::EveryZone };
-            let wanted = ProbeQuestion { asked: &[], wanted: 4, reach };
+            let wanted = ProbeQuery { probed: &[], wanted: 4, reach };
             let targets = self.entries[entry].probe_targets(now, &ticket, &wanted);
             let ids: Vec<_> = targets.into_iter().map(|target| target.upstream).collect();
             let readings = self.readings(at, &ids);
@@ -221,13 +221,15 @@
         } else {
             self.entries[entry].arrive(now, &ticket)
         };
-        let patience = self.entries[entry].patience(now, &ticket);
+        let placement_deadline = self.entries[entry].placement_deadline(now, &ticket);
         for effect in effects {
             match effect {
                 SchedulerEffect::Start { upstream, .. } => {
                     self.send(at, entry, (number, tries), &upstream);
                 }
-                SchedulerEffect::Refuse { .. } if self.uses_probes && now + 30 * MS < patience => {
+                SchedulerEffect::Refuse { .. }
+                    if self.uses_probes && now + 30 * MS < placement_deadline =>
+                {
                     self.push(at + 30_000, PoolEvent::Ask { entry, number, tries, first_sent });
                 }
                 SchedulerEffect::Refuse { retry_after, .. } => {
@@ -263,7 +265,8 @@
 
     fn end(&mut self, at: u64, upstream: usize, entry: usize, number: u64) {
         let answered = AttemptOutcome::Answered;
-        let report = self.shape.reports_load.then(|| self.report(at, upstream).less_one());
+        let report =
+            self.shape.reports_load.then(|| self.report(at, upstream).without_answered_request());
         self.entries[entry].finish(moment(at), RequestNumber(number), answered, report);
         let first_sent = self.first[usize::try_from(number).expect("few")];
         if at - first_sent <= self.shape.target.as_micros() as u64 {
--- a/crates/pulley_core/tests/arrival_probes/subset_tests.rs
+++ b/crates/pulley_core/tests/arrival_probes/subset_tests.rs
@@ -7,7 +7,7 @@
 
 use pulley_core::process::{UpstreamChange, UpstreamList, UpstreamRecord};
 use pulley_core::request::{
-    AttemptOutcome, PoolScheduler, ProbeQuestion, ProbeReach, RequestNumber, SchedulerEffect,
+    AttemptOutcome, PoolScheduler, ProbeQuery, ProbeReach, RequestNumber, SchedulerEffect,
 };
 use pulley_core::{Moment, UpstreamId};
 use rand::rngs::SmallRng;
@@ -24,11 +24,11 @@
 fn probe(
     scheduler: &mut PoolScheduler,
     now: Moment,
-    asked: &[UpstreamId],
+    probed: &[UpstreamId],
     reach: ProbeReach,
 ) -> Vec<UpstreamId> {
-    let question = ProbeQuestion { asked, wanted: 3, reach };
-    let targets = scheduler.probe_targets(now, &ticket(1, now), &question);
+    let query = ProbeQuery { probed, wanted: 3, reach };
+    let targets = scheduler.probe_targets(now, &ticket(1, now), &query);
     targets.into_iter().map(|target| target.upstream).collect()
 }
 
@@ -76,14 +76,14 @@
     // High enough that none of its probes makes the budget scarce.
     scheduler.set_probe_rate(100.0);
     let now = Moment::ZERO + Duration::from_secs(1);
-    let mut asked = Vec::new();
+    let mut probed = Vec::new();
     for _ in 0..4 {
-        let more = probe(&mut scheduler, now, &asked, ProbeReach::OwnZone);
+        let more = probe(&mut scheduler, now, &probed, ProbeReach::OwnZone);
         assert_eq!(more.len(), 3);
-        asked.extend(more);
+        probed.extend(more);
     }
-    let different: BTreeSet<_> = asked.iter().collect();
-    assert_eq!(different.len(), asked.len());
+    let different: BTreeSet<_> = probed.iter().collect();
+    assert_eq!(different.len(), probed.len());
 }
 
 // An upstream ends and another takes its place, as on every release. If the subset were chosen anew
@@ -105,8 +105,8 @@
     now: Moment,
 ) -> (BTreeSet<UpstreamId>, BTreeSet<UpstreamId>) {
     scheduler.set_probe_rate(10_000.0);
-    let question = ProbeQuestion { asked: &[], wanted: 1_000, reach: ProbeReach::OwnZone };
-    let targets = scheduler.probe_targets(now, &ticket(1, now), &question);
+    let query = ProbeQuery { probed: &[], wanted: 1_000, reach: ProbeReach::OwnZone };
+    let targets = scheduler.probe_targets(now, &ticket(1, now), &query);
     let mut ids: Vec<UpstreamId> = targets.into_iter().map(|target| target.upstream).collect();
     let rest = ids.split_off(ids.len().min(8));
     (ids.into_iter().collect(), rest.into_iter().collect())
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -11,7 +11,7 @@
 };
 use pulley_core::request::{
     AttemptOutcome, KindDemand, PoolScheduler, RequestNumber, RequestTicket, RetryAllowance,
-    RetryBudget, RetryDecision, RetryQuestion, SchedulerEffect, divide_slots,
+    RetryBudget, RetryDecision, RetryInputs, SchedulerEffect, divide_slots,
 };
 use pulley_core::version::{KindPlan, MethodMatch, RequestPriority, RouteTerms, WorkLength};
 use pulley_core::{HostId, IndexedPlan, Moment, PolicyPlan, RequestVerdict};
@@ -494,16 +494,16 @@
     assert!(slow[1] <= 20, "the slow upstream still got {} of the last 2,000 requests", slow[1]);
 }
 
-fn failed_once() -> RetryQuestion {
-    RetryQuestion {
+fn failed_once() -> RetryInputs {
+    RetryInputs {
         most_attempts: 2,
         outcome: AttemptOutcome::Failed,
         verdict: RequestVerdict::MayHaveRun,
         idempotent: true,
         attempt: 0,
-        retried_below: false,
-        left: 500 * MS,
-        typical: 20 * MS,
+        retried_downstream: false,
+        time_left: 500 * MS,
+        min_time: 20 * MS,
     }
 }
 
@@ -512,18 +512,18 @@
 #[test]
 fn one_layer_retries_within_its_budget() {
     let mut budget = RetryBudget::new();
-    let question = RetryQuestion { most_attempts: 3, ..failed_once() };
+    let inputs = RetryInputs { most_attempts: 3, ..failed_once() };
     let mut retries = 0;
     for _ in 0..1_000 {
         budget.note_request();
-        retries += u32::from(budget.decide(&question) == RetryDecision::Retry);
+        retries += u32::from(budget.decide(&inputs) == RetryDecision::Retry);
     }
     assert!((100..=103).contains(&retries), "{retries} retries of 1,000 requests");
     for above in [
-        RetryQuestion { retried_below: true, ..question },
-        RetryQuestion { idempotent: false, ..question },
-        RetryQuestion { attempt: 2, ..question },
-        RetryQuestion { left: 10 * MS, ..question },
+        RetryInputs { retried_downstream: true, ..inputs },
+        RetryInputs { idempotent: false, ..inputs },
+        RetryInputs { attempt: 2, ..inputs },
+        RetryInputs { time_left: 10 * MS, ..inputs },
     ] {
         assert_ne!(RetryBudget::new().decide(&above), RetryDecision::Retry, "{above:?}");
     }
@@ -538,7 +538,7 @@
     for entries in [3_usize, 20, 29] {
         let fresh = || RetryBudget::within(allowance, u32::try_from(entries).expect("few"));
         let mut budgets: Vec<RetryBudget> = (0..entries).map(|_| fresh()).collect();
-        let question = failed_once();
+        let inputs = failed_once();
         let mut rng = StdRng::seed_from_u64(3);
         let mut seconds = vec![(0_u32, 0_u32); 40];
         for (second, counted) in seconds.iter_mut().enumerate() {
@@ -549,7 +549,7 @@
                 // Some entries get several times the requests of others.
                 let entry = rng.random_range(0..entries).min(rng.random_range(0..entries));
                 budgets[entry].note_request();
-                let retries = budgets[entry].decide(&question) == RetryDecision::Retry;
+                let retries = budgets[entry].decide(&inputs) == RetryDecision::Retry;
                 counted.0 += 1;
                 counted.1 += u32::from(retries);
             }
--- a/crates/pulley_core/tests/many_entries/entry_fleet.rs
+++ b/crates/pulley_core/tests/many_entries/entry_fleet.rs
@@ -9,8 +9,8 @@
     UpstreamRecord, UpstreamSequence,
 };
 use pulley_core::request::{
-    AttemptOutcome, LoadReport, PoolScheduler, ProbeQuestion, ProbeReach, ProbeReading,
-    RequestNumber, RequestTicket, SchedulerEffect,
+    AttemptOutcome, LoadReport, PoolScheduler, ProbeQuery, ProbeReach, ProbeReading, RequestNumber,
+    RequestTicket, SchedulerEffect,
 };
 use pulley_core::version::{
     AnswerSize, HostMatch, IndexedPlan, KindPlan, MethodMatch, PolicyPlan, PoolTerms,
@@ -379,8 +379,8 @@
         if request.round < PROBE_ROUNDS && best.is_none_or(|cost| cost >= 1.9) {
             request.round += 1;
             let reach = if request.is_first { ProbeReach::OwnZone } else { ProbeReach::EveryZone };
-            let question = ProbeQuestion { asked: &request.probed, wanted: 3, reach };
-            let targets = self.entries[entry].probe_targets(now, &ticket, &question);
+            let query = ProbeQuery { probed: &request.probed, wanted: 3, reach };
+            let targets = self.entries[entry].probe_targets(now, &ticket, &query);
             let mut silent = Vec::new();
             for target in targets {
                 let real = &self.upstreams[place_of(&target.upstream)];
@@ -400,7 +400,7 @@
             };
             if !silent.is_empty() && !has_good_reading(self, &request) {
                 for upstream in &silent {
-                    self.entries[entry].note_unanswered(now + PROBE_TIMEOUT, upstream);
+                    self.entries[entry].record_probe_timeout(now + PROBE_TIMEOUT, upstream);
                 }
                 self.resume_after(PROBE_TIMEOUT, request);
                 return;
@@ -414,7 +414,7 @@
     fn place(&mut self, ticket: &RequestTicket, request: &ProbingRequest) {
         let now = Moment::ZERO + self.now;
         let ProbingRequest { entry, first_sent, returns, .. } = *request;
-        let patience = self.entries[entry].patience(now, ticket);
+        let placement_deadline = self.entries[entry].placement_deadline(now, ticket);
         let effects = self.entries[entry].arrive_probed(now, ticket, &request.readings);
         self.sent_at.insert(ticket.number.0, first_sent);
         let refused = match effects.as_slice() {
@@ -427,7 +427,7 @@
             let (probed, readings) = (Vec::new(), Vec::new());
             ProbingRequest { entry, first_sent, returns, round: 0, is_first, probed, readings }
         };
-        if now + PROBE_PAUSE < patience {
+        if now + PROBE_PAUSE < placement_deadline {
             self.resume_after(PROBE_PAUSE, probe_again(returns, false));
         } else if returns < self.max_returns {
             let wait = if self.respects_retry_delay { retry_after } else { PROBE_PAUSE };
--- a/crates/pulleyd/src/request/answer_metadata.rs
+++ b/crates/pulleyd/src/request/answer_metadata.rs
@@ -29,7 +29,7 @@
     pub(super) is_shed: bool,
     /// Whether the upstream passes on a response of this system: another layer has already given
     /// up.
-    pub(super) retried_below: bool,
+    pub(super) retried_downstream: bool,
     /// Whether it takes no new work from now on.
     pub(super) is_draining: bool,
     /// Its load, if reported.
@@ -58,11 +58,11 @@
         let is_shed = is_misdirected || declares_not_run(status, headers, dialect);
         let mut report = take_report(headers, dialect, counters);
         if dialect.load_counts_own && !is_shed {
-            report = report.map(LoadReport::less_one);
+            report = report.map(LoadReport::without_answered_request);
         }
         let metadata = Self {
             is_shed,
-            retried_below: dialect.own_headers && headers.contains_key(CAUSE_HEADER),
+            retried_downstream: dialect.own_headers && headers.contains_key(CAUSE_HEADER),
             is_draining: headers.get(DRAINING_HEADER).is_some_and(|value| value == "true"),
             report,
             retry_after: retry_after(headers, dialect),
--- a/crates/pulleyd/src/request/arrival_probing.rs
+++ b/crates/pulleyd/src/request/arrival_probing.rs
@@ -9,7 +9,7 @@
 use http::{Method, Request, Uri};
 use pulley_core::connection::WorkSafety;
 use pulley_core::request::{
-    LoadReport, ProbeQuestion, ProbeReach, ProbeReading, ProbeTarget, RequestTicket,
+    LoadReport, ProbeQuery, ProbeReach, ProbeReading, ProbeTarget, RequestTicket,
 };
 use pulley_core::version::{AnswerSize, KindPlan};
 use pulley_core::{Moment, UpstreamId};
@@ -83,25 +83,28 @@
         let Ok(path) = path.parse::<Uri>() else { return probing };
         probing.is_on = true;
         probing.readings = context.schedulers.fresh_readings(&row.pool, ticket);
-        let mut asked = Vec::new();
+        let mut probed = Vec::new();
         for round in 0..PROBE_ROUNDS {
             let best = context.schedulers.best_cost(&row.pool, &probing.readings);
             let good_enough = if round == 0 { GOOD_COST } else { POOR_COST };
             if best.is_some_and(|cost| cost < good_enough) {
                 break;
             }
-            let question = ProbeQuestion { asked: &asked, wanted, reach };
-            let targets = context.schedulers.probe_targets(&row.pool, ticket, &question);
-            asked.extend(targets.iter().map(|target| target.upstream.clone()));
+            let query = ProbeQuery { probed: &probed, wanted, reach };
+            let targets = context.schedulers.probe_targets(&row.pool, ticket, &query);
+            probed.extend(targets.iter().map(|target| target.upstream.clone()));
             probing.probe_all(context, row, &path, ticket, targets).await;
         }
         let may_leave_zone = reach == ProbeReach::OwnZone && row.route.answers != AnswerSize::Large;
-        if may_leave_zone && context.schedulers.is_risky(&row.pool, ticket, &probing.readings) {
-            let question = ProbeQuestion { asked: &asked, wanted, reach: ProbeReach::EveryZone };
-            let targets = context.schedulers.probe_targets(&row.pool, ticket, &question);
+        if may_leave_zone
+            && context.schedulers.may_miss_target(&row.pool, ticket, &probing.readings)
+        {
+            let query = ProbeQuery { probed: &probed, wanted, reach: ProbeReach::EveryZone };
+            let targets = context.schedulers.probe_targets(&row.pool, ticket, &query);
             probing.probe_all(context, row, &path, ticket, targets).await;
         }
-        probing.is_pool_silent = probing.unanswered > 0 && !context.schedulers.has_heard(&row.pool);
+        probing.is_pool_silent =
+            probing.unanswered > 0 && !context.schedulers.has_recent_reports(&row.pool);
         probing
     }
 
@@ -181,7 +184,7 @@
         // capacity.
         let has_waited_fully = context.clock.now() >= now + PROBE_WAIT;
         if has_waited_fully || pending.is_empty() {
-            context.schedulers.note_unanswered(&row.pool, &silent);
+            context.schedulers.record_probe_timeout(&row.pool, &silent);
         }
         if pending.is_empty() {
             return;
--- a/crates/pulleyd/src/request/attempt_fault.rs
+++ b/crates/pulleyd/src/request/attempt_fault.rs
@@ -23,7 +23,7 @@
     /// Whether another attempt can change the result.
     pub(super) is_retryable: bool,
     /// Whether another layer of this system has already given up on the request.
-    pub(super) retried_below: bool,
+    pub(super) retried_downstream: bool,
 }
 
 impl AttemptFault {
@@ -33,7 +33,7 @@
             answer: SystemAnswer::refused(cause, Some(retry_after)),
             outcome: AttemptOutcome::Cancelled,
             is_retryable: false,
-            retried_below: false,
+            retried_downstream: false,
         }
     }
 
@@ -49,7 +49,7 @@
             answer: SystemAnswer::failed(status, verdict, "caller-broke-off", None),
             outcome: AttemptOutcome::Cancelled,
             is_retryable: false,
-            retried_below: false,
+            retried_downstream: false,
         }
     }
 
@@ -62,21 +62,26 @@
         };
         let (status, retry_after) = (StatusCode::BAD_GATEWAY, Some(ATTEMPT_FAILED_RETRY));
         let answer = SystemAnswer::failed(status, fault.verdict(), fault.cause(), retry_after);
-        Self { answer, outcome, is_retryable: true, retried_below: false }
+        Self { answer, outcome, is_retryable: true, retried_downstream: false }
     }
 
     /// The deadline passed.
     pub(super) fn timed_out(verdict: RequestVerdict) -> Self {
         let (status, retry_after) = (StatusCode::GATEWAY_TIMEOUT, Some(ATTEMPT_FAILED_RETRY));
         let answer = SystemAnswer::failed(status, verdict, "no-answer-in-time", retry_after);
-        Self { answer, outcome: AttemptOutcome::Broken, is_retryable: true, retried_below: false }
+        Self {
+            answer,
+            outcome: AttemptOutcome::Broken,
+            is_retryable: true,
+            retried_downstream: false,
+        }
     }
 
     /// The response must not be passed on; whether the request ran is unknown.
     pub(super) fn untrusted(cause: &'static str, outcome: AttemptOutcome) -> Self {
         let verdict = RequestVerdict::MayHaveRun;
         let answer = SystemAnswer::failed(StatusCode::BAD_GATEWAY, verdict, cause, None);
-        Self { answer, outcome, is_retryable: true, retried_below: false }
+        Self { answer, outcome, is_retryable: true, retried_downstream: false }
     }
 
     /// The upstream declared that it did not run the request.
@@ -84,7 +89,7 @@
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let (verdict, retry_after) = (RequestVerdict::NotRun, Some(metadata.retry_after));
         let answer = SystemAnswer::failed(status, verdict, "upstream-shed", retry_after);
-        let (outcome, retried_below) = (AttemptOutcome::Shed, metadata.retried_below);
-        Self { answer, outcome, is_retryable: true, retried_below }
+        let (outcome, retried_downstream) = (AttemptOutcome::Shed, metadata.retried_downstream);
+        Self { answer, outcome, is_retryable: true, retried_downstream }
     }
 }
--- a/crates/pulleyd/src/request/request_attempt.rs
+++ b/crates/pulleyd/src/request/request_attempt.rs
@@ -57,13 +57,14 @@
         mut ticket: RequestTicket,
     ) -> Result<Response<UpstreamAnswer>> {
         let started = self.context.clock.now();
-        let patience = self.context.schedulers.patience(&self.row().pool, &ticket);
+        let placement_deadline =
+            self.context.schedulers.placement_deadline(&self.row().pool, &ticket);
         let placed = loop {
-            let reach = self.reach(started, patience);
+            let reach = self.reach(started, placement_deadline);
             let probed = ArrivalProbing::probe(&self.context, self.row(), &ticket, reach).await;
             match self.place(&ticket, probed).await {
                 Ok(placed) => break placed,
-                Err(fault) if !self.may_wait(&fault, patience) => return Err(fault),
+                Err(fault) if !self.may_wait(&fault, placement_deadline) => return Err(fault),
                 Err(_) => {}
             }
             let _ = self.context.timer.after(PLACEMENT_RETRY_DELAY).await;
@@ -90,22 +91,23 @@
     /// A slowdown in the request's own zone has mostly ended when it probes again, and waiting
     /// costs nothing while the target can be met; another zone costs bytes at once. Large responses
     /// stay in their zone for longer, because their bytes cost many times the rest of the request.
-    fn reach(&self, started: Moment, patience: Moment) -> ProbeReach {
+    fn reach(&self, started: Moment, placement_deadline: Moment) -> ProbeReach {
         let waited = self.context.clock.now().since(started);
         let is_large = self.row().route.answers == AnswerSize::Large;
         let own_zone_time = if is_large {
-            patience.since(started) / LARGE_OWN_ZONE_DIVISOR
+            placement_deadline.since(started) / LARGE_OWN_ZONE_DIVISOR
         } else {
             Duration::ZERO
         };
-        let is_first = waited < PLACEMENT_RETRY_DELAY && started + PLACEMENT_RETRY_DELAY < patience;
+        let is_first =
+            waited < PLACEMENT_RETRY_DELAY && started + PLACEMENT_RETRY_DELAY < placement_deadline;
         if is_first || waited < own_zone_time { ProbeReach::OwnZone } else { ProbeReach::EveryZone }
     }
 
     /// Whether a request that was not placed may probe again a little later.
-    fn may_wait(&self, fault: &AttemptFault, patience: Moment) -> bool {
+    fn may_wait(&self, fault: &AttemptFault, placement_deadline: Moment) -> bool {
         let is_busy = fault.answer.cause == RefusalCause::PoolBusy.as_str();
-        is_busy && self.context.clock.now() + PLACEMENT_RETRY_DELAY < patience
+        is_busy && self.context.clock.now() + PLACEMENT_RETRY_DELAY < placement_deadline
     }
 
     async fn place(&self, ticket: &RequestTicket, probed: ArrivalProbing) -> Result<PlacedRequest> {
--- a/crates/pulleyd/src/request/request_run.rs
+++ b/crates/pulleyd/src/request/request_run.rs
@@ -11,7 +11,7 @@
 use http::{Response, StatusCode};
 use parking_lot::Mutex;
 use pulley_core::request::{
-    AttemptOutcome, ProbeReach, ProbeReading, RequestTicket, RetryDecision, RetryQuestion,
+    AttemptOutcome, ProbeReach, ProbeReading, RequestTicket, RetryDecision, RetryInputs,
 };
 use pulley_core::version::{KindPlan, WorkLength};
 use pulley_core::{IndexedPlan, Moment, RequestVerdict, UpstreamId};
@@ -218,7 +218,7 @@
             ArrivalProbing::probe(&self.context, self.row(), &ticket, ProbeReach::EveryZone).await;
         let pool = &self.row().pool;
         let is_slow = !probed.readings.is_empty()
-            && !self.context.schedulers.is_soon(pool, &ticket, &probed.readings);
+            && !self.context.schedulers.meets_target(pool, &ticket, &probed.readings);
         if is_slow
             || !self.try_grant_retry(AttemptOutcome::Broken, RequestVerdict::MayHaveRun, false)
         {
@@ -347,29 +347,29 @@
             AttemptOutcome::Cancelled => AttemptOutcome::Unreachable,
             outcome => outcome,
         };
-        self.try_grant_retry(outcome, self.verdict, fault.retried_below)
+        self.try_grant_retry(outcome, self.verdict, fault.retried_downstream)
     }
 
     fn try_grant_retry(
         &self,
         outcome: AttemptOutcome,
         verdict: RequestVerdict,
-        retried_below: bool,
+        retried_downstream: bool,
     ) -> bool {
         if !self.body.can_restart() {
             return false;
         }
-        let question = RetryQuestion {
+        let inputs = RetryInputs {
             outcome,
             verdict,
             idempotent: self.row().idempotent,
             attempt: self.earlier_attempts(),
-            retried_below,
+            retried_downstream,
             most_attempts: self.row().route.attempts,
-            left: self.terms.deadline.since(self.context.clock.now()),
-            typical: MIN_RETRY_TIME,
+            time_left: self.terms.deadline.since(self.context.clock.now()),
+            min_time: MIN_RETRY_TIME,
         };
-        let decision = self.context.schedulers.decide_retry(&self.row().pool, &question);
+        let decision = self.context.schedulers.decide_retry(&self.row().pool, &inputs);
         let counters = &self.context.counters;
         match decision {
             RetryDecision::Retry => TrafficCounters::add(&counters.retries),
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -10,7 +10,7 @@
 use pulley_core::process::{FastMap, Incarnation, UpstreamChange, UpstreamList, UpstreamRecord};
 use pulley_core::request::{
     AttemptOutcome, LoadReport, PoolScheduler, ProbeReading, RequestNumber, RequestTicket,
-    RetryAllowance, RetryBudget, RetryDecision, RetryQuestion, SchedulerEffect, SchedulerEffects,
+    RetryAllowance, RetryBudget, RetryDecision, RetryInputs, SchedulerEffect, SchedulerEffects,
 };
 use pulley_core::version::KindPlan;
 use pulley_core::{HostId, IndexedPlan, Moment, PoolName, RefusalCause, UpstreamId, ZoneName};
@@ -218,10 +218,10 @@
 
     /// Decides whether a failed attempt is retried, and charges the retry to the pool's budget.
     #[must_use]
-    pub fn decide_retry(&self, pool: &PoolName, question: &RetryQuestion) -> RetryDecision {
+    pub fn decide_retry(&self, pool: &PoolName, inputs: &RetryInputs) -> RetryDecision {
         match self.cell(pool) {
-            Some(cell) => cell.state.lock().retries.decide(question),
-            None => RetryBudget::new().decide(question),
+            Some(cell) => cell.state.lock().retries.decide(inputs),
+            None => RetryBudget::new().decide(inputs),
         }
     }
 
--- a/crates/pulleyd/src/request/scheduler_set_probes.rs
+++ b/crates/pulleyd/src/request/scheduler_set_probes.rs
@@ -1,8 +1,6 @@
 //! What the schedulers tell arriving requests before they are placed.
 
-use pulley_core::request::{
-    PoolScheduler, ProbeQuestion, ProbeReading, ProbeTarget, RequestTicket,
-};
+use pulley_core::request::{PoolScheduler, ProbeQuery, ProbeReading, ProbeTarget, RequestTicket};
 use pulley_core::{Moment, PoolName, UpstreamId};
 
 use super::SchedulerSet;
@@ -14,9 +12,9 @@
         &self,
         pool: &PoolName,
         ticket: &RequestTicket,
-        question: &ProbeQuestion<'_>,
+        query: &ProbeQuery<'_>,
     ) -> Vec<ProbeTarget> {
-        self.with_scheduler(pool, |scheduler, now| scheduler.probe_targets(now, ticket, question))
+        self.with_scheduler(pool, |scheduler, now| scheduler.probe_targets(now, ticket, query))
             .unwrap_or_default()
     }
 
@@ -36,45 +34,46 @@
 
     /// Whether any upstream of a pool has reported its load within the last second.
     #[must_use]
-    pub fn has_heard(&self, pool: &PoolName) -> bool {
-        self.with_scheduler(pool, |scheduler, now| scheduler.has_heard(now)).unwrap_or_default()
+    pub fn has_recent_reports(&self, pool: &PoolName) -> bool {
+        self.with_scheduler(pool, |scheduler, now| scheduler.has_recent_reports(now))
+            .unwrap_or_default()
     }
 
     /// Records that upstreams have left a probe unanswered.
-    pub fn note_unanswered(&self, pool: &PoolName, upstreams: &[UpstreamId]) {
+    pub fn record_probe_timeout(&self, pool: &PoolName, upstreams: &[UpstreamId]) {
         self.with_scheduler(pool, |scheduler, now| {
-            upstreams.iter().for_each(|upstream| scheduler.note_unanswered(now, upstream));
+            upstreams.iter().for_each(|upstream| scheduler.record_probe_timeout(now, upstream));
         });
     }
 
     /// Returns until when a request may look for an upstream that is worth starting at.
     #[must_use]
-    pub fn patience(&self, pool: &PoolName, ticket: &RequestTicket) -> Moment {
-        self.with_scheduler(pool, |scheduler, now| scheduler.patience(now, ticket))
+    pub fn placement_deadline(&self, pool: &PoolName, ticket: &RequestTicket) -> Moment {
+        self.with_scheduler(pool, |scheduler, now| scheduler.placement_deadline(now, ticket))
             .unwrap_or_else(|| self.clock.now())
     }
 
     /// Whether one of the probed upstreams should answer a request by its target.
     #[must_use]
-    pub fn is_soon(
+    pub fn meets_target(
         &self,
         pool: &PoolName,
         ticket: &RequestTicket,
         readings: &[ProbeReading],
     ) -> bool {
-        self.with_scheduler(pool, |scheduler, now| scheduler.is_soon(now, ticket, readings))
+        self.with_scheduler(pool, |scheduler, now| scheduler.meets_target(now, ticket, readings))
             .unwrap_or_default()
     }
 
     /// Whether a request would start at one of the probed upstreams but may well be answered late.
     #[must_use]
-    pub fn is_risky(
+    pub fn may_miss_target(
         &self,
         pool: &PoolName,
         ticket: &RequestTicket,
         readings: &[ProbeReading],
     ) -> bool {
-        self.with_scheduler(pool, |scheduler, now| scheduler.is_risky(now, ticket, readings))
+        self.with_scheduler(pool, |scheduler, now| scheduler.may_miss_target(now, ticket, readings))
             .unwrap_or_default()
     }
 
