--- a/crates/pulley_bench/src/capacity/plan_cost.rs
+++ b/crates/pulley_bench/src/capacity/plan_cost.rs
@@ -143,7 +143,7 @@
         }
         for wait in [1, 500] {
             let due = now + Duration::from_millis(wait);
-            for (_, delta) in scheduler.take_deltas(due) {
+            for (_, delta) in scheduler.take_reports(due) {
                 coordinator.receive(due, &host, &delta);
             }
         }
--- a/crates/pulley_bench/src/decisions/decision_cost.rs
+++ b/crates/pulley_bench/src/decisions/decision_cost.rs
@@ -5,7 +5,7 @@
 
 use eyre::Result;
 use pulley_core::process::{
-    Announcement, CountDelta, Incarnation, PoolCoordinator, ProbeRate, ShareFraction, SlotCount,
+    Announcement, CountReport, Incarnation, PoolCoordinator, ProbeRate, ShareFraction, SlotCount,
     UpstreamPhase, UpstreamRecord, UpstreamSequence, ZoneName,
 };
 use pulley_core::request::{AttemptOutcome, PoolScheduler, RequestNumber, RequestTicket};
@@ -63,13 +63,13 @@
             .with_bytes_per_second(u32::MAX);
     coordinator.apply_plan(Moment::ZERO, Arc::new(plan()?.into()));
     coordinator.apply_upstreams(Moment::ZERO, &records);
-    let mut deltas: Vec<(HostId, CountDelta)> = Vec::new();
+    let mut deltas: Vec<(HostId, CountReport)> = Vec::new();
     for entry in 0..ENTRIES {
         let host: HostId = format!("h{entry}").parse()?;
         let mut scheduler =
             PoolScheduler::new(host.clone(), zone.clone(), "cover".parse()?, u64::from(entry));
         scheduler.apply_upstreams(Moment::ZERO, &records);
-        let mut taken = scheduler.take_deltas(Moment::ZERO);
+        let mut taken = scheduler.take_reports(Moment::ZERO);
         deltas.push((host, taken.remove(0).1));
     }
     let (mut receiving, mut publishing) = (Duration::ZERO, Duration::ZERO);
--- a/crates/pulley_bench/src/decisions/shared_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/shared_dispatcher.rs
@@ -88,7 +88,7 @@
             return;
         }
         self.reports[entry][pool] = None;
-        for (zone, delta) in self.schedulers[entry][pool].take_deltas(world.now) {
+        for (zone, delta) in self.schedulers[entry][pool].take_reports(world.now) {
             let host = match &delta.to {
                 Some(host) => self.host_at(host),
                 None => {
@@ -104,7 +104,7 @@
     }
 
     fn rearm_report(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
-        let Some(at) = self.schedulers[entry][pool].next_delta_at() else { return };
+        let Some(at) = self.schedulers[entry][pool].next_report_at() else { return };
         let at = at.max(world.now + TIMER_STEP);
         let planned = &mut self.reports[entry][pool];
         if world.now < world.end && planned.is_none_or(|planned| at < planned) {
@@ -220,7 +220,7 @@
         let Ok(record) = world.deployment.record(model.pool, model.index) else { return };
         let outcome = ProbeOutcome::Answered { latency: PROBE_TIME, report: None };
         let coordinator = &mut self.coordinators[place].coordinator;
-        coordinator.probed(world.now, &record.announcement.id, outcome);
+        coordinator.record_probe(world.now, &record.announcement.id, outcome);
     }
 }
 
--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use eyre::Result;
-use pulley_core::process::{CountDelta, CountSum, UpstreamPhase, UpstreamRecord};
+use pulley_core::process::{CountReport, CountSum, UpstreamPhase, UpstreamRecord};
 use pulley_core::request::{
     AttemptOutcome, RequestVerdict, RetryBudget, RetryDecision, RetryInputs,
 };
@@ -65,7 +65,7 @@
 /// What one host tells another.
 #[derive(Clone, Debug)]
 pub(crate) enum MessageBody {
-    Delta(Box<CountDelta>),
+    Delta(Box<CountReport>),
     Sum(Box<CountSum>),
     Ask { call: usize },
     Grant { call: usize, upstream: usize },
--- a/crates/pulley_core/src/process/counts/count_link.rs
+++ b/crates/pulley_core/src/process/counts/count_link.rs
@@ -4,7 +4,7 @@
 
 use super::count_message::{FAN_OUT, split_route};
 use super::{
-    CountDelta, CountEpoch, CountKey, CountRound, CountSum, FastMap, HostId, Moment, ZoneName,
+    CountEpoch, CountKey, CountReport, CountRound, CountSum, FastMap, HostId, Moment, ZoneName,
 };
 
 /// How long counts stay valid without a new sum.
@@ -56,7 +56,7 @@
     /// When the last direct report was sent, or when the first one is due.
     direct_at: Moment,
     direct_sent: bool,
-    reports: FastMap<HostId, Vec<CountDelta>>,
+    reports: FastMap<HostId, Vec<CountReport>>,
     relays: Vec<(HostId, CountSum)>,
 }
 
@@ -124,17 +124,17 @@
     }
 
     /// Keeps another entry's report for the current round until this entry's own report is due.
-    pub(crate) fn keep_report(&mut self, from: &HostId, delta: &CountDelta) {
-        let answers = delta.epoch == self.epoch
-            && delta.coordinator == self.coordinator
-            && delta.round == Some(self.round)
-            && delta.depth == self.depth.saturating_add(1);
+    pub(crate) fn keep_report(&mut self, from: &HostId, report: &CountReport) {
+        let answers = report.epoch == self.epoch
+            && report.coordinator == self.coordinator
+            && report.round == Some(self.round)
+            && report.depth == self.depth.saturating_add(1);
         if !answers || self.report_at.is_none() {
             return;
         }
         let kept = self.reports.entry(from.clone()).or_default();
-        if kept.iter().all(|known| known.rows.first != delta.rows.first) {
-            kept.push(delta.clone());
+        if kept.iter().all(|known| known.rows.first != report.rows.first) {
+            kept.push(report.clone());
         }
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Whether a direct report to the coordinator is due; if so, records that it is sent.
-    pub(crate) fn start_straight(&mut self, now: Moment) -> bool {
+    pub(crate) fn start_direct_report(&mut self, now: Moment) -> bool {
         if now < self.direct_due() {
             return false;
         }
@@ -163,8 +163,8 @@
 
     /// Returns when the next report is due.
     pub(crate) fn next_at(&self) -> Moment {
-        let straight = self.direct_due();
-        self.report_at.map_or(straight, |at| at.min(straight))
+        let direct = self.direct_due();
+        self.report_at.map_or(direct, |at| at.min(direct))
     }
 
     /// Returns the age of the newest sum; `None` if there is no valid one.
@@ -191,7 +191,7 @@
     }
 
     /// Returns the largest number of entries that recent sums have reported.
-    pub(crate) fn known(&self) -> u16 {
+    pub(crate) fn largest_known(&self) -> u16 {
         self.largest_known
     }
 
@@ -224,5 +224,5 @@
     pub(crate) to: Option<HostId>,
     pub(crate) round: CountRound,
     pub(crate) depth: u8,
-    pub(crate) reports: Vec<CountDelta>,
+    pub(crate) reports: Vec<CountReport>,
 }
--- a/crates/pulley_core/src/process/counts/count_message.rs
+++ b/crates/pulley_core/src/process/counts/count_message.rs
@@ -45,7 +45,7 @@
 /// All numbers are absolute and belong to one round, so a lost, duplicated or late message causes
 /// no error in the next round.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CountDelta {
+pub struct CountReport {
     /// The destination host; `None` for the zone's coordinator. It is not sent.
     #[serde(skip)]
     pub to: Option<HostId>,
@@ -67,7 +67,7 @@
     /// The number of entries whose counts are included.
     pub hosts: u16,
     /// The largest number of entries that recent sums have reported to the sender.
-    pub known: u16,
+    pub largest_known: u16,
     /// The counts.
     pub rows: CountRows,
 }
@@ -101,7 +101,7 @@
     pub rows: CountRows,
 }
 
-impl CountDelta {
+impl CountReport {
     /// Encodes the message for the network.
     ///
     /// # Errors
--- a/crates/pulley_core/src/process/counts/count_rows.rs
+++ b/crates/pulley_core/src/process/counts/count_rows.rs
@@ -13,9 +13,9 @@
 
 /// Answers that one or several entries received from one upstream since their last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamNews {
+pub struct UpstreamOutcomes {
     /// The upstream's position in the list.
-    pub place: u16,
+    pub index: u16,
     /// The number of successful answers.
     pub answers: u16,
     /// The number of failures.
@@ -43,18 +43,18 @@
     /// The position of the first row.
     pub first: u16,
     /// A digest of the whole list.
-    pub layout: u16,
+    pub layout_digest: u16,
     /// The key of each row's upstream; empty while the list is stable.
     pub keys: Vec<CountKey>,
     /// The number of outstanding requests at each upstream.
     pub in_flight: Vec<u16>,
     /// Answers since the last report, for upstreams that gave any. Sent up the tree only.
-    pub news: Vec<UpstreamNews>,
+    pub outcomes: Vec<UpstreamOutcomes>,
     /// The usable fraction in 255ths, for upstreams that are not fully usable. Sent down the tree
     /// only.
     pub health: Vec<(u16, u8)>,
     /// A digest of the pool's kinds.
-    pub plan: u16,
+    pub kinds_digest: u16,
     /// The running and waiting requests of each kind.
     pub kinds: Vec<KindUse>,
 }
@@ -88,10 +88,10 @@
 
     /// Maps each row of a message to its position in this list; `None` if the message cannot be
     /// read here.
-    pub(crate) fn places(&self, rows: &CountRows) -> Option<Vec<Option<usize>>> {
-        if rows.layout == self.digest {
+    pub(crate) fn indices(&self, rows: &CountRows) -> Option<Vec<Option<usize>>> {
+        if rows.layout_digest == self.digest {
             let first = usize::from(rows.first);
-            let known = |place: usize| (place < self.keys.len()).then_some(place);
+            let known = |index: usize| (index < self.keys.len()).then_some(index);
             return Some((first..first + rows.in_flight.len()).map(known).collect());
         }
         if rows.keys.len() != rows.in_flight.len() {
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CountTotals {
     pub(crate) in_flight: Vec<u32>,
-    pub(crate) news: Vec<UpstreamNews>,
+    pub(crate) outcomes: Vec<UpstreamOutcomes>,
     pub(crate) kinds: Vec<(u32, u32)>,
     pub(crate) hosts: u32,
 }
@@ -121,29 +121,34 @@
     pub(crate) fn new(upstreams: usize, kinds: usize) -> Self {
         Self {
             in_flight: vec![0; upstreams],
-            news: vec![UpstreamNews::default(); upstreams],
+            outcomes: vec![UpstreamOutcomes::default(); upstreams],
             kinds: vec![(0, 0); kinds.min(KINDS_PER_MESSAGE)],
             hosts: 0,
         }
     }
 
     /// Adds a message's counts; returns false if its rows cannot be mapped to this list.
-    pub(crate) fn add(&mut self, layout: &CountLayout, plan: u16, rows: &CountRows) -> bool {
-        let Some(places) = layout.places(rows) else { return false };
-        for (place, count) in places.iter().zip(&rows.in_flight) {
-            if let Some(place) = place {
-                self.in_flight[*place] += u32::from(*count);
+    pub(crate) fn add(
+        &mut self,
+        layout: &CountLayout,
+        kinds_digest: u16,
+        rows: &CountRows,
+    ) -> bool {
+        let Some(indices) = layout.indices(rows) else { return false };
+        for (index, count) in indices.iter().zip(&rows.in_flight) {
+            if let Some(index) = index {
+                self.in_flight[*index] += u32::from(*count);
             }
         }
-        for news in &rows.news {
-            let row = usize::from(news.place).checked_sub(usize::from(rows.first));
-            let place = row.and_then(|row| places.get(row).copied().flatten());
-            if let Some(place) = place {
-                self.news[place].add(news);
+        for outcomes in &rows.outcomes {
+            let row = usize::from(outcomes.index).checked_sub(usize::from(rows.first));
+            let index = row.and_then(|row| indices.get(row).copied().flatten());
+            if let Some(index) = index {
+                self.outcomes[index].add(outcomes);
             }
         }
         // Only the first part carries the kinds, so that several parts do not count them twice.
-        if rows.first == 0 && rows.plan == plan {
+        if rows.first == 0 && rows.kinds_digest == kinds_digest {
             for (total, kind) in self.kinds.iter_mut().zip(&rows.kinds) {
                 total.0 += u32::from(kind.in_flight);
                 total.1 += u32::from(kind.queued);
@@ -153,26 +158,35 @@
     }
 
     /// Converts the totals to message rows, in as many parts as needed.
-    pub(crate) fn rows(&self, layout: &CountLayout, plan: u16, with_keys: bool) -> Vec<CountRows> {
+    pub(crate) fn rows(
+        &self,
+        layout: &CountLayout,
+        kinds_digest: u16,
+        with_keys: bool,
+    ) -> Vec<CountRows> {
         let parts = self.in_flight.chunks(ROWS_PER_MESSAGE).enumerate();
         let mut all: Vec<CountRows> = parts
             .map(|(part, counts)| {
                 let first = part * ROWS_PER_MESSAGE;
-                let places = first..first + counts.len();
+                let indices = first..first + counts.len();
                 CountRows {
                     first: saturate(first),
-                    layout: layout.digest(),
-                    keys: if with_keys { layout.keys()[places.clone()].to_vec() } else { vec![] },
+                    layout_digest: layout.digest(),
+                    keys: if with_keys { layout.keys()[indices.clone()].to_vec() } else { vec![] },
                     in_flight: counts.iter().map(|count| saturate(*count as usize)).collect(),
-                    news: self.news_rows(places),
+                    outcomes: self.outcome_rows(indices),
                     health: Vec::new(),
-                    plan,
+                    kinds_digest,
                     kinds: Vec::new(),
                 }
             })
             .collect();
         if all.is_empty() {
-            all.push(CountRows { layout: layout.digest(), plan, ..CountRows::default() });
+            all.push(CountRows {
+                layout_digest: layout.digest(),
+                kinds_digest,
+                ..CountRows::default()
+            });
         }
         let kinds = self.kinds.iter();
         all[0].kinds = kinds
@@ -184,13 +198,15 @@
         all
     }
 
-    fn news_rows(&self, places: std::ops::Range<usize>) -> Vec<UpstreamNews> {
-        let changed = places.filter(|place| self.news[*place].is_some());
-        changed.map(|place| UpstreamNews { place: saturate(place), ..self.news[place] }).collect()
+    fn outcome_rows(&self, indices: std::ops::Range<usize>) -> Vec<UpstreamOutcomes> {
+        let changed = indices.filter(|index| self.outcomes[*index].is_some());
+        changed
+            .map(|index| UpstreamOutcomes { index: saturate(index), ..self.outcomes[index] })
+            .collect()
     }
 }
 
-impl UpstreamNews {
+impl UpstreamOutcomes {
     /// Whether there is any answer or failure.
     #[must_use]
     pub const fn is_some(&self) -> bool {
--- a/crates/pulley_core/src/process/counts/mod.rs
+++ b/crates/pulley_core/src/process/counts/mod.rs
@@ -12,9 +12,9 @@
 pub use count_key::CountKey;
 pub use count_link::COUNT_TTL;
 pub use count_message::{
-    COUNT_MESSAGE_LIMIT, CountDelta, CountEpoch, CountFault, CountRound, CountSum,
+    COUNT_MESSAGE_LIMIT, CountEpoch, CountFault, CountReport, CountRound, CountSum,
 };
-pub use count_rows::{CountRows, KindUse, UpstreamNews};
+pub use count_rows::{CountRows, KindUse, UpstreamOutcomes};
 pub use pool_coordinator::{
     COUNT_BYTES_PER_SECOND, CoordinatorOutput, PoolCoordinator, ProbeOutcome,
 };
@@ -23,7 +23,7 @@
 pub(crate) use count_key::stable_hash;
 pub(crate) use count_link::CountLink;
 pub(crate) use count_rows::{CountLayout, CountTotals, digest_of};
-pub(crate) use pool_coordinator::KEYS_FOR;
+pub(crate) use pool_coordinator::LAYOUT_KEYS_PERIOD;
 pub(crate) use upstream_health::{UpstreamHealth, median_ms};
 
 use super::{
--- a/crates/pulley_core/src/process/counts/pool_coordinator.rs
+++ b/crates/pulley_core/src/process/counts/pool_coordinator.rs
@@ -15,7 +15,7 @@
 use super::report_collector::{CollectorRound, ReportCollector};
 use super::upstream_health::{UpstreamHealth, median_ms};
 use super::{
-    CountDelta, CountEpoch, CountKey, CountLayout, CountRound, CountRows, CountSum, CountTotals,
+    CountEpoch, CountKey, CountLayout, CountReport, CountRound, CountRows, CountSum, CountTotals,
     FastMap, HostId, Moment, PoolName, ProbeBudget, ProbeRate, UpstreamId, UpstreamRecord,
     ZoneName,
 };
@@ -59,7 +59,7 @@
 const TAKEOVER_DELAY: Duration = Duration::from_secs(2);
 
 /// How long keys are sent along with the counts after the list of upstreams has changed.
-pub(crate) const KEYS_FOR: Duration = Duration::from_secs(3);
+pub(crate) const LAYOUT_KEYS_PERIOD: Duration = Duration::from_secs(3);
 
 /// The outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -224,15 +224,15 @@
     }
 
     /// Takes in an entry's report.
-    pub fn receive(&mut self, now: Moment, from: &HostId, delta: &CountDelta) {
-        if delta.pool != self.pool || delta.zone.as_ref().is_some_and(|zone| *zone != self.zone) {
+    pub fn receive(&mut self, now: Moment, from: &HostId, report: &CountReport) {
+        if report.pool != self.pool || report.zone.as_ref().is_some_and(|zone| *zone != self.zone) {
             return;
         }
         // An entry that has seen the same or a higher epoch of another coordinator ignores this
         // one's. That host was coordinator before, or is one for entries that cannot see this host.
-        let straight = delta.round.is_none();
-        if straight && delta.coordinator != self.key && delta.epoch >= self.epoch {
-            self.epoch = CountEpoch(delta.epoch.0.saturating_add(1));
+        let direct = report.round.is_none();
+        if direct && report.coordinator != self.key && report.epoch >= self.epoch {
+            self.epoch = CountEpoch(report.epoch.0.saturating_add(1));
             self.round = CountRound(0);
         }
         let current = CollectorRound {
@@ -242,7 +242,7 @@
             layout: &self.layout,
             kinds_digest: self.kinds_digest,
         };
-        self.collector.receive(now, from, delta, &current);
+        self.collector.receive(now, from, report, &current);
     }
 
     /// Takes in the outcome of a probe.
@@ -250,13 +250,13 @@
     /// Answers to callers outweigh probes. Otherwise a health endpoint that reports "healthy" while
     /// calls fail would attract load to a broken upstream. A failed probe counts as one failed
     /// answer, and a successful one does not count at all.
-    pub fn probed(&mut self, now: Moment, upstream: &UpstreamId, outcome: ProbeOutcome) {
+    pub fn record_probe(&mut self, now: Moment, upstream: &UpstreamId, outcome: ProbeOutcome) {
         let found = self.upstreams.iter_mut().find(|known| known.id == *upstream);
         let Some(known) = found else { return };
         known.seen = now;
         if outcome == ProbeOutcome::Failed {
-            let news = super::UpstreamNews { failures: 1, ..Default::default() };
-            known.health.note(now, &news, 0.0);
+            let outcomes = super::UpstreamOutcomes { failures: 1, ..Default::default() };
+            known.health.record(now, &outcomes, 0.0);
         }
     }
 
@@ -312,14 +312,14 @@
         self.adapt_step_time(totals.hosts, listed);
         extrapolate_totals(&mut totals, listed);
         self.apply_totals(now, &totals);
-        totals.news.fill(super::UpstreamNews::default());
+        totals.outcomes.fill(super::UpstreamOutcomes::default());
         let counted = (totals.hosts > 0).then_some(self.round);
         self.round = CountRound(self.round.0 + 1);
         route.shuffle(&mut self.rng);
         self.collector.set_route(&route);
         let interval = self.interval(listed);
         self.next_round_at = now + interval;
-        let with_keys = now.since(self.layout_since) < KEYS_FOR;
+        let with_keys = now.since(self.layout_since) < LAYOUT_KEYS_PERIOD;
         // The coordinator sends a single copy, and the entry that receives it, a different one each
         // round, forwards it. This spreads the bandwidth of publishing over the entries too.
         let hops = split_route(&route, 1);
@@ -394,9 +394,9 @@
 
     fn apply_totals(&mut self, now: Moment, totals: &CountTotals) {
         let pool_ms = self.median_latency_ms();
-        for (upstream, news) in self.upstreams.iter_mut().zip(&totals.news) {
-            if news.is_some() {
-                upstream.health.note(now, news, pool_ms);
+        for (upstream, outcomes) in self.upstreams.iter_mut().zip(&totals.outcomes) {
+            if outcomes.is_some() {
+                upstream.health.record(now, outcomes, pool_ms);
                 upstream.seen = now;
             }
         }
--- a/crates/pulley_core/src/process/counts/report_collector.rs
+++ b/crates/pulley_core/src/process/counts/report_collector.rs
@@ -2,7 +2,7 @@
 
 use super::count_link::direct_report_interval;
 use super::{
-    CountDelta, CountEpoch, CountKey, CountLayout, CountRound, CountTotals, FastMap, FastSet,
+    CountEpoch, CountKey, CountLayout, CountReport, CountRound, CountTotals, FastMap, FastSet,
     HostId, Moment,
 };
 /// How many direct reports an entry may miss before it is dropped from the list.
@@ -43,26 +43,26 @@
         &mut self,
         now: Moment,
         from: &HostId,
-        delta: &CountDelta,
+        report: &CountReport,
         current: &CollectorRound<'_>,
     ) {
-        if delta.round.is_none() {
-            let entry = ListedEntry { last_report_at: now, largest_known: delta.known };
+        if report.round.is_none() {
+            let entry = ListedEntry { last_report_at: now, largest_known: report.largest_known };
             self.entries.insert(from.clone(), entry);
         }
-        let belongs = match delta.round {
+        let belongs = match report.round {
             Some(round) => {
-                (delta.epoch, delta.coordinator, round, delta.depth)
+                (report.epoch, report.coordinator, round, report.depth)
                     == (current.epoch, current.coordinator, current.round, 1)
             }
             None => !self.reached.contains(from),
         };
-        if !belongs || !self.received_parts.insert((from.clone(), delta.rows.first)) {
+        if !belongs || !self.received_parts.insert((from.clone(), report.rows.first)) {
             return;
         }
-        let added = self.totals.add(current.layout, current.kinds_digest, &delta.rows);
-        if added && delta.rows.first == 0 {
-            self.totals.hosts += u32::from(delta.hosts);
+        let added = self.totals.add(current.layout, current.kinds_digest, &report.rows);
+        if added && report.rows.first == 0 {
+            self.totals.hosts += u32::from(report.hosts);
         }
     }
 
--- a/crates/pulley_core/src/process/counts/upstream_health.rs
+++ b/crates/pulley_core/src/process/counts/upstream_health.rs
@@ -1,6 +1,6 @@
 //! Estimates the usable fraction of an upstream's slots from the answers that callers get.
 
-use super::{Moment, UpstreamNews};
+use super::{Moment, UpstreamOutcomes};
 
 /// The smallest usable fraction. It keeps enough requests flowing to notice a recovery.
 pub(crate) const MIN_USABLE: f32 = 0.05;
@@ -47,16 +47,16 @@
     }
 
     /// Updates the health from answers. `pool_ms` is the pool's median latency, 0 if unknown.
-    pub(crate) fn note(&mut self, now: Moment, news: &UpstreamNews, pool_ms: f32) {
+    pub(crate) fn record(&mut self, now: Moment, outcomes: &UpstreamOutcomes, pool_ms: f32) {
         self.recover(now);
-        for _ in 0..news.failures.min(20) {
+        for _ in 0..outcomes.failures.min(20) {
             self.usable = (self.usable * FAILURE_FACTOR).max(MIN_USABLE);
         }
-        if news.answers == 0 {
+        if outcomes.answers == 0 {
             return;
         }
-        let answers = f32::from(news.answers);
-        let mean_ms = f32::from(news.total_ms) / answers;
+        let answers = f32::from(outcomes.answers);
+        let mean_ms = f32::from(outcomes.total_ms) / answers;
         self.answers = (self.answers + answers).min(SMOOTHING_ANSWERS);
         let weight = (answers / self.answers).min(1.0);
         self.latency_ms += weight * (mean_ms - self.latency_ms);
--- a/crates/pulley_core/src/process/mod.rs
+++ b/crates/pulley_core/src/process/mod.rs
@@ -12,9 +12,9 @@
 mod upstream;
 
 pub use counts::{
-    COUNT_BYTES_PER_SECOND, COUNT_MESSAGE_LIMIT, COUNT_TTL, CoordinatorOutput, CountDelta,
-    CountEpoch, CountFault, CountKey, CountRound, CountRows, CountSum, KindUse, PoolCoordinator,
-    ProbeOutcome, UpstreamNews, coordinator_for,
+    COUNT_BYTES_PER_SECOND, COUNT_MESSAGE_LIMIT, COUNT_TTL, CoordinatorOutput, CountEpoch,
+    CountFault, CountKey, CountReport, CountRound, CountRows, CountSum, KindUse, PoolCoordinator,
+    ProbeOutcome, UpstreamOutcomes, coordinator_for,
 };
 pub use fast_map::{FastMap, FastSet};
 pub use link_pacer::LinkPacer;
@@ -39,7 +39,7 @@
 };
 
 pub(crate) use counts::{
-    CountLayout, CountLink, CountTotals, KEYS_FOR, UpstreamHealth, digest_of, median_ms,
+    CountLayout, CountLink, CountTotals, LAYOUT_KEYS_PERIOD, UpstreamHealth, digest_of, median_ms,
     stable_hash,
 };
 pub(crate) use registry::{SharedClock, SharedTime};
--- a/crates/pulley_core/src/request/pool_scheduler_counts.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_counts.rs
@@ -4,8 +4,8 @@
 
 use super::PoolScheduler;
 use crate::process::{
-    CountDelta, CountLink, CountRound, CountRows, CountSum, CountTotals, HostId, KEYS_FOR, Moment,
-    ZoneName,
+    CountLink, CountReport, CountRound, CountRows, CountSum, CountTotals, HostId,
+    LAYOUT_KEYS_PERIOD, Moment, ZoneName,
 };
 use crate::request::SchedulerEffects;
 
@@ -55,22 +55,22 @@
     }
 
     /// Keeps another entry's report, to be added to this entry's own.
-    pub fn receive_report(&mut self, from: &HostId, delta: &CountDelta) {
-        if let Some(link) = self.link.as_mut().filter(|_| delta.pool == self.pool) {
-            link.keep_report(from, delta);
+    pub fn receive_report(&mut self, from: &HostId, report: &CountReport) {
+        if let Some(link) = self.link.as_mut().filter(|_| report.pool == self.pool) {
+            link.keep_report(from, report);
         }
     }
 
     /// Returns the reports that are due. Each goes to the host in its `to`, or to the coordinator
     /// of the zone returned with it if there is none.
-    pub fn take_deltas(&mut self, now: Moment) -> Vec<(ZoneName, CountDelta)> {
-        let mut deltas = Vec::new();
-        let Some(link) = self.link.as_mut() else { return deltas };
-        let (zone, known) = (link.zone.clone(), link.known());
+    pub fn take_reports(&mut self, now: Moment) -> Vec<(ZoneName, CountReport)> {
+        let mut reports = Vec::new();
+        let Some(link) = self.link.as_mut() else { return reports };
+        let (zone, largest_known) = (link.zone.clone(), link.largest_known());
         let terms = link.start_report(now);
-        let straight = link.start_straight(now);
+        let direct = link.start_direct_report(now);
         let (epoch, coordinator) = link.epoch();
-        let base = CountDelta {
+        let base = CountReport {
             to: None,
             pool: self.pool.clone(),
             zone: Some(zone.clone()),
@@ -79,7 +79,7 @@
             round: None,
             depth: 0,
             hosts: 1,
-            known,
+            largest_known,
             rows: CountRows::default(),
         };
         if let Some(terms) = terms {
@@ -95,20 +95,20 @@
             let round = Some(terms.round);
             let to = terms.to;
             let depth = terms.depth;
-            let base = CountDelta { to, zone: None, round, depth, hosts, ..base.clone() };
-            let with_keys = now.since(self.layout_since) < KEYS_FOR;
-            self.push_parts(&zone, &base, &totals, with_keys, &mut deltas);
+            let base = CountReport { to, zone: None, round, depth, hosts, ..base.clone() };
+            let with_keys = now.since(self.layout_since) < LAYOUT_KEYS_PERIOD;
+            self.push_parts(&zone, &base, &totals, with_keys, &mut reports);
         }
-        if straight {
+        if direct {
             let totals = self.own_totals(false);
-            self.push_parts(&zone, &base, &totals, true, &mut deltas);
+            self.push_parts(&zone, &base, &totals, true, &mut reports);
         }
-        deltas
+        reports
     }
 
-    /// Returns when [`Self::take_deltas`] next has a report, if ever.
+    /// Returns when [`Self::take_reports`] next has a report, if ever.
     #[must_use]
-    pub fn next_delta_at(&self) -> Option<Moment> {
+    pub fn next_report_at(&self) -> Option<Moment> {
         self.link.as_ref().map(CountLink::next_at)
     }
 
@@ -129,8 +129,8 @@
             self.shares.discard_others();
             // This entry may use its part of the pool and as much again. Other entries may do the
             // same while nobody counts. The upstreams' queues take the excess.
-            let known = f32::from(link.known().max(1));
-            let room = self.upstreams.usable_slots() * UNCOUNTED_OVERCOMMIT / known;
+            let largest_known = f32::from(link.largest_known().max(1));
+            let room = self.upstreams.usable_slots() * UNCOUNTED_OVERCOMMIT / largest_known;
             self.shares.lease_without_counts(room.max(UNCOUNTED_MIN));
             self.upstreams.refresh(now);
         }
@@ -143,24 +143,24 @@
     }
 
     fn apply_rows(&mut self, rows: &CountRows, counted: Option<CountRound>) -> bool {
-        let Some(places) = self.upstreams.layout().places(rows) else { return false };
+        let Some(indices) = self.upstreams.layout().indices(rows) else { return false };
         let sent = self.sent.iter().find(|sent| Some(sent.round) == counted);
-        for (row, place) in places.iter().enumerate() {
-            let Some(place) = *place else { continue };
-            let own = sent.map_or(0, |sent| sent.in_flight[place]);
-            let state = self.upstreams.at_place(place);
+        for (row, index) in indices.iter().enumerate() {
+            let Some(index) = *index else { continue };
+            let own = sent.map_or(0, |sent| sent.in_flight[index]);
+            let state = self.upstreams.at_place(index);
             let others = u32::from(rows.in_flight[row]).saturating_sub(own);
             state.others = f32::from(u16::try_from(others).unwrap_or(u16::MAX));
             state.shared_usable = 1.0;
         }
-        for (place, usable) in &rows.health {
-            let row = usize::from(*place).checked_sub(usize::from(rows.first));
-            let place = row.and_then(|row| places.get(row).copied().flatten());
-            if let Some(place) = place {
-                self.upstreams.at_place(place).shared_usable = f32::from(*usable) / 255.0;
+        for (index, usable) in &rows.health {
+            let row = usize::from(*index).checked_sub(usize::from(rows.first));
+            let index = row.and_then(|row| indices.get(row).copied().flatten());
+            if let Some(index) = index {
+                self.upstreams.at_place(index).shared_usable = f32::from(*usable) / 255.0;
             }
         }
-        if rows.first == 0 && rows.plan == self.shares.digest() {
+        if rows.first == 0 && rows.kinds_digest == self.shares.digest() {
             let uses = rows.kinds.iter();
             let totals: Vec<_> =
                 uses.map(|kind| (u32::from(kind.in_flight), u32::from(kind.queued))).collect();
@@ -170,16 +170,16 @@
         true
     }
 
-    /// Returns the entry's own counts, with the answers since the last report if `with_news` is
+    /// Returns the entry's own counts, with the answers since the last report if `with_outcomes` is
     /// set.
-    fn own_totals(&mut self, with_news: bool) -> CountTotals {
+    fn own_totals(&mut self, with_outcomes: bool) -> CountTotals {
         let upstreams = self.upstreams.layout().len();
         let mut totals = CountTotals::new(upstreams, self.shares.len());
-        for place in 0..upstreams {
-            let state = self.upstreams.at_place(place);
-            totals.in_flight[place] = state.own;
-            if with_news {
-                totals.news[place] = std::mem::take(&mut state.news);
+        for index in 0..upstreams {
+            let state = self.upstreams.at_place(index);
+            totals.in_flight[index] = state.own;
+            if with_outcomes {
+                totals.outcomes[index] = std::mem::take(&mut state.outcomes);
             }
         }
         let queue = &self.queue;
@@ -203,13 +203,13 @@
     fn push_parts(
         &self,
         zone: &ZoneName,
-        base: &CountDelta,
+        base: &CountReport,
         totals: &CountTotals,
         with_keys: bool,
-        deltas: &mut Vec<(ZoneName, CountDelta)>,
+        reports: &mut Vec<(ZoneName, CountReport)>,
     ) {
         for rows in totals.rows(self.upstreams.layout(), self.shares.digest(), with_keys) {
-            deltas.push((zone.clone(), CountDelta { rows, ..base.clone() }));
+            reports.push((zone.clone(), CountReport { rows, ..base.clone() }));
         }
     }
 }
--- a/crates/pulley_core/src/request/upstream_state.rs
+++ b/crates/pulley_core/src/request/upstream_state.rs
@@ -4,7 +4,7 @@
 
 use super::{AttemptOutcome, ColdRateLimit, LoadReport};
 use crate::process::{
-    CountKey, Moment, UpstreamHealth, UpstreamNews, UpstreamPhase, UpstreamRecord,
+    CountKey, Moment, UpstreamHealth, UpstreamOutcomes, UpstreamPhase, UpstreamRecord,
 };
 
 /// Part of its slots that a warming upstream starts with, and the time until all of them are used.
@@ -44,7 +44,7 @@
     /// The other entries' outstanding requests, as of the newest sum.
     pub(crate) others: f32,
     /// Answers and failures since the last report.
-    pub(crate) news: UpstreamNews,
+    pub(crate) outcomes: UpstreamOutcomes,
     health: UpstreamHealth,
     /// The usable part according to all entries together.
     pub(crate) shared_usable: f32,
@@ -72,7 +72,7 @@
             in_subset: false,
             own: 0,
             others: 0.0,
-            news: UpstreamNews::default(),
+            outcomes: UpstreamOutcomes::default(),
             health: UpstreamHealth::new(now),
             shared_usable: 1.0,
             last_report: None,
@@ -192,20 +192,20 @@
         pool_ms: f32,
     ) {
         self.own = self.own.saturating_sub(1);
-        let mut news = UpstreamNews::default();
+        let mut outcomes = UpstreamOutcomes::default();
         match outcome {
             AttemptOutcome::Answered => {
-                news.answers = 1;
+                outcomes.answers = 1;
                 // At least 1, so that many answers of half a millisecond do not add up to zero.
-                news.total_ms = u16::try_from(took.as_millis()).unwrap_or(u16::MAX).max(1);
+                outcomes.total_ms = u16::try_from(took.as_millis()).unwrap_or(u16::MAX).max(1);
             }
             AttemptOutcome::Cancelled => return,
             AttemptOutcome::Failed
             | AttemptOutcome::Shed
             | AttemptOutcome::Unreachable
-            | AttemptOutcome::Broken => news.failures = 1,
+            | AttemptOutcome::Broken => outcomes.failures = 1,
         }
-        self.health.note(now, &news, pool_ms);
-        self.news.add(&news);
+        self.health.record(now, &outcomes, pool_ms);
+        self.outcomes.add(&outcomes);
     }
 }
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pulley_core::process::{
-    Announcement, CoordinatorOutput, CountDelta, CountSum, Incarnation, PoolCoordinator,
+    Announcement, CoordinatorOutput, CountReport, CountSum, Incarnation, PoolCoordinator,
     ProbeBudget, ProbeRate, ShareFraction, SlotCount, UpstreamPhase, UpstreamRecord,
     UpstreamSequence, coordinator_for,
 };
@@ -99,7 +99,7 @@
 
 #[derive(Clone)]
 enum CountFrame {
-    Delta(Box<CountDelta>),
+    Report(Box<CountReport>),
     Sum(Box<CountSum>),
 }
 
@@ -155,9 +155,9 @@
             }
             for entry in 0..self.entries.len() {
                 effects.extend(self.entries[entry].tick(now));
-                for (_, delta) in self.entries[entry].take_deltas(now) {
-                    let to = delta.to.as_ref().map_or(self.coordinator_host, index_of);
-                    self.send(now, entry, to, &CountFrame::Delta(Box::new(delta)));
+                for (_, report) in self.entries[entry].take_reports(now) {
+                    let to = report.to.as_ref().map_or(self.coordinator_host, index_of);
+                    self.send(now, entry, to, &CountFrame::Report(Box::new(report)));
                 }
             }
             self.coordinate(now);
@@ -187,12 +187,12 @@
         effects: &mut Vec<SchedulerEffect>,
     ) {
         match frame {
-            CountFrame::Delta(delta) => {
+            CountFrame::Report(report) => {
                 if to == self.coordinator_host {
-                    self.coordinator.receive(now, &host(from), &delta);
+                    self.coordinator.receive(now, &host(from), &report);
                 }
                 if let Some(entry) = self.entries.get_mut(to) {
-                    entry.receive_report(&host(from), &delta);
+                    entry.receive_report(&host(from), &report);
                 }
             }
             CountFrame::Sum(sum) => {
@@ -235,8 +235,8 @@
     for number in 0..3 {
         scheduler.arrive(now, &ticket(number, 1, now + Duration::from_secs(1)));
     }
-    for (_, delta) in scheduler.take_deltas(now) {
-        coordinator.receive(now, &host(0), &delta);
+    for (_, report) in scheduler.take_reports(now) {
+        coordinator.receive(now, &host(0), &report);
     }
     coordinator.apply_plan(now, plan);
     coordinator.apply_upstreams(now, &records(5));
--- a/crates/pulley_core/tests/pool_scheduler.rs
+++ b/crates/pulley_core/tests/pool_scheduler.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pulley_core::process::{
-    Announcement, CountDelta, CountEpoch, CountKey, CountRound, CountRows, CountSum, Incarnation,
+    Announcement, CountEpoch, CountKey, CountReport, CountRound, CountRows, CountSum, Incarnation,
     KindUse, ProbeRate, ShareFraction, SlotCount, UpstreamPhase, UpstreamRecord, UpstreamSequence,
 };
 use pulley_core::request::{
@@ -95,9 +95,9 @@
     assert_eq!(started(&next), [99]);
 }
 
-fn sum_for(delta: &CountDelta, round: u32, in_flight: Vec<u16>, kinds: Vec<KindUse>) -> CountSum {
+fn sum_for(report: &CountReport, round: u32, in_flight: Vec<u16>, kinds: Vec<KindUse>) -> CountSum {
     CountSum {
-        pool: delta.pool.clone(),
+        pool: report.pool.clone(),
         coordinator: CountKey::of("h2"),
         epoch: CountEpoch(1),
         round: CountRound(round),
@@ -108,7 +108,7 @@
         step: 4,
         sender: "h2".parse().expect("name"),
         route: Vec::new(),
-        rows: CountRows { in_flight, kinds, news: Vec::new(), ..delta.rows.clone() },
+        rows: CountRows { in_flight, kinds, outcomes: Vec::new(), ..report.rows.clone() },
     }
 }
 
@@ -117,10 +117,10 @@
 #[test]
 fn tight_pool_holds_back_all_but_first_kinds() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000), row("first", 0, 5_000)], 1, 2);
-    let (_, delta) = scheduler.take_deltas(Moment::ZERO).remove(0);
+    let (_, report) = scheduler.take_reports(Moment::ZERO).remove(0);
     let now = Moment::ZERO + MS;
     let others = vec![KindUse { in_flight: 5, queued: 30 }, KindUse { in_flight: 0, queued: 0 }];
-    scheduler.receive_sum(now, &sum_for(&delta, 1, vec![5], others));
+    scheduler.receive_sum(now, &sum_for(&report, 1, vec![5], others));
     let deadline = Moment::ZERO + 500 * MS;
     let mut running = Vec::new();
     for number in 0..6 {
@@ -130,7 +130,7 @@
     assert_eq!(started(&scheduler.arrive(now, &ticket(9, 1, deadline))), [9]);
     let later = now + 20 * MS;
     let others = vec![KindUse { in_flight: 0, queued: 0 }, KindUse { in_flight: 0, queued: 0 }];
-    let next = scheduler.receive_sum(later, &sum_for(&delta, 2, vec![0], others));
+    let next = scheduler.receive_sum(later, &sum_for(&report, 2, vec![0], others));
     assert!(started(&next).contains(&0), "slots without other demand are lent at once");
 }
 
@@ -178,16 +178,16 @@
 #[test]
 fn stale_and_duplicate_sums_change_nothing() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000)], 1, 1);
-    let (_, delta) = scheduler.take_deltas(Moment::ZERO).remove(0);
+    let (_, report) = scheduler.take_reports(Moment::ZERO).remove(0);
     let waiting = |in_flight, queued| vec![KindUse { in_flight, queued }];
     let now = Moment::ZERO + MS;
-    scheduler.receive_sum(now, &sum_for(&delta, 2, vec![4], waiting(4, 20)));
-    scheduler.receive_sum(now, &sum_for(&delta, 1, vec![0], waiting(0, 0)));
-    scheduler.receive_sum(now, &sum_for(&delta, 2, vec![4], waiting(4, 20)));
+    scheduler.receive_sum(now, &sum_for(&report, 2, vec![4], waiting(4, 20)));
+    scheduler.receive_sum(now, &sum_for(&report, 1, vec![0], waiting(0, 0)));
+    scheduler.receive_sum(now, &sum_for(&report, 2, vec![4], waiting(4, 20)));
     let deadline = Moment::ZERO + 500 * MS;
     let waits = scheduler.arrive(now, &ticket(1, 0, deadline));
     assert_eq!(waits, [], "other entries hold the slot");
-    let starts = scheduler.receive_sum(now, &sum_for(&delta, 3, vec![0], waiting(0, 0)));
+    let starts = scheduler.receive_sum(now, &sum_for(&report, 3, vec![0], waiting(0, 0)));
     assert_eq!(started(&starts), [1]);
 }
 
--- a/crates/pulleyd/src/process/control_counts.rs
+++ b/crates/pulleyd/src/process/control_counts.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use pulley_core::process::{
-    COUNT_BYTES_PER_SECOND, CoordinatorOutput, CountDelta, CountSum, FastMap, PoolCoordinator,
+    COUNT_BYTES_PER_SECOND, CoordinatorOutput, CountReport, CountSum, FastMap, PoolCoordinator,
     ProbeOutcome, UpstreamRecord, coordinator_for,
 };
 use pulley_core::{HostId, IndexedPlan, Moment, PoolName, UpstreamId, ZoneName};
@@ -24,7 +24,7 @@
 /// A message between hosts.
 #[derive(Debug, Serialize, Deserialize)]
 enum CountFrame {
-    Delta(CountDelta),
+    Report(CountReport),
     Sum(CountSum),
 }
 
@@ -117,8 +117,8 @@
             return outgoing;
         }
         self.earliest_tick = now + MIN_TICK_INTERVAL;
-        for (pool, zone, delta) in schedulers.take_deltas(now) {
-            self.send_delta(now, &(pool, zone), delta, schedulers, &mut outgoing);
+        for (pool, zone, report) in schedulers.take_reports(now) {
+            self.send_report(now, &(pool, zone), report, schedulers, &mut outgoing);
         }
         let mut sums: Vec<CountSum> = Vec::new();
         for ((pool, zone), coordinator) in &mut self.coordinators {
@@ -161,8 +161,8 @@
         }
         let Ok(frame) = postcard::from_bytes::<CountFrame>(body) else { return };
         match frame {
-            CountFrame::Delta(delta) => {
-                self.take_delta(now, from, &delta, schedulers);
+            CountFrame::Report(report) => {
+                self.take_report(now, from, &report, schedulers);
             }
             // A host may publish or relay a sum only under its own name, because reports are sent
             // back to that name.
@@ -174,20 +174,20 @@
         }
     }
 
-    /// Passes a delta to the pool's coordinators on this host, and to this host's own report.
-    fn take_delta(
+    /// Passes a report to the pool's coordinators on this host, and to this host's own report.
+    fn take_report(
         &mut self,
         now: Moment,
         from: &HostId,
-        delta: &CountDelta,
+        report: &CountReport,
         schedulers: &SchedulerSet,
     ) {
         for ((pool, _), coordinator) in &mut self.coordinators {
-            if *pool == delta.pool {
-                coordinator.receive(now, from, delta);
+            if *pool == report.pool {
+                coordinator.receive(now, from, report);
             }
         }
-        schedulers.receive_report(from, delta);
+        schedulers.receive_report(from, report);
     }
 
     /// Passes a probe's outcome to the coordinator that requested it, if it still runs on this
@@ -195,7 +195,7 @@
     pub(crate) fn handle_probe(&mut self, now: Moment, probe: &ProbeReport) {
         let scope = (probe.pool.clone(), probe.zone.clone());
         if let Some(coordinator) = self.coordinators.get_mut(&scope) {
-            coordinator.probed(now, &probe.upstream, probe.outcome);
+            coordinator.record_probe(now, &probe.upstream, probe.outcome);
         }
     }
 
@@ -204,9 +204,13 @@
             return None;
         }
         let own = self.coordinators.values().map(PoolCoordinator::next_wakeup).min();
-        let deltas = schedulers.next_delta_at();
+        let reports = schedulers.next_report_at();
         let has_relays = self.has_relays.then_some(self.earliest_tick);
-        own.into_iter().chain(deltas).chain(has_relays).min().map(|due| due.max(self.earliest_tick))
+        own.into_iter()
+            .chain(reports)
+            .chain(has_relays)
+            .min()
+            .map(|due| due.max(self.earliest_tick))
     }
 
     /// Returns the pools and zones that this host coordinates.
@@ -231,22 +235,22 @@
         coordinator.apply_upstreams(now, records);
     }
 
-    fn send_delta(
+    fn send_report(
         &mut self,
         now: Moment,
         scope: &CountScope,
-        delta: CountDelta,
+        report: CountReport,
         schedulers: &SchedulerSet,
         outgoing: &mut OutgoingCounts,
     ) {
-        let to = delta.to.clone().or_else(|| self.assigned.get(scope).cloned());
+        let to = report.to.clone().or_else(|| self.assigned.get(scope).cloned());
         match to {
             Some(to) if to == self.host => {
                 let host = self.host.clone();
-                self.take_delta(now, &host, &delta, schedulers);
+                self.take_report(now, &host, &report, schedulers);
             }
             Some(to) => {
-                outgoing.sends.extend(encode(&CountFrame::Delta(delta)).map(|body| (to, body)));
+                outgoing.sends.extend(encode(&CountFrame::Report(report)).map(|body| (to, body)));
             }
             None => {}
         }
--- a/crates/pulleyd/src/request/scheduler_set_counts.rs
+++ b/crates/pulleyd/src/request/scheduler_set_counts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pulley_core::process::{CountDelta, CountSum, FastMap};
+use pulley_core::process::{CountReport, CountSum, FastMap};
 use pulley_core::{HostId, Moment, PoolName, ZoneName};
 
 use super::SchedulerSet;
@@ -11,20 +11,20 @@
 
 impl SchedulerSet {
     /// Takes the counts that are due to coordinators: the pool, the upstreams' zone, the message.
-    pub fn take_deltas(&self, now: Moment) -> Vec<(PoolName, ZoneName, CountDelta)> {
+    pub fn take_reports(&self, now: Moment) -> Vec<(PoolName, ZoneName, CountReport)> {
         let cells: Vec<_> = FastMap::clone(&self.pools.load()).into_iter().collect();
         let due = |(pool, cell): (PoolName, Arc<PoolCell>)| {
-            let deltas = cell.state.lock().scheduler.take_deltas(now);
-            deltas.into_iter().map(move |(zone, delta)| (pool.clone(), zone, delta))
+            let reports = cell.state.lock().scheduler.take_reports(now);
+            reports.into_iter().map(move |(zone, report)| (pool.clone(), zone, report))
         };
         cells.into_iter().flat_map(due).collect()
     }
 
-    /// Returns when [`Self::take_deltas`] next returns something, if ever.
+    /// Returns when [`Self::take_reports`] next returns something, if ever.
     #[must_use]
-    pub fn next_delta_at(&self) -> Option<Moment> {
+    pub fn next_report_at(&self) -> Option<Moment> {
         let pools = self.pools.load();
-        pools.values().filter_map(|cell| cell.state.lock().scheduler.next_delta_at()).min()
+        pools.values().filter_map(|cell| cell.state.lock().scheduler.next_report_at()).min()
     }
 
     /// Applies the sum of the entries' counts from a coordinator.
@@ -41,9 +41,9 @@
     }
 
     /// Adds another entry's report to this host's own.
-    pub fn receive_report(&self, from: &HostId, delta: &CountDelta) {
-        if let Some(cell) = self.cell(&delta.pool) {
-            cell.state.lock().scheduler.receive_report(from, delta);
+    pub fn receive_report(&self, from: &HostId, report: &CountReport) {
+        if let Some(cell) = self.cell(&report.pool) {
+            cell.state.lock().scheduler.receive_report(from, report);
         }
     }
 
