--- a/crates/pulley_bench/src/path/forwarder_way.rs
+++ b/crates/pulley_bench/src/path/forwarder_way.rs
@@ -84,7 +84,7 @@
     known.insert(pool, records?.into());
     Ok(RunningView {
         version: ConfigVersion::default(),
-        awaited: None,
+        awaited_version: None,
         plan: Arc::new(PolicyPlan { kinds: vec![kind], ..PolicyPlan::default() }.into()),
         upstreams: known,
         readiness: HostReadiness::Ready,
--- a/crates/pulley_bench/src/recovery/audit_figures.rs
+++ b/crates/pulley_bench/src/recovery/audit_figures.rs
@@ -33,7 +33,7 @@
     }
     let change_id = Some("not-there".parse()?);
     let read = AuditRead {
-        read: 1,
+        id: 1,
         chunks: (0..CHUNKS).rev().collect(),
         filter: AuditFilter { change_id, ..AuditFilter::default() },
         limit: 1,
--- a/crates/pulley_bench/src/recovery/memory_figures.rs
+++ b/crates/pulley_bench/src/recovery/memory_figures.rs
@@ -53,7 +53,7 @@
             change_id,
             actor,
             expect: ConfigVersion(number),
-            given: None,
+            assigned_version: None,
             received_unix_ms: number,
             sheet: format!("a sheet with {number}\n"),
             plan: small_plan(number)?,
@@ -61,7 +61,7 @@
         let change = StoredChange::new(request, machines.configuration.current());
         machines.configuration.apply(LogIndex(number + 1), &change);
         // The storage writes them; here they are dropped.
-        machines.configuration.take_unwritten();
+        machines.configuration.take_unwritten_chunks();
     }
     report("changes", count, before, &machines);
     Some(machines)
--- a/crates/pulley_bench/src/recovery/size_figures.rs
+++ b/crates/pulley_bench/src/recovery/size_figures.rs
@@ -51,7 +51,7 @@
     let current = base.configuration.current();
     let (change, store_ms) = repeated(|| Ok(StoredChange::new(request.clone(), current)))?;
     let entry = LogEntry {
-        index: LogIndex(request.given.map_or(0, |given| given.0)),
+        index: LogIndex(request.assigned_version.map_or(0, |given| given.0)),
         term: Term(1),
         time: LogTime::default(),
         command: LogCommand::Change(Box::new(change.clone())),
@@ -70,7 +70,7 @@
         postcard::to_stdvec(&request.plan)?.len(),
         frame.len(),
         encoded.len(),
-        entry.weight(),
+        entry.estimated_bytes(),
         snapshot.state.len(),
     );
     Ok(after)
@@ -107,7 +107,7 @@
 /// What a host sends to the leader.
 fn forwarded(question: &ReplicaQuestion) -> Result<Vec<u8>> {
     let mut router = QuestionRouter::new(host(0)?, 1);
-    router.apply_replicas(vec![host(1)?]);
+    router.set_replicas(vec![host(1)?]);
     let outputs = router.ask(Moment::ZERO, question.clone()).map(|(_, outputs)| outputs);
     match outputs.as_deref() {
         Some([RouterOutput::Send { body, .. }]) => Ok(body.to_vec()),
@@ -118,7 +118,7 @@
 /// The leader reads it.
 fn taken(frame: &[u8]) -> Result<usize> {
     let mut router = QuestionRouter::new(host(1)?, 1);
-    router.apply_replicas(vec![host(1)?]);
+    router.set_replicas(vec![host(1)?]);
     let outputs = router.receive(Moment::ZERO, &host(0)?, frame);
     ensure!(matches!(outputs[..], [RouterOutput::AskLocal { .. }]), "not taken");
     Ok(outputs.len())
@@ -171,7 +171,7 @@
         change_id: format!("change-{version}").parse()?,
         actor: "operator".parse()?,
         expect: ConfigVersion::default(),
-        given: Some(ConfigVersion(version)),
+        assigned_version: Some(ConfigVersion(version)),
         received_unix_ms: 1_700_000_000_000,
         sheet: format!("{{\"Version\":\"{version:08x}\",\"Routes\":[{}]}}", texts.join(",")),
         plan: PolicyPlan { kinds: rows.to_vec(), ..PolicyPlan::default() },
--- a/crates/pulley_bench/src/recovery/start_figures.rs
+++ b/crates/pulley_bench/src/recovery/start_figures.rs
@@ -25,8 +25,8 @@
 fn measure_start(folder: &Path, changes: u64, snapshots: bool) -> Result<()> {
     let folder = tempfile::tempdir_in(folder)?;
     let defaults = ReplicaSettings::default();
-    let weight = if snapshots { defaults.snapshot_weight } else { usize::MAX };
-    let settings = defaults.with_snapshot_weight(weight);
+    let weight = if snapshots { defaults.snapshot_bytes } else { usize::MAX };
+    let settings = defaults.with_snapshot_bytes(weight);
     let cluster = ReplicaCluster::start(1, folder.path(), &settings)?;
     for number in 0..changes {
         cluster.ask(number, change(number, SHEET_BYTES)?);
--- a/crates/pulley_core/src/version/audit_archive.rs
+++ b/crates/pulley_core/src/version/audit_archive.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditRead {
     /// Number of this read.
-    pub read: u64,
+    pub id: u64,
     /// Chunk numbers, in the order in which to read them.
     pub chunks: Vec<u64>,
     /// Selects the records.
@@ -71,7 +71,7 @@
 impl ReplicaDriver {
     /// Passes newly sealed chunks to the storage.
     pub(crate) fn write_chunks(&mut self) {
-        for chunk in self.machines.configuration.take_unwritten() {
+        for chunk in self.machines.configuration.take_unwritten_chunks() {
             if self.archive.held.insert(chunk.number) {
                 self.node.archive(chunk);
             }
@@ -86,7 +86,7 @@
             self.push_answer(token, ReplicaAnswer::Audit(found));
             return;
         }
-        let chunks: Vec<u64> = (0..trail.sealed()).rev().collect();
+        let chunks: Vec<u64> = (0..trail.sealed_chunks()).rev().collect();
         let is_complete = chunks.iter().all(|number| self.archive.held.contains(number));
         // An answer with a gap must not look complete.
         if !is_complete {
@@ -101,8 +101,8 @@
     }
 
     /// Handles the result of a read; `None` means that a chunk could not be read.
-    pub(crate) fn finish_audit_read(&mut self, read: u64, records: Option<Vec<AuditRecord>>) {
-        let Some(purpose) = self.archive.reads.remove(&read) else { return };
+    pub(crate) fn finish_audit_read(&mut self, id: u64, records: Option<Vec<AuditRecord>>) {
+        let Some(purpose) = self.archive.reads.remove(&id) else { return };
         match (purpose, records) {
             (ReadPurpose::Question { token, mut found }, Some(records)) => {
                 found.extend(records);
@@ -145,8 +145,8 @@
             return;
         }
         self.archive.next_fetch = now + FETCH_INTERVAL;
-        let sealed = self.machines.configuration.audit_trail().sealed();
-        let missing = (0..sealed).find(|number| !self.archive.held.contains(number));
+        let sealed_chunks = self.machines.configuration.audit_trail().sealed_chunks();
+        let missing = (0..sealed_chunks).find(|number| !self.archive.held.contains(number));
         let Some(number) = missing else { return };
         let own = &self.identity.host;
         let members = &self.node.members().members;
@@ -161,8 +161,8 @@
     }
 
     fn store_chunk(&mut self, chunk: AuditChunk) {
-        let sealed = self.machines.configuration.audit_trail().sealed();
-        let is_valid = chunk.number < sealed && chunk.records.len() == AUDIT_CHUNK;
+        let sealed_chunks = self.machines.configuration.audit_trail().sealed_chunks();
+        let is_valid = chunk.number < sealed_chunks && chunk.records.len() == AUDIT_CHUNK;
         if is_valid && self.archive.held.insert(chunk.number) {
             self.node.archive(chunk.into());
         }
@@ -175,15 +175,15 @@
         filter: AuditFilter,
         limit: usize,
     ) -> bool {
-        // Load: many questions about old records at once. Each read may scan years of chunks;
+        // Load: many questions about old records at once. Each id may scan years of chunks;
         // reads beyond the limit would only queue for the disk.
         if self.archive.reads.len() >= READ_LIMIT {
             return false;
         }
         self.archive.next_read += 1;
-        let read = self.archive.next_read;
-        self.archive.reads.insert(read, purpose);
-        let audit_read = AuditRead { read, chunks, filter, limit };
+        let id = self.archive.next_read;
+        self.archive.reads.insert(id, purpose);
+        let audit_read = AuditRead { id, chunks, filter, limit };
         self.outputs.push(DriverOutput::ReadAudit(audit_read));
         true
     }
--- a/crates/pulley_core/src/version/audit_trail.rs
+++ b/crates/pulley_core/src/version/audit_trail.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AuditTrail {
     recent: VecDeque<AuditRecord>,
-    sealed: u64,
+    sealed_chunks: u64,
     /// Chunks still to be written to disk; not part of the replicated state.
     #[serde(skip)]
     unwritten: Vec<Arc<AuditChunk>>,
@@ -51,19 +51,19 @@
             return;
         }
         let records = self.recent.drain(..AUDIT_CHUNK).collect();
-        self.unwritten.push(Arc::new(AuditChunk { number: self.sealed, records }));
-        self.sealed += 1;
+        self.unwritten.push(Arc::new(AuditChunk { number: self.sealed_chunks, records }));
+        self.sealed_chunks += 1;
     }
 
     /// Takes the sealed chunks that still have to be written.
-    pub fn take_unwritten(&mut self) -> Vec<Arc<AuditChunk>> {
+    pub fn take_unwritten_chunks(&mut self) -> Vec<Arc<AuditChunk>> {
         std::mem::take(&mut self.unwritten)
     }
 
     /// Returns the number of sealed chunks.
     #[must_use]
-    pub fn sealed(&self) -> u64 {
-        self.sealed
+    pub fn sealed_chunks(&self) -> u64 {
+        self.sealed_chunks
     }
 
     /// Returns the matching records in memory, newest first.
@@ -82,7 +82,7 @@
     #[must_use]
     pub fn needs_chunks(&self, filter: &AuditFilter, found: usize) -> bool {
         let oldest = self.recent.front().map_or(0, |record| record.unix_ms);
-        self.sealed > 0 && found < filter.answer_limit() && !filter.begins_after(oldest)
+        self.sealed_chunks > 0 && found < filter.answer_limit() && !filter.excludes_up_to(oldest)
     }
 }
 
@@ -108,7 +108,7 @@
 
     /// Whether the filter excludes all records from about this time or earlier.
     #[must_use]
-    pub fn begins_after(&self, unix_ms: u64) -> bool {
+    pub fn excludes_up_to(&self, unix_ms: u64) -> bool {
         self.since_unix_ms.is_some_and(|since| since > unix_ms.saturating_add(CLOCK_SLACK_MS))
     }
 }
--- a/crates/pulley_core/src/version/change.rs
+++ b/crates/pulley_core/src/version/change.rs
@@ -51,7 +51,7 @@
     pub expect: ConfigVersion,
     /// The version number chosen by the operator. Such a change is based on no version: the highest
     /// number wins.
-    pub given: Option<ConfigVersion>,
+    pub assigned_version: Option<ConfigVersion>,
     /// When the first host received the change, in milliseconds of Unix time.
     pub received_unix_ms: u64,
     /// The sheet as submitted, so that it can be shown unchanged.
--- a/crates/pulley_core/src/version/configuration_machine.rs
+++ b/crates/pulley_core/src/version/configuration_machine.rs
@@ -51,7 +51,7 @@
         self.record_change(index, change, diff, &answer);
         let version_moved =
             matches!(answer, ChangeAnswer::Refused(ChangeRefusal::VersionMoved { .. }));
-        if version_moved && change.given.is_some() {
+        if version_moved && change.assigned_version.is_some() {
             // The operator's change itself is valid. Its outcome is not remembered, so that a
             // resend is stored against the version then in force and applied.
             return answer;
@@ -61,7 +61,7 @@
     }
 
     /// Records a membership change in the audit trail.
-    pub fn note_members(
+    pub fn record_member_change(
         &mut self,
         index: LogIndex,
         unix_ms: u64,
@@ -83,7 +83,12 @@
     }
 
     /// Records a zone order and its answer in the audit trail.
-    pub(crate) fn note_zone(&mut self, index: LogIndex, order: &ZoneOrder, answer: &ZoneAnswer) {
+    pub(crate) fn record_zone_order(
+        &mut self,
+        index: LogIndex,
+        order: &ZoneOrder,
+        answer: &ZoneAnswer,
+    ) {
         let version = self.current.version;
         let fault = match answer {
             ZoneAnswer::Accepted { .. } => None,
@@ -141,14 +146,14 @@
     }
 
     /// Takes the audit trail's chunks that still have to be written.
-    pub fn take_unwritten(&mut self) -> Vec<Arc<AuditChunk>> {
-        self.audit.take_unwritten()
+    pub fn take_unwritten_chunks(&mut self) -> Vec<Arc<AuditChunk>> {
+        self.audit.take_unwritten_chunks()
     }
 
     /// Accepts or refuses a change. Returns the answer and a summary of the changed rows.
     fn decide(&mut self, change: &StoredChange) -> (ChangeAnswer, String) {
-        if let Some(given) = change.given {
-            return self.decide_with_version(change, given);
+        if let Some(assigned) = change.assigned_version {
+            return self.decide_with_version(change, assigned);
         }
         let current = self.current.version;
         let sheet_and_plan = change.build(&self.current).filter(|_| change.expect == current);
@@ -169,26 +174,26 @@
     fn decide_with_version(
         &mut self,
         change: &StoredChange,
-        given: ConfigVersion,
+        assigned: ConfigVersion,
     ) -> (ChangeAnswer, String) {
         let current = self.current.version;
-        if given < current {
+        if assigned < current {
             return (ChangeAnswer::Superseded { current }, String::new());
         }
         let Some((sheet, plan)) = change.build(&self.current) else {
             let refusal = ChangeRefusal::VersionMoved { current };
             return (ChangeAnswer::Refused(refusal), String::new());
         };
-        if given == current {
+        if assigned == current {
             let answer = match sheet == self.current.sheet {
-                true => ChangeAnswer::Accepted { version: given },
-                false => ChangeAnswer::Refused(ChangeRefusal::VersionTaken { version: given }),
+                true => ChangeAnswer::Accepted { version: assigned },
+                false => ChangeAnswer::Refused(ChangeRefusal::VersionTaken { version: assigned }),
             };
             return (answer, String::new());
         }
         let diff = plan_diff(&self.current.plan, &plan);
-        self.current = Arc::new(StoredPlan { version: given, sheet, plan });
-        (ChangeAnswer::Accepted { version: given }, diff)
+        self.current = Arc::new(StoredPlan { version: assigned, sheet, plan });
+        (ChangeAnswer::Accepted { version: assigned }, diff)
     }
 
     fn record_change(
--- a/crates/pulley_core/src/version/departure_machine.rs
+++ b/crates/pulley_core/src/version/departure_machine.rs
@@ -37,7 +37,7 @@
     /// Whether all departures after log index `written` are still remembered, so that a directory
     /// stored at that index can be checked against them.
     #[must_use]
-    pub fn covers(&self, written: LogIndex) -> bool {
+    pub fn remembers_all_since(&self, written: LogIndex) -> bool {
         self.last_evicted <= written
     }
 
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -147,7 +147,7 @@
     /// If so, the host may serve with an old version while it is cut off, but never goes back to
     /// one. If not, it is not ready until it hears from a majority again.
     #[must_use]
-    pub fn with_serving_on(mut self, serves_without_quorum: bool) -> Self {
+    pub fn with_serving_without_quorum(mut self, serves_without_quorum: bool) -> Self {
         self.serves_without_quorum = serves_without_quorum;
         self
     }
@@ -218,7 +218,7 @@
     /// Returns the newest accepted version known to this host, if it lacks that version. Until it
     /// has the version, it cannot answer that something only found there does not exist.
     #[must_use]
-    pub fn awaited(&self) -> Option<ConfigVersion> {
+    pub fn awaited_version(&self) -> Option<ConfigVersion> {
         self.fetch.as_ref().map(PlanFetch::goal)
     }
 
@@ -297,13 +297,13 @@
     // Input from the log
 
     /// Adopts zone orders that this host's own replica knows to be committed.
-    pub fn committed_zones(&mut self, zones: &Arc<EvacuatedZones>) {
+    pub fn apply_committed_zones(&mut self, zones: &Arc<EvacuatedZones>) {
         self.adopt_zones(zones);
     }
 
     /// Sets what this host's replica reports to hosts without a lease. `last_entry` is the latest
     /// version in its log and `last_order` the latest zone order, committed or not.
-    pub fn set_replica(
+    pub fn set_log_report(
         &mut self,
         replicas: ReplicaSet,
         last_entry: ConfigVersion,
@@ -313,27 +313,27 @@
     }
 
     /// Notes that this host no longer has a replica.
-    pub fn clear_replica(&mut self) {
+    pub fn clear_log_report(&mut self) {
         self.own_report = None;
     }
 
     /// Sets which hosts announce that they hold a replica. They are the ones to ask before a lease
     /// has named the replicas.
-    pub fn apply_replicas(&mut self, hosts: &[HostId]) {
+    pub fn set_announced_replicas(&mut self, hosts: &[HostId]) {
         self.announced_replicas = hosts.to_vec();
         self.update_fetch_sources();
     }
 
     /// Sets which of them are in this host's zone. Plans are fetched from these first, because
     /// links between zones are expensive.
-    pub fn prefer_replicas(&mut self, near: Vec<HostId>) {
-        self.same_zone_replicas = near;
+    pub fn set_same_zone_replicas(&mut self, hosts: Vec<HostId>) {
+        self.same_zone_replicas = hosts;
     }
 
     /// Issues a lease as the leader. `confirmed` is the start of the heartbeat round that a
     /// majority has answered. The version and the zones in force here must include all that was
     /// committed by then.
-    pub fn lead(&mut self, term: u64, replicas: ReplicaSet, confirmed: Moment) {
+    pub fn issue_lease(&mut self, term: u64, replicas: ReplicaSet, confirmed: Moment) {
         let held = self.held.get_or_insert_with(HeldPlan::empty);
         let lease = PlanLease {
             term,
--- a/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
@@ -167,7 +167,7 @@
     // Holding
 
     /// Puts a version in force that this host's own replica knows to be committed.
-    pub fn committed(&mut self, plan: &StoredPlan) {
+    pub fn apply_committed_plan(&mut self, plan: &StoredPlan) {
         if self.held.as_ref().is_some_and(|held| held.version >= plan.version) {
             return;
         }
--- a/crates/pulley_core/src/version/ledger_machine.rs
+++ b/crates/pulley_core/src/version/ledger_machine.rs
@@ -75,7 +75,7 @@
 impl LedgerCommand {
     /// Returns the approximate size of the command in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         match self {
             Self::Claim { .. } => 56,
             Self::Release { .. } => 32,
--- a/crates/pulley_core/src/version/question_router.rs
+++ b/crates/pulley_core/src/version/question_router.rs
@@ -145,12 +145,12 @@
     }
 
     /// Sets the hosts that hold a replica.
-    pub fn apply_replicas(&mut self, replicas: Vec<HostId>) {
+    pub fn set_replicas(&mut self, replicas: Vec<HostId>) {
         self.replicas = replicas;
     }
 
     /// Sets the leader known to this host; `None` keeps the previous one.
-    pub fn apply_leader(&mut self, leader: Option<HostId>) {
+    pub fn set_leader(&mut self, leader: Option<HostId>) {
         if leader.is_some() {
             self.leader = leader;
         }
@@ -172,7 +172,7 @@
     }
 
     /// Handles the local replica's answer.
-    pub fn local_answer(
+    pub fn handle_local_answer(
         &mut self,
         now: Moment,
         number: QuestionNumber,
--- a/crates/pulley_core/src/version/replica/cluster_founding.rs
+++ b/crates/pulley_core/src/version/replica/cluster_founding.rs
@@ -105,7 +105,7 @@
         self.join_host.as_ref()
     }
 
-    pub(crate) fn apply_replicas(&mut self, replicas: &[HostId]) {
+    pub(crate) fn set_replicas(&mut self, replicas: &[HostId]) {
         let is_other = |host: &&HostId| {
             **host != self.identity.host && !self.founders.iter().any(|(named, _)| named == *host)
         };
--- a/crates/pulley_core/src/version/replica/driver_founding.rs
+++ b/crates/pulley_core/src/version/replica/driver_founding.rs
@@ -177,8 +177,8 @@
             return;
         }
         let (next, member) = members.with_learner(from, Some(disk));
-        let what = format!("learner {member} {from} joins by itself");
-        if let Some(command) = self.members_command(now, next, what) {
+        let description = format!("learner {member} {from} joins by itself");
+        if let Some(command) = self.members_command(now, next, description) {
             let _ = self.node.propose_members(now, command);
         }
     }
@@ -192,8 +192,8 @@
     fn join_command(&self, now: Moment, known: &ReplicaMember, disk: DiskId) -> Option<LogCommand> {
         let members = self.node.members();
         if known.disk.is_none() {
-            let what = format!("disk {disk} of {} {}", known.member, known.host);
-            return self.members_command(now, members.with_disk(known.member, disk), what);
+            let description = format!("disk {disk} of {} {}", known.member, known.host);
+            return self.members_command(now, members.with_disk(known.member, disk), description);
         }
         // Two processes that claim to be the same host must not keep replacing each other, so only
         // a silent member is replaced.
@@ -207,8 +207,9 @@
             return None;
         }
         let (next, member) = members.without(known.member).with_learner(&known.host, Some(disk));
-        let what = format!("learner {member} {} replaces {} (lost disk)", known.host, known.member);
-        self.members_command(now, next, what)
+        let description =
+            format!("learner {member} {} replaces {} (lost disk)", known.host, known.member);
+        self.members_command(now, next, description)
     }
 
     fn send_founding(&mut self, to: HostId, message: FoundingMessage) {
--- a/crates/pulley_core/src/version/replica/driver_question.rs
+++ b/crates/pulley_core/src/version/replica/driver_question.rs
@@ -121,7 +121,7 @@
         let current = self.machines.configuration.current();
         let change = match self.node.holds_unapplied_change() {
             false => StoredChange::new(request, current),
-            true => StoredChange::behind_others(request, current),
+            true => StoredChange::new_after_pending(request, current),
         };
         self.append(now, token, LogCommand::Change(Box::new(change)));
     }
@@ -174,8 +174,8 @@
         if leaving.voter && members.voters().count() == 1 {
             return Err(ReplicaRefusal::LastVoter);
         }
-        let what = format!("removed {member} {}", leaving.host);
-        self.members_command(now, members.without(member), what)
+        let description = format!("removed {member} {}", leaving.host);
+        self.members_command(now, members.without(member), description)
             .ok_or(ReplicaRefusal::ChangeUnderWay)
     }
 
--- a/crates/pulley_core/src/version/replica/log_entry.rs
+++ b/crates/pulley_core/src/version/replica/log_entry.rs
@@ -22,7 +22,7 @@
         /// When, in milliseconds of Unix time; for the audit trail only.
         unix_ms: u64,
         /// What was done, for the audit trail.
-        what: String,
+        description: String,
     },
     /// An operator's change of the configuration.
     Change(Box<StoredChange>),
@@ -50,15 +50,15 @@
 impl LogEntry {
     /// Estimates the entry's size in memory and in a message, in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         ENTRY_OVERHEAD
             + match &self.command {
                 LogCommand::Blank => 0,
-                LogCommand::Members { members, what, .. } => {
-                    members.members.len() * ENTRY_OVERHEAD + what.len()
+                LogCommand::Members { members, description, .. } => {
+                    members.members.len() * ENTRY_OVERHEAD + description.len()
                 }
-                LogCommand::Change(change) => change.weight(),
-                LogCommand::Ledger(command) => command.weight(),
+                LogCommand::Change(change) => change.estimated_bytes(),
+                LogCommand::Ledger(command) => command.estimated_bytes(),
                 LogCommand::Departure(start) => start.id.as_str().len(),
                 LogCommand::Zone(order) => {
                     order.change_id.as_str().len() + order.zone.as_str().len() + ENTRY_OVERHEAD
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -48,7 +48,7 @@
     confirmed_reads: Vec<(u64, LogIndex)>,
     /// Hosts of members that this replica's membership does not list yet.
     unlisted_hosts: FastMap<MemberId, HostId>,
-    applied_weight: usize,
+    applied_bytes: usize,
     snapshot_size: usize,
     unreadable_messages: u64,
     /// The last entry held at the start. A version before it may be older than the one that was in
@@ -102,7 +102,7 @@
             archive,
             confirmed_reads: Vec::new(),
             unlisted_hosts: FastMap::default(),
-            applied_weight: 0,
+            applied_bytes: 0,
             snapshot_size,
             unreadable_messages: 0,
             recovered_last,
@@ -184,7 +184,7 @@
             version: self.machines.configuration.version(),
             members: self.node.members().members.clone(),
             claims: self.machines.ledger.len() as u64,
-            log_bytes: self.node.log_weight() as u64,
+            log_bytes: self.node.log_bytes() as u64,
             unreadable_messages: self.unreadable_messages,
             failure: self.node.failure().cloned(),
         }
@@ -339,7 +339,7 @@
         match ReplicaMachines::restore(snapshot) {
             Ok(machines) => {
                 self.machines = machines;
-                self.applied_weight = 0;
+                self.applied_bytes = 0;
                 self.snapshot_size = snapshot.state.len();
                 self.publish_due = true;
             }
@@ -367,7 +367,7 @@
     fn apply(&mut self, entry: &LogEntry) {
         let before = self.in_force();
         let outcome = self.machines.apply(entry);
-        self.applied_weight += entry.weight();
+        self.applied_bytes += entry.estimated_bytes();
         self.publish_due |= self.in_force() > before;
         self.answer_waiting(entry, outcome);
     }
@@ -391,12 +391,12 @@
     /// Makes a snapshot once the entries applied since the last one are as large as that snapshot.
     /// Writing snapshots then costs no more than writing the log, however large the state is.
     fn compact_if_due(&mut self) {
-        let due = self.settings.snapshot_weight.max(self.snapshot_size);
-        if self.applied_weight < due {
+        let due = self.settings.snapshot_bytes.max(self.snapshot_size);
+        if self.applied_bytes < due {
             return;
         }
         let Some(snapshot) = self.make_snapshot() else { return };
-        self.applied_weight = 0;
+        self.applied_bytes = 0;
         self.snapshot_size = snapshot.state.len();
         self.node.compact(snapshot);
     }
@@ -428,8 +428,9 @@
         let Some(learner) = self.node.caught_up_learners().first().copied() else { return };
         let members = self.node.members().with_voter(learner);
         let host = self.host_of(learner);
-        let what = format!("voter {learner} {}", host.map_or(String::new(), |h| h.to_string()));
-        if let Some(command) = self.members_command(now, members, what) {
+        let description =
+            format!("voter {learner} {}", host.map_or(String::new(), |h| h.to_string()));
+        if let Some(command) = self.members_command(now, members, description) {
             let _ = self.node.propose_members(now, command);
         }
     }
@@ -450,16 +451,16 @@
         let silent = silent.and_then(|member| members.find(member));
         let Some(silent) = silent.cloned() else { return false };
         let next = members.without(silent.member);
-        let what = format!("removed {} {}: silent, replaced", silent.member, silent.host);
-        let Some(command) = self.members_command(now, next, what) else { return false };
+        let description = format!("removed {} {}: silent, replaced", silent.member, silent.host);
+        let Some(command) = self.members_command(now, next, description) else { return false };
         matches!(self.node.propose_members(now, command), Ok(Some(_)))
     }
 
     /// Sets which hosts are known to hold a replica. A replica without a log asks them whether a
     /// cluster exists.
-    pub fn apply_replicas(&mut self, replicas: &[HostId]) {
+    pub fn set_replicas(&mut self, replicas: &[HostId]) {
         if let Some(founding) = &mut self.founding {
-            founding.apply_replicas(replicas);
+            founding.set_replicas(replicas);
         }
     }
 
@@ -467,12 +468,12 @@
         &self,
         now: Moment,
         members: super::ReplicaMembership,
-        what: String,
+        description: String,
     ) -> Option<LogCommand> {
         let actor = format!("replica:{}", self.identity.host);
         let actor = actor.get(..actor.len().min(64))?.parse().ok()?;
         let unix_ms = self.settings.unix_ms(now);
-        Some(LogCommand::Members { members, actor, unix_ms, what })
+        Some(LogCommand::Members { members, actor, unix_ms, description })
     }
 
     pub(crate) fn node_settings(&self) -> ReplicaSettings {
--- a/crates/pulley_core/src/version/replica/replica_leading.rs
+++ b/crates/pulley_core/src/version/replica/replica_leading.rs
@@ -195,7 +195,7 @@
             members: self.log.members().clone(),
             actor,
             unix_ms: self.settings.unix_ms(self.now),
-            what: "founded".to_owned(),
+            description: "founded".to_owned(),
         }
     }
 
--- a/crates/pulley_core/src/version/replica/replica_log.rs
+++ b/crates/pulley_core/src/version/replica/replica_log.rs
@@ -13,7 +13,7 @@
     base: SnapshotPlace,
     entries: VecDeque<Arc<LogEntry>>,
     memberships: Vec<(LogIndex, ReplicaMembership)>,
-    weight: usize,
+    estimated_bytes: usize,
 }
 
 impl ReplicaLog {
@@ -22,7 +22,8 @@
             || SnapshotPlace { members: founders, ..SnapshotPlace::default() },
             |snapshot| snapshot.place.clone(),
         );
-        let mut log = Self { base, entries: VecDeque::new(), memberships: Vec::new(), weight: 0 };
+        let mut log =
+            Self { base, entries: VecDeque::new(), memberships: Vec::new(), estimated_bytes: 0 };
         for entry in &recovered.entries {
             if entry.index > log.base.index {
                 log.append(entry.clone());
@@ -33,7 +34,7 @@
 
     pub(crate) fn append(&mut self, entry: Arc<LogEntry>) {
         debug_assert_eq!(entry.index, self.last_index().next(), "entries are consecutive");
-        self.weight += entry.weight();
+        self.estimated_bytes += entry.estimated_bytes();
         if let LogCommand::Members { members, .. } = &entry.command {
             self.memberships.push((entry.index, members.clone()));
         }
@@ -44,7 +45,7 @@
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         while self.last_index() >= index {
             let Some(entry) = self.entries.pop_back() else { break };
-            self.weight -= entry.weight();
+            self.estimated_bytes -= entry.estimated_bytes();
         }
         self.memberships.retain(|(at, _)| *at < index);
     }
@@ -54,11 +55,11 @@
     pub(crate) fn compact(&mut self, upto: LogIndex, keep: usize) {
         let mut new_base = None;
         while let Some(entry) = self.entries.front() {
-            if entry.index > upto || self.weight <= keep {
+            if entry.index > upto || self.estimated_bytes <= keep {
                 break;
             }
             let (index, term, time) = (entry.index, entry.term, entry.time);
-            self.weight -= entry.weight();
+            self.estimated_bytes -= entry.estimated_bytes();
             self.entries.pop_front();
             new_base = Some((index, term, time));
         }
@@ -72,7 +73,7 @@
     pub(crate) fn reset(&mut self, place: SnapshotPlace) {
         self.entries.clear();
         self.memberships.clear();
-        self.weight = 0;
+        self.estimated_bytes = 0;
         self.base = place;
     }
 
@@ -93,8 +94,8 @@
     }
 
     /// Returns the estimated size of the held entries, in bytes.
-    pub(crate) fn weight(&self) -> usize {
-        self.weight
+    pub(crate) fn estimated_bytes(&self) -> usize {
+        self.estimated_bytes
     }
 
     /// Returns the entry at an index, if it is held.
@@ -115,11 +116,11 @@
     /// is one.
     pub(crate) fn slice(&self, from: LogIndex, bytes: usize) -> Vec<Arc<LogEntry>> {
         let mut taken = Vec::new();
-        let mut weight = 0;
+        let mut estimated_bytes = 0;
         let mut index = from;
         while let Some(entry) = self.entry(index) {
-            weight += entry.weight();
-            if weight > bytes && !taken.is_empty() {
+            estimated_bytes += entry.estimated_bytes();
+            if estimated_bytes > bytes && !taken.is_empty() {
                 break;
             }
             taken.push(entry.clone());
--- a/crates/pulley_core/src/version/replica/replica_machines.rs
+++ b/crates/pulley_core/src/version/replica/replica_machines.rs
@@ -71,8 +71,8 @@
     pub fn apply(&mut self, entry: &LogEntry) -> MachineOutcome {
         match &entry.command {
             LogCommand::Blank => MachineOutcome::Nothing,
-            LogCommand::Members { members, actor, unix_ms, what } => {
-                self.configuration.note_members(entry.index, *unix_ms, actor, what);
+            LogCommand::Members { members, actor, unix_ms, description } => {
+                self.configuration.record_member_change(entry.index, *unix_ms, actor, description);
                 MachineOutcome::Members(members.clone())
             }
             LogCommand::Change(change) => {
@@ -87,7 +87,7 @@
             }
             LogCommand::Zone(order) => {
                 let answer = self.evacuations.apply(entry.index, order);
-                self.configuration.note_zone(entry.index, order, &answer);
+                self.configuration.record_zone_order(entry.index, order, &answer);
                 MachineOutcome::Zone(answer)
             }
         }
--- a/crates/pulley_core/src/version/replica/replica_node.rs
+++ b/crates/pulley_core/src/version/replica/replica_node.rs
@@ -265,7 +265,7 @@
         if self.failure.is_some() {
             return;
         }
-        self.log.compact(snapshot.place.index, self.settings.snapshot_weight / 2);
+        self.log.compact(snapshot.place.index, self.settings.snapshot_bytes / 2);
         self.gate.queue_snapshot(snapshot);
         self.flush();
     }
@@ -372,8 +372,8 @@
 
     /// Returns the estimated size of the held entries, in bytes.
     #[must_use]
-    pub fn log_weight(&self) -> usize {
-        self.log.weight()
+    pub fn log_bytes(&self) -> usize {
+        self.log.estimated_bytes()
     }
 
     /// Returns the membership in effect.
--- a/crates/pulley_core/src/version/replica/replica_settings.rs
+++ b/crates/pulley_core/src/version/replica/replica_settings.rs
@@ -19,7 +19,7 @@
     /// The ledger's limits.
     pub ledger: LedgerLimits,
     /// Minimum number of bytes of entries that are kept before a snapshot replaces them.
-    pub snapshot_weight: usize,
+    pub snapshot_bytes: usize,
     /// Maximum number of questions that wait for a quorum at once.
     pub waiting_limit: usize,
     /// Unix time in milliseconds at [`crate::Moment::ZERO`]; for the audit trail only.
@@ -39,7 +39,7 @@
             heartbeat: Duration::from_millis(200),
             election_timeout: Duration::from_millis(800),
             ledger: LedgerLimits::default(),
-            snapshot_weight: 4 << 20,
+            snapshot_bytes: 4 << 20,
             waiting_limit: 10_000,
             unix_origin_ms: 0,
             copies: 1,
@@ -85,8 +85,8 @@
 
     /// Sets the minimum number of bytes of entries that are kept before a snapshot replaces them.
     #[must_use]
-    pub fn with_snapshot_weight(mut self, weight: usize) -> Self {
-        self.snapshot_weight = weight;
+    pub fn with_snapshot_bytes(mut self, bytes: usize) -> Self {
+        self.snapshot_bytes = bytes;
         self
     }
 
--- a/crates/pulley_core/src/version/sheet/indexed_plan.rs
+++ b/crates/pulley_core/src/version/sheet/indexed_plan.rs
@@ -40,7 +40,7 @@
 
     /// Returns the plan without its indices.
     #[must_use]
-    pub const fn shared(&self) -> &Arc<PolicyPlan> {
+    pub const fn plan(&self) -> &Arc<PolicyPlan> {
         &self.plan
     }
 
@@ -71,7 +71,7 @@
 
     /// Whether the plan mentions a pool.
     #[must_use]
-    pub fn names_pool(&self, pool: &PoolName) -> bool {
+    pub fn contains_pool(&self, pool: &PoolName) -> bool {
         self.summaries.contains_key(pool)
     }
 
--- a/crates/pulley_core/src/version/stored_change.rs
+++ b/crates/pulley_core/src/version/stored_change.rs
@@ -50,7 +50,7 @@
     /// The version that the change is based on.
     pub expect: ConfigVersion,
     /// The version number chosen by the operator, if the highest is to win.
-    pub given: Option<ConfigVersion>,
+    pub assigned_version: Option<ConfigVersion>,
     /// When the first host received the change, in milliseconds of Unix time.
     pub received_unix_ms: u64,
     /// Identifies what the change asks for, whenever it arrived. It is equal for a resend.
@@ -62,11 +62,11 @@
 impl StoredChange {
     /// Converts a request to its stored form. `current` is the version that will be in force when
     /// the change is applied. If the log holds changes that are not applied yet, use
-    /// [`Self::behind_others`].
+    /// [`Self::new_after_pending`].
     #[must_use]
     pub fn new(request: ChangeRequest, current: &StoredPlan) -> Self {
         Self::with_content(request, current, |request| match request.expect.cmp(&current.version) {
-            _ if request.given.is_some() => edit_content(request, current),
+            _ if request.assigned_version.is_some() => edit_content(request, current),
             std::cmp::Ordering::Equal => edit_content(request, current),
             _ => whole_content(request),
         })
@@ -75,7 +75,7 @@
     /// Converts a request to its stored form if other changes precede it in the log. The version in
     /// force may change before this request is applied, so the sheet is stored whole.
     #[must_use]
-    pub fn behind_others(request: ChangeRequest, current: &StoredPlan) -> Self {
+    pub fn new_after_pending(request: ChangeRequest, current: &StoredPlan) -> Self {
         Self::with_content(request, current, whole_content)
     }
 
@@ -84,17 +84,18 @@
         current: &StoredPlan,
         content: impl FnOnce(&ChangeRequest) -> ChangeContent,
     ) -> Self {
-        let is_outdated = request.given.unwrap_or(request.expect) < current.version;
+        let is_outdated = request.assigned_version.unwrap_or(request.expect) < current.version;
         let fingerprint = request_fingerprint(&request);
         let content = if is_outdated { ChangeContent::Outdated } else { content(&request) };
         // A change with a chosen version is based on none; `expect` holds the base of its
         // difference.
-        let expect = if request.given.is_some() { current.version } else { request.expect };
+        let expect =
+            if request.assigned_version.is_some() { current.version } else { request.expect };
         Self {
             change_id: request.change_id,
             actor: request.actor,
             expect,
-            given: request.given,
+            assigned_version: request.assigned_version,
             received_unix_ms: request.received_unix_ms,
             fingerprint,
             content,
@@ -104,7 +105,7 @@
     /// Returns the version that the change creates if it is accepted.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
-        self.given.unwrap_or_else(|| self.expect.next())
+        self.assigned_version.unwrap_or_else(|| self.expect.next())
     }
 
     /// Builds the new sheet and plan from the version in force.
@@ -127,7 +128,7 @@
 
     /// Returns the approximate size of the change in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         let names_size = self.change_id.as_str().len() + self.actor.as_str().len();
         names_size
             + match &self.content {
@@ -207,7 +208,7 @@
 fn request_fingerprint(request: &ChangeRequest) -> u128 {
     let mut hasher = Sha256::new();
     // For a change with a chosen version, the base does not count.
-    hasher.update(request.given.unwrap_or(request.expect).0.to_be_bytes());
+    hasher.update(request.assigned_version.unwrap_or(request.expect).0.to_be_bytes());
     hasher.update(request.sheet.as_bytes());
     let digest: [u8; 32] = hasher.finalize().into();
     let mut half = [0_u8; 16];
--- a/crates/pulley_core/tests/indexed_plan.rs
+++ b/crates/pulley_core/tests/indexed_plan.rs
@@ -179,7 +179,7 @@
             let connections = rows.iter().filter_map(|(_, row)| row.route.connections).min();
             let budgets = rows.iter().map(|(_, row)| row.probe_budget.0);
             let terms = plan.pools.iter().find(|terms| terms.pool == pool);
-            assert_eq!(indexed.names_pool(&pool), named.contains(&&pool));
+            assert_eq!(indexed.contains_pool(&pool), named.contains(&&pool));
             assert_eq!(indexed.rows_of(&pool).collect::<Vec<_>>(), rows);
             assert_eq!(indexed.connections(&pool), connections);
             assert_eq!(indexed.probe_budget(&pool).0, budgets.fold(0, u32::saturating_add));
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -34,7 +34,7 @@
 
 fn order(network: &mut Network, zones: &Arc<EvacuatedZones>) {
     let (leader, _) = network.leader.unwrap();
-    network.hosts[leader].plans.committed_zones(zones);
+    network.hosts[leader].plans.apply_committed_zones(zones);
     network.publish(1, 10);
 }
 
@@ -124,7 +124,7 @@
     let report = |network: &mut Network, replica: usize, last: u64| {
         let replicas = network.replicas.clone();
         let plans = &mut network.hosts[replica].plans;
-        plans.set_replica(replicas, ConfigVersion(1), LogIndex(last));
+        plans.set_log_report(replicas, ConfigVersion(1), LogIndex(last));
     };
     (0..5).for_each(|replica| report(&mut network, replica, 20));
     network.leader = None;
--- a/crates/pulley_core/tests/members/network.rs
+++ b/crates/pulley_core/tests/members/network.rs
@@ -251,7 +251,7 @@
 
     /// Notifies a replica that a version is committed. The leader sends it at once.
     pub(crate) fn commit(&mut self, replica: usize, plan: &StoredPlan) {
-        self.hosts[replica].plans.committed(plan);
+        self.hosts[replica].plans.apply_committed_plan(plan);
         match self.leader {
             Some((leader, _)) if leader == replica => self.confirm_leader(),
             _ => self.schedule_wakeup(replica),
@@ -265,7 +265,7 @@
             && self.hosts[leader].paused_until <= self.now
         {
             let (now, replicas) = (self.now, self.replicas.clone());
-            self.hosts[leader].plans.lead(term, replicas, now);
+            self.hosts[leader].plans.issue_lease(term, replicas, now);
             self.schedule_wakeup(leader);
         }
     }
--- a/crates/pulley_core/tests/members/plan_follower_tests.rs
+++ b/crates/pulley_core/tests/members/plan_follower_tests.rs
@@ -48,7 +48,11 @@
     let far: Vec<usize> = (3..12).collect();
     for replica in 0..5 {
         let replicas = network.replicas.clone();
-        network.hosts[replica].plans.set_replica(replicas, ConfigVersion(1), LogIndex::default());
+        network.hosts[replica].plans.set_log_report(
+            replicas,
+            ConfigVersion(1),
+            LogIndex::default(),
+        );
     }
     network.set_partition(&near, &far, true);
     network.run_for(4 * SECOND);
@@ -72,7 +76,11 @@
     network.run_for(SECOND);
     for replica in 0..5 {
         let replicas = network.replicas.clone();
-        network.hosts[replica].plans.set_replica(replicas, ConfigVersion(1), LogIndex::default());
+        network.hosts[replica].plans.set_log_report(
+            replicas,
+            ConfigVersion(1),
+            LogIndex::default(),
+        );
     }
     network.leader = None;
     network.run_for(6 * SECOND);
@@ -81,7 +89,7 @@
     }
     // One replica holds a log entry past the version, which may or may not have been accepted.
     let replicas = network.replicas.clone();
-    network.hosts[2].plans.set_replica(replicas, ConfigVersion(2), LogIndex::default());
+    network.hosts[2].plans.set_log_report(replicas, ConfigVersion(2), LogIndex::default());
     network.run_for(2 * SECOND);
     let entry = &network.hosts[9].plans;
     assert_eq!(entry.standing(network.now), PlanStanding::Expired(ConfigVersion(1)));
@@ -136,7 +144,7 @@
     let ring = with_leader(30, 25).hosts[29].members.ring().clone();
     let mut follower = PlanFollower::new(host_name(29), 1);
     let replicas: Vec<_> = (0..5).map(host_name).collect();
-    follower.apply_replicas(&replicas);
+    follower.set_announced_replicas(&replicas);
     for round in 0..5 {
         let now = Moment::from_micros(1_000_000 + round * 100_000);
         let asked = follower.tick(now, &ring);
@@ -155,7 +163,7 @@
     let mut entry = PlanFollower::new(host_name(1), 2);
     let at = |millis| Moment::ZERO + Duration::from_millis(millis);
     let ring = PeerRing::default();
-    entry.apply_replicas(&[host_name(0)]);
+    entry.set_announced_replicas(&[host_name(0)]);
     let asked = entry.tick(at(10), &ring);
     let told: Vec<_> =
         asked.iter().flat_map(|send| replica.receive(at(11), &host_name(1), &send.body)).collect();
@@ -163,7 +171,7 @@
     entry.receive(at(12), &host_name(0), &told[0].body);
     assert_eq!(entry.standing(at(12)), PlanStanding::Starting);
     assert!(replica.tick(at(13), &ring).is_empty());
-    replica.lead(1, ReplicaSet { index: 1, hosts: vec![host_name(0)] }, at(14));
+    replica.issue_lease(1, ReplicaSet { index: 1, hosts: vec![host_name(0)] }, at(14));
     assert!(replica.next_wakeup() <= at(14));
     for send in replica.tick(at(15), &ring) {
         assert_eq!(send.to, host_name(1));
@@ -184,15 +192,15 @@
     let ring = PeerRing::default();
     let mut rows = RouteRows::new(52);
     rows.add(1_400);
-    leader.committed(&rows.version(1));
-    leader.lead(1, ReplicaSet { index: 1, hosts: vec![host_name(0)] }, at(1));
-    first.apply_replicas(&[host_name(0)]);
+    leader.apply_committed_plan(&rows.version(1));
+    leader.issue_lease(1, ReplicaSet { index: 1, hosts: vec![host_name(0)] }, at(1));
+    first.set_announced_replicas(&[host_name(0)]);
     for send in first.tick(at(10), &ring) {
         for answer in leader.receive(at(11), &host_name(1), &send.body) {
             first.receive(at(12), &host_name(0), &answer.body);
         }
     }
-    second.apply_replicas(&[host_name(1)]);
+    second.set_announced_replicas(&[host_name(1)]);
     for send in second.tick(at(20), &ring) {
         for answer in first.receive(at(21), &host_name(2), &send.body) {
             second.receive(at(22), &host_name(1), &answer.body);
@@ -224,7 +232,7 @@
     for _ in 0..400 {
         network.run_for(Duration::from_millis(5));
         for (index, host) in network.hosts.iter().enumerate() {
-            let awaited = host.plans.awaited();
+            let awaited = host.plans.awaited_version();
             assert!(awaited.is_none_or(|awaited| awaited > host.plans.version()), "host {index}");
             waited[index] |= awaited == Some(ConfigVersion(2));
         }
@@ -232,7 +240,7 @@
     assert!(waited[1..].iter().all(|waited| *waited), "{waited:?}");
     assert!(!waited[0], "the leader has it");
     assert_eq!(at_version(&network, 2), 12);
-    assert!(network.hosts.iter().all(|host| host.plans.awaited().is_none()));
+    assert!(network.hosts.iter().all(|host| host.plans.awaited_version().is_none()));
 }
 
 // Guards against a host that considers only leases: without a leader, versions that others hold may
@@ -243,14 +251,14 @@
     let mut entry = PlanFollower::new(host_name(1), 2);
     let at = |millis| Moment::ZERO + Duration::from_millis(millis);
     let plan = StoredPlan { version: ConfigVersion(6), ..StoredPlan::default() };
-    holder.committed(&plan);
-    entry.apply_replicas(&[host_name(0)]);
-    assert_eq!(entry.awaited(), None);
+    holder.apply_committed_plan(&plan);
+    entry.set_announced_replicas(&[host_name(0)]);
+    assert_eq!(entry.awaited_version(), None);
     for send in entry.tick(at(10), &PeerRing::default()) {
         for told in holder.receive(at(11), &host_name(1), &send.body) {
             entry.receive(at(12), &host_name(0), &told.body);
         }
     }
-    assert_eq!(entry.awaited(), Some(ConfigVersion(6)));
-    assert_eq!(holder.awaited(), None);
+    assert_eq!(entry.awaited_version(), Some(ConfigVersion(6)));
+    assert_eq!(holder.awaited_version(), None);
 }
--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -49,7 +49,7 @@
     let mut network = with_links(40, 61, &rows.version(1));
     network.restart(30);
     let replicas = network.replicas.hosts.clone();
-    network.hosts[30].plans.apply_replicas(&replicas);
+    network.hosts[30].plans.set_announced_replicas(&replicas);
     let mut had_after = None;
     for version in 2..=150 {
         rows.set_weight(version as usize, 90);
@@ -104,23 +104,23 @@
     let mut rows = RouteRows::new(63);
     rows.add(20);
     let mut former = PlanFollower::new(old.clone(), 2);
-    former.committed(&rows.version(1));
-    former.lead(1, ReplicaSet { index: 1, hosts: vec![old.clone()] }, at(1));
-    entry.apply_replicas(std::slice::from_ref(&old));
+    former.apply_committed_plan(&rows.version(1));
+    former.issue_lease(1, ReplicaSet { index: 1, hosts: vec![old.clone()] }, at(1));
+    entry.set_announced_replicas(std::slice::from_ref(&old));
     let asked = entry.tick(at(10), &ring);
     for answer in answers(at(11), &own, (&old, &mut former), &asked) {
         entry.receive(at(12), &old, &answer.body);
     }
-    assert_eq!(entry.awaited(), Some(ConfigVersion(1)));
+    assert_eq!(entry.awaited_version(), Some(ConfigVersion(1)));
     // The only replica that it knows is gone, and another host holds the log now.
-    entry.apply_replicas(std::slice::from_ref(&new));
+    entry.set_announced_replicas(std::slice::from_ref(&new));
     let mut later = PlanFollower::new(new.clone(), 3);
-    later.committed(&rows.version(1));
-    later.lead(2, ReplicaSet { index: 2, hosts: vec![new.clone()] }, at(100));
+    later.apply_committed_plan(&rows.version(1));
+    later.issue_lease(2, ReplicaSet { index: 2, hosts: vec![new.clone()] }, at(100));
     let mut reached = 0;
     for round in 0..100 {
         let now = at(100 + 50 * round);
-        later.lead(2, ReplicaSet { index: 2, hosts: vec![new.clone()] }, now);
+        later.issue_lease(2, ReplicaSet { index: 2, hosts: vec![new.clone()] }, now);
         let sends = entry.tick(now, &ring);
         reached += sends.iter().filter(|send| send.to == new).count();
         for answer in answers(now, &own, (&new, &mut later), &sends) {
@@ -151,8 +151,8 @@
         let rings = [0, 1].map(|host| network.hosts[host].members.ring().clone());
         let mut holder = PlanFollower::new(names[0].clone(), seed).with_link_rate(Some(rate));
         let mut entry = PlanFollower::new(names[1].clone(), seed + 1);
-        holder.committed(plan);
-        entry.apply_replicas(&names[..1]);
+        holder.apply_committed_plan(plan);
+        entry.set_announced_replicas(&names[..1]);
         let mut pair = Self { names, rings, holder, entry, now: at(1) };
         pair.confirm_leader();
         pair
@@ -160,11 +160,11 @@
 
     fn confirm_leader(&mut self) {
         let replicas = ReplicaSet { index: 1, hosts: vec![self.names[0].clone()] };
-        self.holder.lead(1, replicas, self.now);
+        self.holder.issue_lease(1, replicas, self.now);
     }
 
     fn accept(&mut self, plan: &StoredPlan) {
-        self.holder.committed(plan);
+        self.holder.apply_committed_plan(plan);
         self.confirm_leader();
     }
 
@@ -255,7 +255,7 @@
     let plan = rows.version(1);
     let mut holders: Vec<PlanFollower> =
         (0..12).map(|index| PlanFollower::new(host_name(index), index as u64)).collect();
-    holders.iter_mut().for_each(|holder| holder.committed(&plan));
+    holders.iter_mut().for_each(|holder| holder.apply_committed_plan(&plan));
     // The first eight hosts announce that they hold the plan, but no chunk from them arrives. Later
     // only the others are left.
     for round in 0..400 {
@@ -310,7 +310,7 @@
     rows.add(48);
     let mut network = with_links(24, 68, &rows.version(1));
     let replicas = network.replicas.hosts.clone();
-    network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
+    network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
     network.conditions.loss = 0.1;
     network.conditions.duplicates = 0.1;
     rows.add(1_400);
--- a/crates/pulley_core/tests/members/restart_tests.rs
+++ b/crates/pulley_core/tests/members/restart_tests.rs
@@ -23,7 +23,7 @@
     const HOSTS: usize = 200;
     let mut network = Network::new(HOSTS, 41);
     let replicas: Vec<HostId> = (0..REPLICAS).map(host_name).collect();
-    network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
+    network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
     network.run_for(SECOND);
     let before = sent(&network, Kind::Plan, 0..REPLICAS);
     network.run_for(SECOND);
@@ -54,11 +54,15 @@
     network.replicas = ReplicaSet { index: 1, hosts };
     for replica in 0..REPLICAS {
         let replicas = network.replicas.clone();
-        network.hosts[replica].plans.set_replica(replicas, ConfigVersion(1), LogIndex::default());
+        network.hosts[replica].plans.set_log_report(
+            replicas,
+            ConfigVersion(1),
+            LogIndex::default(),
+        );
     }
     if knows_replicas {
         let replicas = network.replicas.hosts.clone();
-        network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
+        network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
     }
     network.run_for(SECOND);
     network.leader = Some((0, 1));
--- a/crates/pulley_core/tests/members/schedule_tests.rs
+++ b/crates/pulley_core/tests/members/schedule_tests.rs
@@ -87,7 +87,7 @@
         let last = ConfigVersion(self.accepted.len() as u64 - 1);
         for replica in 0..5 {
             let replicas = self.network.replicas.clone();
-            self.network.hosts[replica].plans.set_replica(replicas, last, LogIndex::default());
+            self.network.hosts[replica].plans.set_log_report(replicas, last, LogIndex::default());
         }
     }
 
--- a/crates/pulley_core/tests/members/wide_change.rs
+++ b/crates/pulley_core/tests/members/wide_change.rs
@@ -137,7 +137,7 @@
         let mut network = Network::new(self.hosts, self.seed);
         let replicas: Vec<HostId> = (0..REPLICAS).map(host_name).collect();
         network.replicas = ReplicaSet { index: 1, hosts: replicas.clone() };
-        network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
+        network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
         network.leader = Some((0, 1));
         accept(&mut network, plan);
         network.run_for(Duration::from_secs(8));
@@ -166,7 +166,7 @@
 
 fn commit(network: &mut Network, replica: usize, plan: &Arc<StoredPlan>) {
     let replicas = network.replicas.clone();
-    network.hosts[replica].plans.set_replica(replicas, plan.version, LogIndex::default());
+    network.hosts[replica].plans.set_log_report(replicas, plan.version, LogIndex::default());
     network.commit(replica, plan);
 }
 
--- a/crates/pulley_core/tests/mutated_messages.rs
+++ b/crates/pulley_core/tests/mutated_messages.rs
@@ -181,7 +181,7 @@
     let mut now = Moment::ZERO + Duration::from_secs(1);
     for step in 0..20 {
         now = now + Duration::from_millis(250);
-        leader.lead(1, ReplicaSet { index: 1, hosts: vec![host(0)] }, now);
+        leader.issue_lease(1, ReplicaSet { index: 1, hosts: vec![host(0)] }, now);
         let mut queue: Vec<_> = leader.tick(now, &ring(0)).into_iter().map(|s| (0, s)).collect();
         queue.extend(follower.tick(now, &ring(1)).into_iter().map(|s| (1, s)));
         while let Some((from, send)) = queue.pop() {
@@ -260,7 +260,7 @@
         change_id: format!("change-{version}").parse().unwrap(),
         actor: "operator".parse().unwrap(),
         expect: ConfigVersion::default(),
-        given: Some(ConfigVersion(version)),
+        assigned_version: Some(ConfigVersion(version)),
         received_unix_ms: 0,
         sheet,
         plan: SheetReader::read(include_bytes!("../../../examples/kolkhi.csv")).unwrap(),
@@ -277,7 +277,7 @@
     request.plan.kinds.pop();
     let stored = [
         StoredChange::new(request, &current),
-        StoredChange::behind_others(large_change(3), &current),
+        StoredChange::new_after_pending(large_change(3), &current),
         StoredChange::new(large_change(1), &StoredPlan::default()),
     ];
     let recorded: Vec<Bytes> =
@@ -298,7 +298,7 @@
 fn no_mutated_router_message_panics() {
     let now = Moment::ZERO + Duration::from_secs(1);
     let mut router = QuestionRouter::new(host(0), 1);
-    router.apply_replicas(vec![host(0), host(1)]);
+    router.set_replicas(vec![host(0), host(1)]);
     let mut questions = Vec::new();
     for _ in 0..4 {
         let (_, outputs) = router.ask(now, ReplicaQuestion::CurrentPlan).unwrap();
--- a/crates/pulley_core/tests/question_router.rs
+++ b/crates/pulley_core/tests/question_router.rs
@@ -19,7 +19,7 @@
 
 fn router(own: usize) -> QuestionRouter {
     let mut router = QuestionRouter::new(host(own), 1);
-    router.apply_replicas(vec![host(1), host(2)]);
+    router.set_replicas(vec![host(1), host(2)]);
     router
 }
 
@@ -30,7 +30,7 @@
         change_id: "change".parse().expect("a valid name"),
         actor: "operator".parse().expect("a valid name"),
         expect: ConfigVersion(0),
-        given: Some(ConfigVersion(7)),
+        assigned_version: Some(ConfigVersion(7)),
         received_unix_ms: 0,
         sheet: (0..bytes).map(|_| char::from(random.random_range(b' '..=b'~'))).collect(),
         plan: PolicyPlan::default(),
@@ -92,7 +92,7 @@
             panic!("not taken")
         };
         assert_eq!(*arrived, question);
-        let back = leader.local_answer(START, *number, shown.clone());
+        let back = leader.handle_local_answer(START, *number, shown.clone());
         let [RouterOutput::Send { body, .. }] = &back[..] else { panic!("not answered") };
         assert!(body.len() < sheet.len() / 2, "{} bytes", body.len());
         let answered = asker.receive(START, &host(1), body);
--- a/crates/pulley_core/tests/stored_change.rs
+++ b/crates/pulley_core/tests/stored_change.rs
@@ -41,7 +41,7 @@
         change_id: "change".parse().expect("a valid name"),
         actor: "planner".parse().expect("a valid name"),
         expect: ConfigVersion(expect),
-        given: None,
+        assigned_version: None,
         received_unix_ms: 0,
         sheet,
         plan,
@@ -108,7 +108,11 @@
     let (_, plan) = sheet_of(numbers);
     let change_id = format!("change-{version}").parse().expect("a valid name");
     let sheet = json_of(numbers);
-    ChangeRequest { change_id, given: Some(ConfigVersion(version)), ..request(0, sheet, plan) }
+    ChangeRequest {
+        change_id,
+        assigned_version: Some(ConfigVersion(version)),
+        ..request(0, sheet, plan)
+    }
 }
 
 // Guards against storing the whole sheet for each change with a chosen version and a single line.
--- a/crates/pulleyd/src/process/control_core.rs
+++ b/crates/pulleyd/src/process/control_core.rs
@@ -72,7 +72,7 @@
     pub(crate) schedulers: Arc<SchedulerSet>,
     pub(crate) share_counts: bool,
     pub(crate) upstream_lease: Duration,
-    pub(crate) serves_on: bool,
+    pub(crate) serves_without_quorum: bool,
     /// The bandwidth of the host's link in bytes per second, if known.
     pub(crate) link_rate: Option<f64>,
     pub(crate) seed: u64,
@@ -124,7 +124,7 @@
     members: u64,
     upstreams: u64,
     version: u64,
-    awaited: Option<ConfigVersion>,
+    awaited_version: Option<ConfigVersion>,
     zones: LogIndex,
     ready: bool,
     leaving: bool,
@@ -136,8 +136,8 @@
     /// published at once: from then on, callers get no refusal that is final.
     fn can_defer(&self, other: &Self) -> bool {
         let without = |inputs: &Self| {
-            let awaited = inputs.awaited.map(|_| ConfigVersion::default());
-            Self { members: 0, upstreams: 0, awaited, ..*inputs }
+            let awaited_version = inputs.awaited_version.map(|_| ConfigVersion::default());
+            Self { members: 0, upstreams: 0, awaited_version, ..*inputs }
         };
         without(self) == without(other)
     }
@@ -155,7 +155,7 @@
             members,
             registry: UpstreamRegistry::with_lease(parts.upstream_lease),
             follower: PlanFollower::new(host.clone(), parts.seed ^ 1)
-                .with_serving_on(parts.serves_on)
+                .with_serving_without_quorum(parts.serves_without_quorum)
                 .with_link_rate(parts.link_rate),
             replica: parts.replica,
             router: QuestionRouter::new(host.clone(), parts.seed >> 2),
@@ -369,7 +369,7 @@
             members: self.members.changes(),
             upstreams: self.registry.changes(),
             version: self.follower.version().0,
-            awaited: self.follower.awaited(),
+            awaited_version: self.follower.awaited_version(),
             zones: self.applied_zones,
             ready: standing.is_ready(),
             leaving: self.shutting_down,
@@ -420,15 +420,15 @@
         replicas.sort();
         self.entries = Arc::new(EntryZones::of(self.members.live()));
         if let Some(driver) = &mut self.replica {
-            driver.apply_replicas(&replicas);
+            driver.set_replicas(&replicas);
         }
-        self.follower.apply_replicas(&replicas);
+        self.follower.set_announced_replicas(&replicas);
         let zone = &self.members.own().zone;
-        let is_near =
+        let is_same_zone =
             |host: &&HostId| self.members.find(host).is_some_and(|record| record.zone == *zone);
-        let near = replicas.iter().filter(is_near).cloned().collect();
-        self.follower.prefer_replicas(near);
-        self.router.apply_replicas(replicas);
+        let same_zone = replicas.iter().filter(is_same_zone).cloned().collect();
+        self.follower.set_same_zone_replicas(same_zone);
+        self.router.set_replicas(replicas);
     }
 
     fn publish(&mut self, now: Moment, view: RunningView) {
--- a/crates/pulleyd/src/process/control_replica.rs
+++ b/crates/pulleyd/src/process/control_replica.rs
@@ -39,8 +39,8 @@
                 }
                 DriverOutput::ReadAudit(read) => self.outputs.push(ControlOutput::ReadAudit(read)),
                 DriverOutput::Answer { token, answer } => self.handle_answer(now, token, answer),
-                DriverOutput::InForce(plan) => self.follower.committed(&plan),
-                DriverOutput::ZonesInForce(zones) => self.follower.committed_zones(&zones),
+                DriverOutput::InForce(plan) => self.follower.apply_committed_plan(&plan),
+                DriverOutput::ZonesInForce(zones) => self.follower.apply_committed_zones(&zones),
             }
         }
         self.recall_upstreams(now);
@@ -51,7 +51,7 @@
             self.handle_lease_answer(token, &answer);
             return;
         }
-        let routed = self.router.local_answer(now, QuestionNumber(token), answer);
+        let routed = self.router.handle_local_answer(now, QuestionNumber(token), answer);
         self.route(now, routed);
     }
 
@@ -94,7 +94,7 @@
             return;
         }
         let answer = ReplicaAnswer::NotLeader { leader: None };
-        let routed = self.router.local_answer(now, number, answer);
+        let routed = self.router.handle_local_answer(now, number, answer);
         self.route(now, routed);
     }
 
@@ -132,10 +132,10 @@
         let Some(replica) = &self.replica else { return };
         let term = replica.node().term().0;
         let machines = replica.machines();
-        self.follower.committed(machines.configuration.current());
-        self.follower.committed_zones(machines.evacuations.evacuated());
+        self.follower.apply_committed_plan(machines.configuration.current());
+        self.follower.apply_committed_zones(machines.evacuations.evacuated());
         let set = replica_set(replica);
-        self.follower.lead(term, set, began);
+        self.follower.issue_lease(term, set, began);
     }
 
     /// Reports this host's uncommitted log entries to the follower. Hosts without a lease must know
@@ -143,7 +143,7 @@
     fn report_uncommitted(&mut self) {
         let Some(replica) = &self.replica else { return };
         let (last_version, last_order) = latest_in_log(replica);
-        self.follower.set_replica(replica_set(replica), last_version, last_order);
+        self.follower.set_log_report(replica_set(replica), last_version, last_order);
     }
 }
 
--- a/crates/pulleyd/src/process/control_status.rs
+++ b/crates/pulleyd/src/process/control_status.rs
@@ -16,7 +16,7 @@
         let live = self.members.live_entries();
         RunningView {
             version: self.follower.version(),
-            awaited: self.follower.awaited(),
+            awaited_version: self.follower.awaited_version(),
             plan: self.plan_in_force(),
             upstreams: self.registry.pools(now).clone(),
             readiness: self.readiness(standing),
@@ -30,7 +30,7 @@
     /// readers of views detect a change by its pointer.
     fn plan_in_force(&mut self) -> Arc<IndexedPlan> {
         let Some(plan) = self.follower.in_force() else { return Arc::default() };
-        if !Arc::ptr_eq(self.view_plan.shared(), plan) {
+        if !Arc::ptr_eq(self.view_plan.plan(), plan) {
             self.view_plan = Arc::new(IndexedPlan::new(Arc::clone(plan)));
         }
         Arc::clone(&self.view_plan)
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -239,7 +239,7 @@
         schedulers: parts.schedulers,
         share_counts: settings.share_counts,
         upstream_lease: settings.traffic.upstream_lease,
-        serves_on: settings.traffic.serves_on,
+        serves_without_quorum: settings.traffic.serves_without_quorum,
         link_rate: settings.traffic.link_kbps.map(|rate| f64::from(rate) * BYTES_PER_KBIT),
         seed,
     });
@@ -389,7 +389,7 @@
     }
 
     fn read_audit(&mut self, read: AuditRead) -> Vec<ControlOutput> {
-        let number = read.read;
+        let number = read.id;
         let submitted = self.disk.as_ref().map(|disk| disk.audit.submit(read));
         if matches!(submitted, Some(Ok(()))) {
             return Vec::new();
@@ -538,7 +538,7 @@
         self.logged_spread = counts;
         self.next_spread_log = now + SPREAD_LOG_INTERVAL;
         let follower = &self.core.follower;
-        let awaited = follower.awaited().map(|version| version.to_string());
+        let awaited = follower.awaited_version().map(|version| version.to_string());
         info!(self.logger, "configuration-spread"; "version" => %follower.version(),
             "awaited" => awaited, "fetches" => counts.fetches,
             "dropped_paths" => counts.dropped_paths, "windows_asked" => counts.windows_asked,
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -428,7 +428,7 @@
     loop {
         let current = view.load();
         metrics.record_view(current.version.0, view.readiness() == HostReadiness::Ready);
-        metrics.record_awaited(current.awaited);
+        metrics.record_awaited_version(current.awaited_version);
         metrics.record_zones(current.evacuated.zones.len(), current.evacuated_upstreams());
         tokio::time::sleep(METRICS_INTERVAL).await;
     }
--- a/crates/pulleyd/src/process/daemon_settings.rs
+++ b/crates/pulleyd/src/process/daemon_settings.rs
@@ -322,7 +322,8 @@
 
     fn read_traffic(&mut self) -> Option<TrafficSettings> {
         let upstream_lease = self.time("upstream-lease", MIN_UPSTREAM_LEASE);
-        let serves_on = self.checked("without-quorum", "serve or refuse", serve_or_refuse);
+        let serves_without_quorum =
+            self.checked("without-quorum", "serve or refuse", serve_or_refuse);
         let expected = "a whole number, or nothing";
         let retry_allowance = self.optional("retry-allowance", expected, |text| text.parse().ok());
         let retry_percent = self.count_from("retry-percent", 0, 100);
@@ -333,7 +334,7 @@
             self.optional("link-kbps", expected, |text| text.parse().ok().filter(|rate| *rate > 0));
         Some(TrafficSettings {
             upstream_lease: upstream_lease?,
-            serves_on: serves_on?,
+            serves_without_quorum: serves_without_quorum?,
             retry_allowance: retry_allowance?,
             retry_percent: u32::try_from(retry_percent?).unwrap_or(0),
             arrival_probes: arrival_probes?,
--- a/crates/pulleyd/src/process/operator_api.rs
+++ b/crates/pulleyd/src/process/operator_api.rs
@@ -151,7 +151,7 @@
                 change_id: upload.change_id,
                 actor: upload.actor,
                 expect: upload.expect,
-                given: upload.given,
+                assigned_version: upload.given,
                 received_unix_ms: ProcessClock::unix_ms(),
                 sheet: upload.sheet,
                 plan,
--- a/crates/pulleyd/src/process/process_metrics.rs
+++ b/crates/pulleyd/src/process/process_metrics.rs
@@ -174,9 +174,9 @@
     }
 
     /// Records the newer version that this host knows of but has not put in force, if there is one.
-    pub fn record_awaited(&self, awaited: Option<ConfigVersion>) {
-        let awaited = awaited.unwrap_or_default().0;
-        self.config_version_awaited.set(i64::try_from(awaited).unwrap_or(i64::MAX));
+    pub fn record_awaited_version(&self, version: Option<ConfigVersion>) {
+        let version = version.unwrap_or_default().0;
+        self.config_version_awaited.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
     /// Records the number of evacuated zones, and the number of upstreams that get no requests for
--- a/crates/pulleyd/src/process/running_view.rs
+++ b/crates/pulleyd/src/process/running_view.rs
@@ -34,7 +34,7 @@
     /// The configuration in force.
     pub version: ConfigVersion,
     /// The newest accepted version known of that is not yet in force on this host.
-    pub awaited: Option<ConfigVersion>,
+    pub awaited_version: Option<ConfigVersion>,
     /// The checked sheet of the configuration in force.
     pub plan: Arc<IndexedPlan>,
     /// The upstreams of each pool.
@@ -53,7 +53,7 @@
     fn default() -> Self {
         Self {
             version: ConfigVersion::default(),
-            awaited: None,
+            awaited_version: None,
             plan: Arc::default(),
             upstreams: FastMap::default(),
             readiness: HostReadiness::NotReady { why: SmolStr::new_static("starting") },
--- a/crates/pulleyd/src/process/setting_groups.rs
+++ b/crates/pulleyd/src/process/setting_groups.rs
@@ -9,7 +9,7 @@
     /// The longest time for which an upstream gets requests after its last announcement.
     pub upstream_lease: Duration,
     /// Whether an entry that reaches no quorum keeps serving by the last configuration it knows.
-    pub serves_on: bool,
+    pub serves_without_quorum: bool,
     /// Retries for one pool that all entries together may make in a short time, in addition to
     /// [`Self::retry_percent`] of the requests.
     pub retry_allowance: Option<u32>,
@@ -38,7 +38,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let allowance = self.retry_allowance.map(|retries| retries.to_string());
         writeln!(f, "upstream-lease={}ms", self.upstream_lease.as_millis())?;
-        writeln!(f, "without-quorum={}", if self.serves_on { "serve" } else { "refuse" })?;
+        writeln!(
+            f,
+            "without-quorum={}",
+            if self.serves_without_quorum { "serve" } else { "refuse" }
+        )?;
         writeln!(f, "retry-allowance={}", allowance.unwrap_or_default())?;
         writeln!(f, "retry-percent={}", self.retry_percent)?;
         writeln!(f, "arrival-probes={}", self.arrival_probes)?;
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -74,7 +74,7 @@
             self.recall_directory(now);
         } else if self.recovery.proof.is_wanted() && leader.is_some() {
             self.recovery.proof.begin_asking();
-            self.router.apply_leader(leader);
+            self.router.set_leader(leader);
             if !self.ask(now, ReplicaQuestion::Applied, PendingAnswer::Applied) {
                 self.recovery.proof.give_up_asking();
             }
@@ -97,7 +97,7 @@
         let Some(replica) = &self.replica else { return };
         let Some(directory) = self.recovery.directory.take() else { return };
         let departures = &replica.machines().departures;
-        if !departures.covers(LogIndex(directory.applied)) {
+        if !departures.remembers_all_since(LogIndex(directory.applied)) {
             self.recovery.outcome = Some(RecallOutcome::TooOld);
             return;
         }
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -155,7 +155,7 @@
         let method = request.method().as_str();
         let host = requested_host(request.uri(), request.headers());
         let found = view.plan.find(host, method, request.uri().path(), rand::random());
-        let Some((_, row)) = found else { return view.awaited.is_none() };
+        let Some((_, row)) = found else { return view.awaited_version.is_none() };
         let upstreams = view.upstreams.get(&row.pool);
         upstreams.is_some_and(|records| records.iter().any(|record| record.takes_work))
     }
@@ -279,7 +279,7 @@
 /// told to come back only while a newer version is known to be on its way, so that what no version
 /// allows is soon denied.
 fn deny_by_plan(view: &RunningView, denial: SystemAnswer) -> SystemAnswer {
-    match view.awaited {
+    match view.awaited_version {
         Some(_) => SystemAnswer::refused(RefusalCause::ConfigurationBehind, Some(BEHIND_RETRY)),
         None => denial,
     }
@@ -370,7 +370,7 @@
         "verdict" => %answer.verdict, "attempts" => refused.attempts,
         "upstream" => refused.upstream.as_ref().map(ToString::to_string),
         "held_ms" => u64::try_from(refused.elapsed.as_millis()).unwrap_or(u64::MAX),
-        "config" => view.version.0, "awaited" => view.awaited.map(|version| version.0),
+        "config" => view.version.0, "awaited" => view.awaited_version.map(|version| version.0),
         "retry_after_ms" => answer.retry_after.map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)));
     if closes_connection {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -303,7 +303,7 @@
     /// Drops pools that the plan no longer names once their queues are empty.
     fn retire_pools(&self, plan: &IndexedPlan) {
         let is_kept = |pool: &PoolName, cell: &Arc<PoolCell>| {
-            plan.names_pool(pool) || !cell.state.lock().waiting.is_empty()
+            plan.contains_pool(pool) || !cell.state.lock().waiting.is_empty()
         };
         if self.pools.load().iter().all(|(pool, cell)| is_kept(pool, cell)) {
             return;
--- a/crates/pulleyd/src/version/audit_reader.rs
+++ b/crates/pulleyd/src/version/audit_reader.rs
@@ -78,7 +78,7 @@
     mut on_read: impl FnMut(u64, Option<Vec<AuditRecord>>),
 ) {
     while let Ok(read) = queue.recv() {
-        on_read(read.read, read_audit(folder, &read));
+        on_read(read.id, read_audit(folder, &read));
     }
 }
 
@@ -94,7 +94,7 @@
                 found.push(record);
             }
         }
-        if found.len() >= read.limit || read.filter.begins_after(newest) {
+        if found.len() >= read.limit || read.filter.excludes_up_to(newest) {
             break;
         }
     }
--- a/crates/pulleyd/tests/control_apis.rs
+++ b/crates/pulleyd/tests/control_apis.rs
@@ -86,7 +86,7 @@
     let logger = Logger::root(Discard, o!());
     let metrics = ProcessMetrics::new().unwrap();
     metrics.record_view(7, true);
-    metrics.record_awaited(Some(ConfigVersion(8)));
+    metrics.record_awaited_version(Some(ConfigVersion(8)));
     let operators = OperatorApi::new(control.clone(), view.clone(), metrics, keys, logger);
     let upstreams = AnnounceApi::new(control, view.clone());
     TestHost {
--- a/crates/pulleyd/tests/path_support/test_entry.rs
+++ b/crates/pulleyd/tests/path_support/test_entry.rs
@@ -172,7 +172,7 @@
         known.insert(pool, records.into());
         RunningView {
             version: ConfigVersion::default(),
-            awaited: None,
+            awaited_version: None,
             plan: Arc::new(PolicyPlan { kinds, pools, ..PolicyPlan::default() }.into()),
             upstreams: known,
             readiness: HostReadiness::Ready,
--- a/crates/pulleyd/tests/replica/audit_tests.rs
+++ b/crates/pulleyd/tests/replica/audit_tests.rs
@@ -17,7 +17,7 @@
 const TENTH_ACTOR: &str = "night-planner";
 
 fn long_trail() -> FakeCluster {
-    let settings = ReplicaSettings::default().with_snapshot_weight(40_000);
+    let settings = ReplicaSettings::default().with_snapshot_bytes(40_000);
     let mut cluster = FakeCluster::with_settings(3, 11, settings);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     for version in 0..CHANGES {
@@ -58,7 +58,7 @@
     let found = records(cluster.ask_leader(&first_change()));
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].actor.as_str(), TENTH_ACTOR);
-    let status = cluster.driver(0).machines().configuration.audit_trail().sealed();
+    let status = cluster.driver(0).machines().configuration.audit_trail().sealed_chunks();
     assert!(status >= 2, "{status} chunks");
 }
 
--- a/crates/pulleyd/tests/replica/departure_tests.rs
+++ b/crates/pulleyd/tests/replica/departure_tests.rs
@@ -35,7 +35,7 @@
 
 fn settings() -> ReplicaSettings {
     // Two of the five replicas' disks may be lost at once; every snapshot is small.
-    ReplicaSettings::default().with_copies(3).with_snapshot_weight(2_000)
+    ReplicaSettings::default().with_copies(3).with_snapshot_bytes(2_000)
 }
 
 fn has_left(cluster: &FakeCluster, number: usize, upstream: u64) -> bool {
@@ -183,8 +183,8 @@
     assert_eq!(machines.departures.len(), DEPARTURES_KEPT);
     assert!(!machines.departures.has_left(&start(10)));
     assert!(machines.departures.has_left(&start(11)));
-    assert!(!machines.departures.covers(LogIndex(9)));
-    assert!(machines.departures.covers(LogIndex(10)));
+    assert!(!machines.departures.remembers_all_since(LogIndex(9)));
+    assert!(machines.departures.remembers_all_since(LogIndex(10)));
     apply_departure(&mut machines, kept + 10);
     assert_eq!(machines.departures.len(), DEPARTURES_KEPT, "a resend must not add a departure");
 }
--- a/crates/pulleyd/tests/replica/evacuation_tests.rs
+++ b/crates/pulleyd/tests/replica/evacuation_tests.rs
@@ -35,7 +35,7 @@
 }
 
 fn settings() -> ReplicaSettings {
-    ReplicaSettings::default().with_copies(3).with_snapshot_weight(2_000)
+    ReplicaSettings::default().with_copies(3).with_snapshot_bytes(2_000)
 }
 
 fn use_of(cluster: &FakeCluster, number: usize, zone: u64) -> ZoneUse {
--- a/crates/pulleyd/tests/replica/failure_tests.rs
+++ b/crates/pulleyd/tests/replica/failure_tests.rs
@@ -167,7 +167,7 @@
 // chunks, and only then get a vote.
 #[test]
 fn a_new_host_joins_by_snapshot() {
-    let settings = ReplicaSettings::default().with_snapshot_weight(2_000);
+    let settings = ReplicaSettings::default().with_snapshot_bytes(2_000);
     let mut cluster = FakeCluster::with_settings(3, 7, settings);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     for version in 0..400 {
@@ -193,7 +193,7 @@
 // resends its change. It must get the first answer again, and nothing may change.
 #[test]
 fn a_resend_gets_its_first_answer_after_hundreds_of_changes_and_restarts() {
-    let settings = ReplicaSettings::default().with_snapshot_weight(4_000);
+    let settings = ReplicaSettings::default().with_snapshot_bytes(4_000);
     let mut cluster = FakeCluster::with_settings(3, 8, settings);
     cluster.run_until(Duration::from_secs(10), FakeCluster::all_vote);
     for version in 0..500 {
--- a/crates/pulleyd/tests/replica/fake_cluster.rs
+++ b/crates/pulleyd/tests/replica/fake_cluster.rs
@@ -205,7 +205,7 @@
         let all: Vec<HostId> = self.hosts.iter().map(|host| host.identity.host.clone()).collect();
         for host in &mut self.hosts {
             if let Some(driver) = &mut host.driver {
-                driver.apply_replicas(&all);
+                driver.set_replicas(&all);
             }
         }
     }
@@ -468,7 +468,7 @@
             }
             DriverOutput::ReadAudit(read) => {
                 let records = read_audit(&self.hosts[number].disk, &read);
-                self.handle_input(number, DriverInput::AuditRead { read: read.read, records });
+                self.handle_input(number, DriverInput::AuditRead { read: read.id, records });
             }
             DriverOutput::Answer { token, answer } => {
                 self.invariants.record_answer(token, &answer);
@@ -594,7 +594,7 @@
         change_id: id.parse().expect("a valid name"),
         actor: "planner".parse().expect("a valid name"),
         expect: ConfigVersion(expect),
-        given: None,
+        assigned_version: None,
         received_unix_ms: 1_700_000_000_000,
         sheet: sheet_of(id),
         plan: PolicyPlan::default(),
--- a/crates/pulleyd/tests/replica/given_version_tests.rs
+++ b/crates/pulleyd/tests/replica/given_version_tests.rs
@@ -14,7 +14,7 @@
         change_id: id.parse().expect("a valid name"),
         actor: "operator".parse().expect("a valid name"),
         expect: ConfigVersion::default(),
-        given: Some(ConfigVersion(version)),
+        assigned_version: Some(ConfigVersion(version)),
         received_unix_ms: 1_700_000_000_000,
         sheet: sheet.to_owned(),
         plan: PolicyPlan::default(),
--- a/crates/pulleyd/tests/replica/growth_schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/growth_schedule_tests.rs
@@ -42,7 +42,7 @@
         let settings = ReplicaSettings::default()
             .with_growth(true)
             .with_copies(TOLERATED_LOSSES + 1)
-            .with_snapshot_weight(2_000);
+            .with_snapshot_bytes(2_000);
         let mut cluster = FakeCluster::with_settings(3, seed, settings);
         cluster.update_replica_lists();
         cluster.add_new_host();
--- a/crates/pulleyd/tests/replica/large_configuration_tests.rs
+++ b/crates/pulleyd/tests/replica/large_configuration_tests.rs
@@ -58,7 +58,7 @@
             change_id: format!("change-{version}").parse().expect("a valid name"),
             actor: "operator".parse().expect("a valid name"),
             expect: ConfigVersion::default(),
-            given: Some(ConfigVersion(version)),
+            assigned_version: Some(ConfigVersion(version)),
             received_unix_ms: 1_700_000_000_000,
             sheet: self.sheet(version),
             plan: PolicyPlan { kinds, ..PolicyPlan::default() },
@@ -269,7 +269,7 @@
 /// Returns the size of a question on its way to the leader, in bytes.
 fn question_bytes(question: &ReplicaQuestion) -> usize {
     let mut router = QuestionRouter::new(host_name(0), 1);
-    router.apply_replicas(vec![host_name(1)]);
+    router.set_replicas(vec![host_name(1)]);
     let (_, outputs) = router.ask(Moment::ZERO, question.clone()).expect("it has room");
     sent_bytes(&outputs)
 }
@@ -277,14 +277,14 @@
 /// Returns the size of an answer on its way back, in bytes.
 fn answer_bytes(answer: &ReplicaAnswer) -> usize {
     let mut asker = QuestionRouter::new(host_name(0), 1);
-    asker.apply_replicas(vec![host_name(1)]);
+    asker.set_replicas(vec![host_name(1)]);
     let (_, outputs) = asker.ask(Moment::ZERO, ReplicaQuestion::CurrentPlan).expect("it has room");
     let [RouterOutput::Send { body, .. }] = &outputs[..] else { panic!("not sent") };
     let mut leader = QuestionRouter::new(host_name(1), 1);
-    leader.apply_replicas(vec![host_name(1)]);
+    leader.set_replicas(vec![host_name(1)]);
     let asked = leader.receive(Moment::ZERO, &host_name(0), body);
     let [RouterOutput::AskLocal { number, .. }] = &asked[..] else { panic!("not taken") };
-    sent_bytes(&leader.local_answer(Moment::ZERO, *number, answer.clone()))
+    sent_bytes(&leader.handle_local_answer(Moment::ZERO, *number, answer.clone()))
 }
 
 fn sent_bytes(outputs: &[RouterOutput]) -> usize {
--- a/crates/pulleyd/tests/replica/schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/schedule_tests.rs
@@ -100,7 +100,7 @@
 impl ScheduleRun {
     fn new(size: usize, seed: u64) -> Self {
         let ledger = LedgerLimits { capacity: 4, ..LedgerLimits::default() };
-        let settings = ReplicaSettings::default().with_ledger(ledger).with_snapshot_weight(2_000);
+        let settings = ReplicaSettings::default().with_ledger(ledger).with_snapshot_bytes(2_000);
         let cluster = FakeCluster::on_unreliable_network(size, seed, settings);
         // At most as many disks may be lost as the cluster can do without.
         Self { disks_to_lose: (size - 1) / 2, ..Self::of(cluster) }
--- a/crates/pulleyd/tests/request_behind.rs
+++ b/crates/pulleyd/tests/request_behind.rs
@@ -18,8 +18,8 @@
 
 fn set_awaited(entry: &TestEntry, version: Option<u64>) {
     let view = &entry.context.view;
-    let awaited = version.map(ConfigVersion);
-    view.store(RunningView { awaited, ..RunningView::clone(&view.load()) });
+    let awaited_version = version.map(ConfigVersion);
+    view.store(RunningView { awaited_version, ..RunningView::clone(&view.load()) });
 }
 
 /// Narrows the limits of the version in force.
@@ -135,7 +135,7 @@
     let plan = Arc::default();
     view.store(RunningView {
         plan,
-        awaited: Some(ConfigVersion(8)),
+        awaited_version: Some(ConfigVersion(8)),
         ..RunningView::clone(&newest)
     });
     tokio::spawn(async move {
