--- a/crates/pulley_bench/src/recovery/memory_figures.rs
+++ b/crates/pulley_bench/src/recovery/memory_figures.rs
@@ -5,7 +5,7 @@
 use super::stream_figures::row_plan;
 use pulley_core::version::{
     ChangeRequest, ClaimantId, ConfigVersion, KeyDigest, LedgerCommand, LedgerLimits, LogIndex,
-    LogTime, PolicyPlan, ReplicaMachines, RequestDigest, SnapshotPlace, StoredChange,
+    LogTime, PolicyPlan, ReplicaMachines, RequestDigest, SnapshotPosition, StoredChange,
 };
 
 /// 2,100 changes a day.
@@ -76,7 +76,7 @@
 fn report(what: &str, count: u64, before: u64, machines: &ReplicaMachines) {
     let after = resident_bytes();
     let begin = Instant::now();
-    let snapshot = machines.snapshot(SnapshotPlace::default());
+    let snapshot = machines.snapshot(SnapshotPosition::default());
     let elapsed = begin.elapsed();
     let size = snapshot.map_or(0, |snapshot| snapshot.state.len());
     println!(
--- a/crates/pulley_bench/src/recovery/size_figures.rs
+++ b/crates/pulley_bench/src/recovery/size_figures.rs
@@ -7,7 +7,7 @@
 use pulley_core::version::{
     ChangeAnswer, ChangeRequest, ConfigVersion, ConfigurationMachine, HostMatch, KindPlan,
     LogCommand, LogEntry, LogIndex, LogTime, PolicyPlan, QuestionRouter, ReplicaMachines,
-    ReplicaQuestion, RouterOutput, SnapshotPlace, StoredChange, StoredPlan, Term,
+    ReplicaQuestion, RouterOutput, SnapshotPosition, StoredChange, StoredPlan, Term,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -60,7 +60,7 @@
     let (_, decode_ms) = repeated(|| Ok(postcard::from_bytes::<LogEntry>(&encoded)?))?;
     let (machine, apply_ms) = repeated(|| applied(&base.configuration, entry.index, &change))?;
     let after = ReplicaMachines { configuration: machine, ..ReplicaMachines::default() };
-    let (snapshot, snapshot_ms) = repeated(|| Ok(after.snapshot(SnapshotPlace::default())?))?;
+    let (snapshot, snapshot_ms) = repeated(|| Ok(after.snapshot(SnapshotPosition::default())?))?;
     println!(
         "part=sizes change={what} routes={count} sheet_bytes={} plan_bytes={} frame_bytes={} \
          entry_bytes={} entry_weight={} snapshot_bytes={} send_ms={send_ms:.1} \
--- a/crates/pulley_core/src/version/mod.rs
+++ b/crates/pulley_core/src/version/mod.rs
@@ -44,7 +44,7 @@
     RecoveredState, ReplicaAnswer, ReplicaChange, ReplicaDriver, ReplicaEnvelope, ReplicaIdentity,
     ReplicaMachines, ReplicaMember, ReplicaMembership, ReplicaMessage, ReplicaNode,
     ReplicaQuestion, ReplicaRefusal, ReplicaSettings, ReplicaSnapshot, ReplicaStatus,
-    SnapshotChunk, SnapshotPlace, SnapshotReply, Term, VoteRecord, VoteReply, VoteRequest,
+    SnapshotChunk, SnapshotPosition, SnapshotReply, Term, VoteRecord, VoteReply, VoteRequest,
 };
 pub use sequence_edit::SequenceEdit;
 pub use sheet::{
--- a/crates/pulley_core/src/version/replica/cluster_founding.rs
+++ b/crates/pulley_core/src/version/replica/cluster_founding.rs
@@ -6,7 +6,7 @@
 
 use super::{
     DiskId, FoundingMessage, PersistBatch, PersistTicket, RecoveredState, ReplicaIdentity,
-    ReplicaMachines, ReplicaMember, ReplicaMembership, SnapshotPlace,
+    ReplicaMachines, ReplicaMember, ReplicaMembership, SnapshotPosition,
 };
 use crate::process::{HostId, MemberId, Moment};
 
@@ -240,8 +240,9 @@
     }
 
     fn start_as_founder(&mut self, founders: &ReplicaMembership) {
-        let place = SnapshotPlace { members: founders.clone(), ..SnapshotPlace::default() };
-        let Ok(snapshot) = ReplicaMachines::default().snapshot(place) else { return };
+        let position =
+            SnapshotPosition { members: founders.clone(), ..SnapshotPosition::default() };
+        let Ok(snapshot) = ReplicaMachines::default().snapshot(position) else { return };
         // Its id is written too, because the settings may no longer name it at the next start.
         let batch = PersistBatch {
             snapshot: Some(Arc::clone(&snapshot)),
--- a/crates/pulley_core/src/version/replica/driver_question.rs
+++ b/crates/pulley_core/src/version/replica/driver_question.rs
@@ -83,7 +83,7 @@
                 return;
             }
             ReplicaQuestion::Departure { .. } => ReplicaAnswer::Done,
-            ReplicaQuestion::Applied => ReplicaAnswer::Applied(self.node.taken_index()),
+            ReplicaQuestion::Applied => ReplicaAnswer::Applied(self.node.applied_index()),
             ReplicaQuestion::EvacuatedZones => {
                 ReplicaAnswer::Zones((**self.machines.evacuations.evacuated()).clone())
             }
--- a/crates/pulley_core/src/version/replica/follower_progress.rs
+++ b/crates/pulley_core/src/version/replica/follower_progress.rs
@@ -131,7 +131,7 @@
             return false;
         };
         let Ok(received) = usize::try_from(reply.received) else { return false };
-        if reply.index != snapshot.place.index || received == *offset {
+        if reply.index != snapshot.position.index || received == *offset {
             return false;
         }
         *offset = received;
--- a/crates/pulley_core/src/version/replica/mod.rs
+++ b/crates/pulley_core/src/version/replica/mod.rs
@@ -26,7 +26,9 @@
 pub use driver_message::{DriverInput, DriverOutput, ReplicaStatus};
 pub use founding_message::{FoundingMessage, PeerMessage};
 pub use log_entry::{LogCommand, LogEntry};
-pub use persist_batch::{PersistBatch, RecoveredState, ReplicaSnapshot, SnapshotPlace, VoteRecord};
+pub use persist_batch::{
+    PersistBatch, RecoveredState, ReplicaSnapshot, SnapshotPosition, VoteRecord,
+};
 pub use replica_driver::ReplicaDriver;
 pub use replica_identity::{DiskId, LogIndex, LogTime, PersistTicket, ReplicaIdentity, Term};
 pub use replica_machines::{MachineOutcome, ReplicaMachines};
--- a/crates/pulley_core/src/version/replica/persist_batch.rs
+++ b/crates/pulley_core/src/version/replica/persist_batch.rs
@@ -19,9 +19,9 @@
     pub voted_for: Option<MemberId>,
 }
 
-/// The place of a snapshot in the log.
+/// The position of a snapshot in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SnapshotPlace {
+pub struct SnapshotPosition {
     /// The last entry it covers.
     pub index: LogIndex,
     /// That entry's term.
@@ -35,8 +35,8 @@
 /// The state machines' state as of one log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSnapshot {
-    /// Its place in the log.
-    pub place: SnapshotPlace,
+    /// Its position in the log.
+    pub position: SnapshotPosition,
     /// The encoded state.
     pub state: Bytes,
 }
@@ -51,7 +51,7 @@
     /// The snapshot that replaces all entries it covers.
     pub snapshot: Option<Arc<ReplicaSnapshot>>,
     /// Entries from here on are no longer part of the log.
-    pub cut_from: Option<LogIndex>,
+    pub truncate_from: Option<LogIndex>,
     /// The election state, if it has changed.
     pub vote: Option<VoteRecord>,
     /// The member id of this disk from now on.
@@ -69,7 +69,7 @@
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none()
-            && self.cut_from.is_none()
+            && self.truncate_from.is_none()
             && self.vote.is_none()
             && self.member.is_none()
             && self.promise.is_none()
--- a/crates/pulley_core/src/version/replica/persist_gate.rs
+++ b/crates/pulley_core/src/version/replica/persist_gate.rs
@@ -54,8 +54,8 @@
 
     pub(crate) fn queue_truncation(&mut self, index: LogIndex) {
         self.next_batch.entries.retain(|entry| entry.index < index);
-        let truncation = self.next_batch.cut_from.map_or(index, |earlier| earlier.min(index));
-        self.next_batch.cut_from = Some(truncation);
+        let truncation = self.next_batch.truncate_from.map_or(index, |earlier| earlier.min(index));
+        self.next_batch.truncate_from = Some(truncation);
     }
 
     pub(crate) fn queue_chunk(&mut self, chunk: Arc<AuditChunk>) {
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -290,7 +290,7 @@
 
     /// Answers the reads that a quorum has confirmed and whose entries are applied.
     fn finish_confirmed_reads(&mut self) {
-        let applied = self.node.taken_index();
+        let applied = self.node.applied_index();
         let (ready, later) =
             self.confirmed_reads.drain(..).partition(|(_, index)| *index <= applied);
         self.confirmed_reads = later;
@@ -307,7 +307,7 @@
     /// had in force before. Publishing them would let the host's version go down.
     fn publish_in_force(&mut self) {
         let decided = self.recovered_last.min(self.node.last_index());
-        let applied = self.node.taken_index();
+        let applied = self.node.applied_index();
         if !self.publish_due || applied < decided || applied > self.node.durable_index() {
             return;
         }
@@ -408,7 +408,7 @@
     }
 
     fn make_snapshot(&self) -> Option<Arc<ReplicaSnapshot>> {
-        self.machines.snapshot(self.node.snapshot_place()).ok()
+        self.machines.snapshot(self.node.snapshot_position()).ok()
     }
 
     /// Promotes a learner that has every committed entry to a voter.
--- a/crates/pulley_core/src/version/replica/replica_following.rs
+++ b/crates/pulley_core/src/version/replica/replica_following.rs
@@ -7,7 +7,7 @@
 use super::replica_node::ReplicaNode;
 use super::{
     AppendOutcome, AppendReply, AppendRequest, LogEntry, LogIndex, ReplicaMessage, ReplicaSnapshot,
-    SnapshotChunk, SnapshotPlace, SnapshotReply, Term,
+    SnapshotChunk, SnapshotPosition, SnapshotReply, Term,
 };
 use crate::process::MemberId;
 
@@ -17,7 +17,7 @@
 /// A snapshot that is being received.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
-    place: SnapshotPlace,
+    position: SnapshotPosition,
     bytes: Vec<u8>,
 }
 
@@ -62,9 +62,9 @@
             self.send(from, reply);
             return;
         }
-        let index = chunk.place.index;
+        let index = chunk.position.index;
         let round = chunk.round;
-        let held = index <= self.commit || self.log.term_at(index) == Some(chunk.place.term);
+        let held = index <= self.commit || self.log.term_at(index) == Some(chunk.position.term);
         if held {
             self.incoming = None;
             self.commit = self.commit.max(index);
@@ -131,9 +131,10 @@
         if chunk.total > SNAPSHOT_LIMIT {
             return 0;
         }
-        let is_new = self.incoming.as_ref().is_none_or(|incoming| incoming.place != chunk.place);
+        let is_new =
+            self.incoming.as_ref().is_none_or(|incoming| incoming.position != chunk.position);
         if is_new {
-            self.incoming = Some(IncomingSnapshot { place: chunk.place, bytes: Vec::new() });
+            self.incoming = Some(IncomingSnapshot { position: chunk.position, bytes: Vec::new() });
         }
         let Some(incoming) = &mut self.incoming else { return 0 };
         if chunk.offset == incoming.bytes.len() as u64 {
@@ -144,14 +145,16 @@
 
     fn install_incoming(&mut self) {
         let Some(incoming) = self.incoming.take() else { return };
-        let place = incoming.place;
-        let index = place.index;
-        let snapshot =
-            Arc::new(ReplicaSnapshot { place: place.clone(), state: Bytes::from(incoming.bytes) });
+        let position = incoming.position;
+        let index = position.index;
+        let snapshot = Arc::new(ReplicaSnapshot {
+            position: position.clone(),
+            state: Bytes::from(incoming.bytes),
+        });
         // No entry of the old log beyond the snapshot is known to match the leader's log.
         self.gate.queue_truncation(index.next());
         self.gate.queue_snapshot(snapshot.clone());
-        self.log.reset(place);
+        self.log.reset(position);
         self.durable = LogIndex::default();
         self.commit = index;
         self.applied = index;
--- a/crates/pulley_core/src/version/replica/replica_log.rs
+++ b/crates/pulley_core/src/version/replica/replica_log.rs
@@ -4,13 +4,14 @@
 use std::sync::Arc;
 
 use super::{
-    LogCommand, LogEntry, LogIndex, LogTime, RecoveredState, ReplicaMembership, SnapshotPlace, Term,
+    LogCommand, LogEntry, LogIndex, LogTime, RecoveredState, ReplicaMembership, SnapshotPosition,
+    Term,
 };
 
 /// The entries after the newest snapshot, and the memberships among them.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicaLog {
-    base: SnapshotPlace,
+    base: SnapshotPosition,
     entries: VecDeque<Arc<LogEntry>>,
     memberships: Vec<(LogIndex, ReplicaMembership)>,
     estimated_bytes: usize,
@@ -19,8 +20,8 @@
 impl ReplicaLog {
     pub(crate) fn recover(recovered: &RecoveredState, founders: ReplicaMembership) -> Self {
         let base = recovered.snapshot.as_ref().map_or_else(
-            || SnapshotPlace { members: founders, ..SnapshotPlace::default() },
-            |snapshot| snapshot.place.clone(),
+            || SnapshotPosition { members: founders, ..SnapshotPosition::default() },
+            |snapshot| snapshot.position.clone(),
         );
         let mut log =
             Self { base, entries: VecDeque::new(), memberships: Vec::new(), estimated_bytes: 0 };
@@ -66,18 +67,18 @@
         let Some((index, term, time)) = new_base else { return };
         let members = self.members_at(index).clone();
         self.memberships.retain(|(at, _)| *at > index);
-        self.base = SnapshotPlace { index, term, time, members };
+        self.base = SnapshotPosition { index, term, time, members };
     }
 
     /// Replaces the whole log by a snapshot from the leader.
-    pub(crate) fn reset(&mut self, place: SnapshotPlace) {
+    pub(crate) fn reset(&mut self, position: SnapshotPosition) {
         self.entries.clear();
         self.memberships.clear();
         self.estimated_bytes = 0;
-        self.base = place;
+        self.base = position;
     }
 
-    pub(crate) fn base(&self) -> &SnapshotPlace {
+    pub(crate) fn base(&self) -> &SnapshotPosition {
         &self.base
     }
 
--- a/crates/pulley_core/src/version/replica/replica_machines.rs
+++ b/crates/pulley_core/src/version/replica/replica_machines.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ChangeAnswer, ConfigurationMachine, DepartureMachine, EvacuationMachine, LedgerMachine,
-    LedgerOutcome, LogCommand, LogEntry, ReplicaMembership, ReplicaSnapshot, SnapshotPlace,
+    LedgerOutcome, LogCommand, LogEntry, ReplicaMembership, ReplicaSnapshot, SnapshotPosition,
     ZoneAnswer,
 };
 
@@ -62,9 +62,9 @@
     ///
     /// # Errors
     /// If the state cannot be encoded.
-    pub fn snapshot(&self, place: SnapshotPlace) -> postcard::Result<Arc<ReplicaSnapshot>> {
+    pub fn snapshot(&self, position: SnapshotPosition) -> postcard::Result<Arc<ReplicaSnapshot>> {
         let state = Bytes::from(postcard::to_allocvec(self)?);
-        Ok(Arc::new(ReplicaSnapshot { place, state }))
+        Ok(Arc::new(ReplicaSnapshot { position, state }))
     }
 
     /// Applies a committed entry.
--- a/crates/pulley_core/src/version/replica/replica_message.rs
+++ b/crates/pulley_core/src/version/replica/replica_message.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::{LogEntry, LogIndex, SnapshotPlace, Term};
+use super::{LogEntry, LogIndex, SnapshotPosition, Term};
 use crate::process::MemberId;
 
 /// A message with its sender and receiver.
@@ -131,8 +131,8 @@
     pub term: Term,
     /// The leader's round.
     pub round: u64,
-    /// The snapshot's place in the log.
-    pub place: SnapshotPlace,
+    /// The snapshot's position in the log.
+    pub position: SnapshotPosition,
     /// Offset of this chunk in the snapshot.
     pub offset: u64,
     /// Size of the whole snapshot.
--- a/crates/pulley_core/src/version/replica/replica_node.rs
+++ b/crates/pulley_core/src/version/replica/replica_node.rs
@@ -14,7 +14,7 @@
 use super::{
     AuditChunk, LogCommand, LogEntry, LogIndex, LogTime, PersistBatch, PersistTicket,
     RecoveredState, ReplicaEnvelope, ReplicaMembership, ReplicaMessage, ReplicaSettings,
-    ReplicaSnapshot, SnapshotPlace, Term, VoteRecord,
+    ReplicaSnapshot, SnapshotPosition, Term, VoteRecord,
 };
 use crate::process::{MemberId, Moment};
 
@@ -265,7 +265,7 @@
         if self.failure.is_some() {
             return;
         }
-        self.log.compact(snapshot.place.index, self.settings.snapshot_bytes / 2);
+        self.log.compact(snapshot.position.index, self.settings.snapshot_bytes / 2);
         self.gate.queue_snapshot(snapshot);
         self.flush();
     }
@@ -276,13 +276,13 @@
         self.flush();
     }
 
-    /// Returns the place of a snapshot taken now, which covers everything handed out by
+    /// Returns the position of a snapshot taken now, which covers everything handed out by
     /// [`Self::take_committed`].
     #[must_use]
-    pub fn snapshot_place(&self) -> SnapshotPlace {
+    pub fn snapshot_position(&self) -> SnapshotPosition {
         let index = self.applied;
         let entry = self.log.entry(index);
-        SnapshotPlace {
+        SnapshotPosition {
             index,
             term: entry.map_or(self.log.base().term, |entry| entry.term),
             time: entry.map_or(self.log.base().time, |entry| entry.time),
@@ -347,7 +347,7 @@
 
     /// Returns the last entry handed out by [`Self::take_committed`].
     #[must_use]
-    pub fn taken_index(&self) -> LogIndex {
+    pub fn applied_index(&self) -> LogIndex {
         self.applied
     }
 
--- a/crates/pulley_core/src/version/replica/snapshot_sending.rs
+++ b/crates/pulley_core/src/version/replica/snapshot_sending.rs
@@ -26,7 +26,7 @@
         let chunk = SnapshotChunk {
             term,
             round,
-            place: snapshot.place.clone(),
+            position: snapshot.position.clone(),
             offset: begin as u64,
             total: total as u64,
             bytes: snapshot.state.slice(begin..end),
--- a/crates/pulleyd/src/process/control_replica.rs
+++ b/crates/pulleyd/src/process/control_replica.rs
@@ -160,7 +160,7 @@
     let (node, machines) = (replica.node(), replica.machines());
     let mut version = machines.configuration.version();
     let mut order = machines.evacuations.evacuated().revision;
-    let mut index = node.taken_index().next();
+    let mut index = node.applied_index().next();
     while let Some(entry) = node.entry(index) {
         match &entry.command {
             LogCommand::Change(change) => version = version.max(change.version()),
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -452,7 +452,7 @@
     /// the cluster its majority.
     fn reopen_full_disk(&mut self, inbox: &mut ControlInbox) {
         let now = self.clock.now();
-        if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_full) {
+        if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_disk_full) {
             warn!(self.logger, "disk-full"; "retry_ms" => millis(REOPEN_DELAY));
             self.reopen_at = Some(now + REOPEN_DELAY);
         }
--- a/crates/pulleyd/src/process/replica_opener.rs
+++ b/crates/pulleyd/src/process/replica_opener.rs
@@ -31,7 +31,7 @@
 
 impl ReplicaDisk {
     /// Returns whether a write failed because the disk is full.
-    pub(super) fn is_full(&self) -> bool {
+    pub(super) fn is_disk_full(&self) -> bool {
         self.full.load(Ordering::Acquire)
     }
 }
@@ -76,7 +76,7 @@
         let storage = StorageWorker::start(storage, move |ticket, outcome| {
             if let Err(fault) = &outcome {
                 error!(logger, "storage-failed"; "error" => %fault);
-                disk_full.fetch_or(fault.is_full(), Ordering::AcqRel);
+                disk_full.fetch_or(fault.is_disk_full(), Ordering::AcqRel);
             }
             let _ = sender.send(DriverInput::Persisted { ticket, ok: outcome.is_ok() });
         })?;
@@ -131,7 +131,7 @@
     }
 
     fn log_recovery(&self, recovered: &RecoveredState) {
-        let snapshot = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.place.index.0);
+        let snapshot = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index.0);
         info!(self.logger, "log-recovered";
             "entries" => recovered.entries.len(), "snapshot" => snapshot);
     }
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -70,7 +70,7 @@
             return;
         };
         let leader = replica.leader();
-        if self.recovery.proof.holds_at(replica.node().taken_index().0) {
+        if self.recovery.proof.holds_at(replica.node().applied_index().0) {
             self.recall_directory(now);
         } else if self.recovery.proof.is_wanted() && leader.is_some() {
             self.recovery.proof.begin_asking();
@@ -150,7 +150,7 @@
         let replica =
             self.replica.as_ref().filter(|_| is_due && self.recovery.directory.is_none())?;
         let departures = &replica.machines().departures;
-        let applied = replica.node().taken_index().0;
+        let applied = replica.node().applied_index().0;
         let own = &self.members.own().host;
         let replicas = self.members.live().filter(|record| record.roles.replica);
         let peers = replicas.filter(|record| record.host != *own).map(|record| record.peer_address);
--- a/crates/pulleyd/src/version/audit_reader.rs
+++ b/crates/pulleyd/src/version/audit_reader.rs
@@ -58,8 +58,8 @@
     /// # Errors
     /// `Stalled` if the queue is full or the thread has ended.
     pub fn submit(&self, read: AuditRead) -> Result<()> {
-        let Some(reads) = &self.reads else { return Err(StorageFault::Stalled) };
-        reads.try_send(read).map_err(|_| StorageFault::Stalled)
+        let Some(reads) = &self.reads else { return Err(StorageFault::QueueUnavailable) };
+        reads.try_send(read).map_err(|_| StorageFault::QueueUnavailable)
     }
 }
 
--- a/crates/pulleyd/src/version/disk_folder.rs
+++ b/crates/pulleyd/src/version/disk_folder.rs
@@ -59,10 +59,10 @@
     ///
     /// # Errors
     /// Any file system error.
-    fn names(&self) -> io::Result<Vec<String>>;
+    fn file_names(&self) -> io::Result<Vec<String>>;
 
     /// Generates a random id for a new folder.
-    fn draw_id(&mut self) -> u64;
+    fn generate_id(&mut self) -> u64;
 
     /// Makes creations, renames and removals durable across a power loss.
     ///
@@ -135,7 +135,7 @@
         fs::remove_file(self.path_of(name))
     }
 
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for item in fs::read_dir(&self.path)? {
             if let Ok(name) = item?.file_name().into_string() {
@@ -146,7 +146,7 @@
         Ok(names)
     }
 
-    fn draw_id(&mut self) -> u64 {
+    fn generate_id(&mut self) -> u64 {
         rand::random()
     }
 
--- a/crates/pulleyd/src/version/log_recovery.rs
+++ b/crates/pulleyd/src/version/log_recovery.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use pulley_core::version::{
-    LogEntry, LogIndex, RecoveredState, ReplicaMembership, ReplicaSnapshot, SnapshotPlace,
+    LogEntry, LogIndex, RecoveredState, ReplicaMembership, ReplicaSnapshot, SnapshotPosition,
     VoteRecord,
 };
 use serde::{Deserialize, Serialize};
@@ -36,7 +36,7 @@
 /// The header of a snapshot file. The state follows unframed, so that a large one is not copied.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct SnapshotHeader {
-    pub(crate) place: SnapshotPlace,
+    pub(crate) position: SnapshotPosition,
     pub(crate) size: u64,
     pub(crate) checksum: u32,
 }
@@ -84,7 +84,7 @@
 
 /// Reads the newest snapshot, the audit chunk numbers and all segments of a folder.
 pub(crate) fn read_folder<D: DiskFolder>(folder: &D) -> Result<FolderContents> {
-    let names = folder.names().map_err(StorageFault::disk("data folder"))?;
+    let names = folder.file_names().map_err(StorageFault::disk("data folder"))?;
     let mut contents = FolderContents::default();
     contents.recovered.snapshot = newest_snapshot(folder, &names)?;
     contents.recovered.audit_chunks = names.iter().filter_map(|name| chunk_number(name)).collect();
@@ -116,7 +116,7 @@
     if state.len() as u64 != header.size || crc32c::crc32c(&state) != header.checksum {
         return Err(StorageFault::damaged(&name, begin, "the state checksum does not match"));
     }
-    Ok(Some(Arc::new(ReplicaSnapshot { place: header.place, state })))
+    Ok(Some(Arc::new(ReplicaSnapshot { position: header.position, state })))
 }
 
 fn read_segment<D: DiskFolder>(
@@ -160,7 +160,7 @@
     segment: &mut SegmentFile,
     recovered: &mut RecoveredState,
 ) -> Result<()> {
-    let base = recovered.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.place.index);
+    let base = recovered.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.position.index);
     match record {
         LogRecord::Vote(vote) => recovered.vote = vote,
         LogRecord::Promise(members) => recovered.promise = Some(members),
--- a/crates/pulleyd/src/version/log_storage.rs
+++ b/crates/pulleyd/src/version/log_storage.rs
@@ -62,7 +62,7 @@
     /// Opens or creates a data folder and recovers its state.
     ///
     /// # Errors
-    /// `Locked` if another process has the folder open, `Foreign` if it belongs to another replica,
+    /// `Locked` if another process has the folder open, `WrongOwner` if it belongs to another replica,
     /// `Damaged` if synced data cannot be read. The folder is then left unchanged.
     pub fn open(path: &Path, identity: &ReplicaIdentity) -> Result<(Self, RecoveredState)> {
         let folder = SystemFolder::open(path).map_err(StorageFault::disk("data folder"))?;
@@ -140,10 +140,10 @@
     /// Writes batches in order and syncs them together.
     ///
     /// # Errors
-    /// If a write or sync fails. Every later call then fails with `Distrusted`.
+    /// If a write or sync fails. Every later call then fails with `EarlierWriteFailed`.
     pub fn write(&mut self, batches: &[PersistBatch]) -> Result<()> {
         if !self.is_trusted {
-            return Err(StorageFault::Distrusted);
+            return Err(StorageFault::EarlierWriteFailed);
         }
         let result = self.write_all(batches);
         self.is_trusted = result.is_ok();
@@ -159,7 +159,7 @@
             for chunk in &batch.audit {
                 write_chunk(&mut self.folder, chunk)?;
             }
-            if let Some(index) = batch.cut_from {
+            if let Some(index) = batch.truncate_from {
                 pending.push(LogRecord::Truncate(index));
             }
             if let Some(snapshot) = &batch.snapshot {
@@ -208,17 +208,17 @@
     }
 
     fn write_snapshot(&mut self, snapshot: &Arc<ReplicaSnapshot>) -> Result<()> {
-        let name = snapshot_name(snapshot.place.index);
+        let name = snapshot_name(snapshot.position.index);
         let mut buffer = Vec::new();
         let header = SnapshotHeader {
-            place: snapshot.place.clone(),
+            position: snapshot.position.clone(),
             size: snapshot.state.len() as u64,
             checksum: crc32c::crc32c(&snapshot.state),
         };
         push_frame(&mut buffer, WriteGroup(0), true, &header)?;
         replace_file(&mut self.folder, &name, &[&buffer, &snapshot.state])?;
         self.begin_segment()?;
-        self.remove_covered(snapshot.place.index)
+        self.remove_covered(snapshot.position.index)
     }
 
     /// Closes the open segment and starts a new one. The new segment repeats the vote, so that
@@ -241,7 +241,7 @@
             let name = segment.name();
             self.folder.remove(&name).map_err(StorageFault::disk(&name))?;
         }
-        let names = self.folder.names().map_err(StorageFault::disk("data folder"))?;
+        let names = self.folder.file_names().map_err(StorageFault::disk("data folder"))?;
         for name in names {
             let is_old = snapshot_number(&name).is_some_and(|number| number < index.0);
             if is_old || name.ends_with(TEMPORARY_SUFFIX) {
@@ -291,7 +291,7 @@
         .and_then(|frame| frame.decode::<FolderIdentity>().ok())
         .ok_or_else(|| StorageFault::damaged(IDENTITY_FILE, 0, "the checksum does not match"))?;
     if found.host != expected.host || found.cluster != expected.cluster {
-        return Err(StorageFault::Foreign {
+        return Err(StorageFault::WrongOwner {
             found: format!("host {} of cluster {}", found.host, found.cluster),
             expected: format!("host {} of cluster {}", expected.host, expected.cluster),
         });
@@ -303,7 +303,7 @@
     folder: &mut D,
     expected: &ReplicaIdentity,
 ) -> Result<FolderIdentity> {
-    let names = folder.names().map_err(StorageFault::disk("data folder"))?;
+    let names = folder.file_names().map_err(StorageFault::disk("data folder"))?;
     let is_log_file =
         |name: &&String| segment_number(name).is_some() || snapshot_number(name).is_some();
     if let Some(file) = names.iter().find(is_log_file) {
@@ -312,7 +312,7 @@
     let identity = FolderIdentity {
         host: expected.host.clone(),
         cluster: expected.cluster.clone(),
-        disk: DiskId(folder.draw_id()),
+        disk: DiskId(folder.generate_id()),
         member: None,
     };
     write_identity(folder, &identity)?;
--- a/crates/pulleyd/src/version/storage_fault.rs
+++ b/crates/pulleyd/src/version/storage_fault.rs
@@ -15,7 +15,7 @@
     Locked,
     /// The folder belongs to another host or cluster.
     #[error("this data folder belongs to {found}, not to {expected}")]
-    Foreign {
+    WrongOwner {
         /// The owner of the folder.
         found: String,
         /// The replica that opened it.
@@ -47,20 +47,20 @@
     },
     /// An earlier write failed; what is on disk is unknown until the process restarts.
     #[error("an earlier write failed; this replica's disk is not trusted until it is restarted")]
-    Distrusted,
+    EarlierWriteFailed,
     /// A record cannot be encoded.
     #[error("a record cannot be encoded: {0}")]
     Encoding(#[from] postcard::Error),
     /// The queue of the storage thread is full, or the thread has ended.
     #[error("the storage thread accepts no more writes")]
-    Stalled,
+    QueueUnavailable,
 }
 
 impl StorageFault {
     /// Whether a write failed because the disk or quota is full. Unlike after a failed sync, no
     /// synced data can be lost then.
     #[must_use]
-    pub fn is_full(&self) -> bool {
+    pub fn is_disk_full(&self) -> bool {
         let Self::Disk { source, .. } = self else { return false };
         matches!(source.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
     }
--- a/crates/pulleyd/src/version/storage_worker.rs
+++ b/crates/pulleyd/src/version/storage_worker.rs
@@ -50,8 +50,8 @@
     /// `Stalled` if the queue is full or the thread has ended. No part of the batch is written
     /// then, and the owner must report the failed write to the replica.
     pub fn submit(&self, batch: PersistBatch) -> Result<()> {
-        let Some(batches) = &self.batches else { return Err(StorageFault::Stalled) };
-        batches.try_send(batch).map_err(|_| StorageFault::Stalled)
+        let Some(batches) = &self.batches else { return Err(StorageFault::QueueUnavailable) };
+        batches.try_send(batch).map_err(|_| StorageFault::QueueUnavailable)
     }
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Reports the fault for the first ticket, and `Distrusted` for the others.
+/// Reports the fault for the first ticket, and `EarlierWriteFailed` for the others.
 fn report_fault(
     tickets: &[PersistTicket],
     fault: StorageFault,
@@ -89,7 +89,7 @@
 ) {
     let mut fault = Some(fault);
     for ticket in tickets {
-        let reported = fault.take().unwrap_or(StorageFault::Distrusted);
+        let reported = fault.take().unwrap_or(StorageFault::EarlierWriteFailed);
         on_done(*ticket, Err(reported));
     }
 }
--- a/crates/pulleyd/tests/replica/departure_tests.rs
+++ b/crates/pulleyd/tests/replica/departure_tests.rs
@@ -10,7 +10,7 @@
 use pulley_core::version::{
     ConfigurationMachine, DEPARTURES_KEPT, LedgerMachine, LogCommand, LogEntry, LogIndex, LogTime,
     ReplicaAnswer, ReplicaMachines, ReplicaMembership, ReplicaQuestion, ReplicaSettings,
-    ReplicaSnapshot, SnapshotPlace, Term,
+    ReplicaSnapshot, SnapshotPosition, Term,
 };
 use pulleyd::version::DirectoryFile;
 use quickcheck::{Arbitrary, Gen};
@@ -73,7 +73,7 @@
             let index = applied_by_leader(&mut cluster);
             for number in kept {
                 cluster.run_until(Duration::from_secs(5), |cluster| {
-                    cluster.driver(number).node().taken_index() >= index
+                    cluster.driver(number).node().applied_index() >= index
                 });
                 assert!(
                     has_left(&cluster, number, 1),
@@ -149,7 +149,7 @@
             let Some(ReplicaAnswer::Applied(index)) = cluster.answers.get(&start.token) else {
                 return is_same;
             };
-            if is_same && cluster.driver(start.host).node().taken_index() >= *index {
+            if is_same && cluster.driver(start.host).node().applied_index() >= *index {
                 verified += 1;
                 for upstream in &start.left_before {
                     let is_known = has_left(cluster, start.host, *upstream);
@@ -193,7 +193,7 @@
 // departures. It must start as before, and its own snapshots must keep departures.
 #[test]
 fn a_snapshot_without_departures_can_still_be_read() {
-    let place = SnapshotPlace {
+    let position = SnapshotPosition {
         index: LogIndex(1),
         term: Term(1),
         time: LogTime(0),
@@ -201,11 +201,11 @@
     };
     let previous = (ConfigurationMachine::default(), LedgerMachine::default());
     let state = postcard::to_stdvec(&previous).expect("it can be encoded");
-    let snapshot = ReplicaSnapshot { place: place.clone(), state: state.into() };
+    let snapshot = ReplicaSnapshot { position: position.clone(), state: state.into() };
     let mut machines = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert!(machines.departures.is_empty());
     apply_departure(&mut machines, 2);
-    let snapshot = machines.snapshot(place).expect("it can be encoded");
+    let snapshot = machines.snapshot(position).expect("it can be encoded");
     let restored = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert_eq!(restored.departures, machines.departures);
 }
--- a/crates/pulleyd/tests/replica/evacuation_tests.rs
+++ b/crates/pulleyd/tests/replica/evacuation_tests.rs
@@ -6,8 +6,8 @@
 use pulley_core::version::{
     ConfigurationMachine, DepartureMachine, EVACUATED_LIMIT, LedgerMachine, LogCommand, LogEntry,
     LogIndex, LogTime, MachineOutcome, ReplicaAnswer, ReplicaMachines, ReplicaMembership,
-    ReplicaQuestion, ReplicaSettings, ReplicaSnapshot, SnapshotPlace, Term, ZoneAnswer, ZoneOrder,
-    ZoneUse,
+    ReplicaQuestion, ReplicaSettings, ReplicaSnapshot, SnapshotPosition, Term, ZoneAnswer,
+    ZoneOrder, ZoneUse,
 };
 use quickcheck::{Arbitrary, Gen};
 use rand::rngs::StdRng;
@@ -204,7 +204,7 @@
 // must start as before, and its own snapshots must keep orders.
 #[test]
 fn a_snapshot_without_orders_can_still_be_read() {
-    let place = SnapshotPlace {
+    let position = SnapshotPosition {
         index: LogIndex(1),
         term: Term(1),
         time: LogTime(0),
@@ -213,11 +213,11 @@
     let previous =
         (ConfigurationMachine::default(), LedgerMachine::default(), DepartureMachine::default());
     let state = postcard::to_stdvec(&previous).expect("it can be encoded");
-    let snapshot = ReplicaSnapshot { place: place.clone(), state: state.into() };
+    let snapshot = ReplicaSnapshot { position: position.clone(), state: state.into() };
     let mut machines = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert!(machines.evacuations.evacuated().zones.is_empty());
     apply(&mut machines, 2, evacuate("order", 1));
-    let snapshot = machines.snapshot(place).expect("it can be encoded");
+    let snapshot = machines.snapshot(position).expect("it can be encoded");
     let restored = ReplicaMachines::restore(&snapshot).expect("it can be read");
     assert_eq!(restored.evacuations, machines.evacuations);
 }
--- a/crates/pulleyd/tests/replica/fake_disk.rs
+++ b/crates/pulleyd/tests/replica/fake_disk.rs
@@ -165,11 +165,11 @@
         Ok(())
     }
 
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         Ok(self.with(|state| state.names.keys().cloned().collect()))
     }
 
-    fn draw_id(&mut self) -> u64 {
+    fn generate_id(&mut self) -> u64 {
         self.with(|state| state.id)
     }
 
--- a/crates/pulleyd/tests/replica/storage_tests.rs
+++ b/crates/pulleyd/tests/replica/storage_tests.rs
@@ -97,7 +97,7 @@
     storage.write(&[batch(4, 10..=10)]).expect_err("the sync fails");
     disk.fail_syncs(false);
     let fault = storage.write(&[batch(5, 11..=11)]).expect_err("stays refused");
-    assert!(matches!(fault, StorageFault::Distrusted));
+    assert!(matches!(fault, StorageFault::EarlierWriteFailed));
     assert!(!storage.is_trusted());
 }
 
@@ -111,7 +111,7 @@
     assert!(matches!(fault, StorageFault::Locked));
     drop(first);
     let fault = LogStorage::open(folder.path(), &identity("other")).expect_err("is foreign");
-    assert!(matches!(fault, StorageFault::Foreign { .. }), "{fault}");
+    assert!(matches!(fault, StorageFault::WrongOwner { .. }), "{fault}");
     LogStorage::open(folder.path(), &identity("host")).expect("still opens for its owner");
 }
 
