--- a/crates/pulley_bench/src/capacity/change_cost.rs
+++ b/crates/pulley_bench/src/capacity/change_cost.rs
@@ -116,7 +116,7 @@
 
     /// Does what a host does after a change.
     fn follow(&mut self) {
-        self.members.take_moved();
+        self.members.take_changed_hosts();
         let live = self.members.live_entries();
         let view = RunningView {
             plan: Arc::clone(&self.plan),
@@ -132,7 +132,7 @@
 /// What a host that has just started says of itself in a ping.
 fn message_of(host: usize, start: u64) -> bytes::Bytes {
     let mut observer = MemberTable::new(record(0, 0), MemberSettings::default(), 1);
-    observer.seed(address(host));
+    observer.add_seed(address(host));
     let greeting = observer.tick(Moment::ZERO).remove(0).body;
     let mut table = MemberTable::new(record(host, start), MemberSettings::default(), 1);
     table.receive(Moment::ZERO, address(0), &greeting);
--- a/crates/pulley_bench/src/capacity/gossip_cost.rs
+++ b/crates/pulley_bench/src/capacity/gossip_cost.rs
@@ -10,7 +10,7 @@
 use pulley_core::process::UpstreamPhase;
 use pulley_core::version::ReplicaSet;
 
-use super::network::{Kind, Network, announcement, host_name};
+use super::network::{MessageKind, Network, announcement, host_name};
 
 const SECOND: Duration = Duration::from_secs(1);
 /// How long the hosts have to find each other and the upstreams before anything is counted.
@@ -109,7 +109,7 @@
 
 fn report_kinds(network: &Network, settings: &GossipSettings) {
     let GossipSettings { hosts, upstreams, seed, .. } = settings;
-    for kind in [Kind::Member, Kind::Upstream, Kind::Plan] {
+    for kind in [MessageKind::Member, MessageKind::Upstream, MessageKind::Plan] {
         let sent = network.hosts.iter().filter_map(|host| host.sent.get(&kind));
         let (messages, bytes) = sent.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let spent: Vec<_> = network.hosts.iter().filter_map(|host| host.spent.get(&kind)).collect();
@@ -199,7 +199,7 @@
         .hosts
         .iter()
         .enumerate()
-        .map(|(index, host)| (index, host.sent.get(&Kind::Plan).map_or(0, |sent| sent.1)))
+        .map(|(index, host)| (index, host.sent.get(&MessageKind::Plan).map_or(0, |sent| sent.1)))
         .collect();
     println!(
         "scenario=plan hosts={} rows={} seed={} half_ms={} all_ms={} lacking={} \
--- a/crates/pulley_bench/src/capacity/spread_cost.rs
+++ b/crates/pulley_bench/src/capacity/spread_cost.rs
@@ -6,7 +6,7 @@
 use eyre::{Result, WrapErr, ensure};
 use getopts::{Matches, Options};
 
-use super::link_model::LinkTerms;
+use super::link_model::LinkRates;
 use super::wide_change::{REPLICAS, WideChange};
 
 /// From which wait on a queue counts as long.
@@ -43,7 +43,7 @@
         ensure!(hosts > REPLICAS, "--hosts {hosts}: no more than replicas");
         for rate in list::<u32>(&matches, "link-bytes", "175000,300000,87000000")? {
             for added_rows in list(&matches, "rows", "140,1400,14000")? {
-                let entry_link = LinkTerms { rate, callers: rate / 100 * callers_percent };
+                let entry_link = LinkRates { rate, callers: rate / 100 * callers_percent };
                 let change =
                     WideChange { hosts, entry_link, added_rows, long_queue: LONG_QUEUE, seed };
                 report(&change, most);
@@ -56,7 +56,7 @@
 fn report(change: &WideChange, most: Duration) {
     let figures = change.run(IN_FORCE_WITHIN, most);
     let millis = |part: f64| {
-        let time = figures.part_in_force(part);
+        let time = figures.time_for_fraction(part);
         time.map_or_else(|| "none".to_owned(), |time| time.as_millis().to_string())
     };
     let (entry_mean, entry_most) = figures.sent_by(REPLICAS..change.hosts);
@@ -73,9 +73,9 @@
         change.seed,
         millis(0.5),
         millis(1.0),
-        figures.lacking(),
+        figures.hosts_without_version(),
         figures.longest_queue().as_millis(),
-        figures.long_share(),
+        figures.long_queue_fraction(),
         figures.dropped(),
         figures.watched.as_millis(),
     );
--- a/crates/pulley_bench/src/decisions/deployment.rs
+++ b/crates/pulley_bench/src/decisions/deployment.rs
@@ -165,7 +165,7 @@
         method: MethodMatch::Any,
         path_prefix: format!("/{}/{}", pool.name, kind.name).into(),
         priority: RequestPriority(kind.priority),
-        share: ShareFraction::from_parts(kind.share_pct * 100).unwrap_or_default(),
+        share: ShareFraction::from_basis_points(kind.share_pct * 100).unwrap_or_default(),
         reserved_slots: SlotCount(kind.reserved),
         deadline: Duration::from_millis(kind.deadline_ms),
         idempotent: true,
--- a/crates/pulley_bench/src/recovery/stream_figures.rs
+++ b/crates/pulley_bench/src/recovery/stream_figures.rs
@@ -92,7 +92,7 @@
         method: MethodMatch::Only("POST".into()),
         path_prefix: format!("/path/of/kind/{row}").into(),
         priority: RequestPriority(3),
-        share: ShareFraction::from_parts(share).unwrap_or_default(),
+        share: ShareFraction::from_basis_points(share).unwrap_or_default(),
         reserved_slots: SlotCount(1),
         deadline: Duration::from_millis(250),
         idempotent: false,
--- a/crates/pulley_core/src/process/link_pacer.rs
+++ b/crates/pulley_core/src/process/link_pacer.rs
@@ -41,7 +41,7 @@
 
     /// Records that `bytes` bytes of an answer were read after its first `before` bytes. Returns
     /// when more of the answer may be read, or `None` if it may be read at once.
-    pub fn note(&mut self, now: Moment, before: u64, bytes: u64) -> Option<Moment> {
+    pub fn record_read(&mut self, now: Moment, before: u64, bytes: u64) -> Option<Moment> {
         let large = (before + bytes).saturating_sub(SMALL_BYTES.max(before));
         if large == 0 {
             return None;
--- a/crates/pulley_core/src/process/members/member_record.rs
+++ b/crates/pulley_core/src/process/members/member_record.rs
@@ -37,7 +37,7 @@
     fn from_str(text: &str) -> Result<Self, QuantityFault> {
         text.parse()
             .map(Self)
-            .map_err(|_| QuantityFault { text: text.to_owned(), wanted: "an incarnation number" })
+            .map_err(|_| QuantityFault { text: text.to_owned(), expected: "an incarnation number" })
     }
 }
 
--- a/crates/pulley_core/src/process/members/member_table.rs
+++ b/crates/pulley_core/src/process/members/member_table.rs
@@ -108,7 +108,7 @@
     }
 
     /// Adds the address of a seed host. Seeds are contacted for as long as the process runs.
-    pub fn seed(&mut self, address: SocketAddr) {
+    pub fn add_seed(&mut self, address: SocketAddr) {
         let known = address == self.own.peer_address || self.seeds.contains(&address);
         if !known && self.seeds.len() < SEED_LIMIT {
             self.seeds.push(address);
@@ -183,7 +183,7 @@
 
     /// Takes the hosts that were added, were removed or changed their description since the last
     /// call.
-    pub fn take_moved(&mut self) -> FastSet<HostId> {
+    pub fn take_changed_hosts(&mut self) -> FastSet<HostId> {
         self.ring();
         std::mem::take(&mut self.changed_hosts)
     }
--- a/crates/pulley_core/src/process/quantities.rs
+++ b/crates/pulley_core/src/process/quantities.rs
@@ -8,16 +8,16 @@
 
 /// Why a text is not a valid quantity.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{text:?} is not {wanted}")]
+#[error("{text:?} is not {expected}")]
 pub struct QuantityFault {
     /// The text as given.
     pub text: String,
     /// A description of the allowed values.
-    pub wanted: &'static str,
+    pub expected: &'static str,
 }
 
-fn fault(text: &str, wanted: &'static str) -> QuantityFault {
-    QuantityFault { text: text.to_owned(), wanted }
+fn fault(text: &str, expected: &'static str) -> QuantityFault {
+    QuantityFault { text: text.to_owned(), expected }
 }
 
 /// The number of requests that an upstream processes at once.
@@ -38,13 +38,13 @@
 
     /// Makes a share from ten-thousandths; `None` if it exceeds the whole.
     #[must_use]
-    pub const fn from_parts(parts: u16) -> Option<Self> {
-        if parts <= Self::WHOLE.0 { Some(Self(parts)) } else { None }
+    pub const fn from_basis_points(basis_points: u16) -> Option<Self> {
+        if basis_points <= Self::WHOLE.0 { Some(Self(basis_points)) } else { None }
     }
 
     /// Returns the share in ten-thousandths.
     #[must_use]
-    pub const fn parts(self) -> u16 {
+    pub const fn basis_points(self) -> u16 {
         self.0
     }
 
@@ -140,14 +140,14 @@
 }
 
 /// Parses a rate of at most `limit` a second and returns it in thousandths.
-fn parse_thousandths(text: &str, limit: f64, wanted: &'static str) -> Result<u32, QuantityFault> {
+fn parse_thousandths(text: &str, limit: f64, expected: &'static str) -> Result<u32, QuantityFault> {
     let plain = text.trim().replacen(',', ".", 1);
     if plain.is_empty() || !plain.chars().all(|c| c.is_ascii_digit() || c == '.') {
-        return Err(fault(text, wanted));
+        return Err(fault(text, expected));
     }
-    let value: f64 = plain.parse().map_err(|_| fault(text, wanted))?;
+    let value: f64 = plain.parse().map_err(|_| fault(text, expected))?;
     if !(0.0..=limit).contains(&value) {
-        return Err(fault(text, wanted));
+        return Err(fault(text, expected));
     }
     #[expect(
         clippy::cast_possible_truncation,
--- a/crates/pulley_core/src/process/registry/lease_bucket.rs
+++ b/crates/pulley_core/src/process/registry/lease_bucket.rs
@@ -25,7 +25,7 @@
 
 impl LeaseEntry {
     pub(crate) fn takes_work(&self, at: LeaseEpoch) -> bool {
-        self.record.takes_work() && self.renewed.holds(at)
+        self.record.takes_work() && self.renewed.is_valid_at(at)
     }
 }
 
--- a/crates/pulley_core/src/process/registry/lease_table.rs
+++ b/crates/pulley_core/src/process/registry/lease_table.rs
@@ -239,7 +239,7 @@
             }
         }
         for (pool, changes) in changes {
-            let list = self.pools.get(&pool).cloned().unwrap_or_default().with(changes);
+            let list = self.pools.get(&pool).cloned().unwrap_or_default().with_changes(changes);
             if list.is_empty() {
                 self.pools.remove(&pool);
             } else {
@@ -258,7 +258,7 @@
         now: LeaseEpoch,
     ) -> Option<SocketAddr> {
         let entry = self.find(id)?;
-        let held = entry.renewed.holds(now)
+        let held = entry.renewed.is_valid_at(now)
             && entry.record.announcement.phase != super::UpstreamPhase::Gone;
         (held && entry.record.announcement.address != from)
             .then_some(entry.record.announcement.address)
@@ -295,7 +295,7 @@
         let Some(oldest) = entries.map(|entry| entry.renewed).min() else {
             return false;
         };
-        if oldest.holds(renewed) {
+        if oldest.is_valid_at(renewed) {
             return false;
         }
         self.remove_before(LeaseEpoch(oldest.0 + 1));
--- a/crates/pulley_core/src/process/registry/recall_proof.rs
+++ b/crates/pulley_core/src/process/registry/recall_proof.rs
@@ -16,13 +16,13 @@
 impl RecallProof {
     /// Whether the leader still has to be asked.
     #[must_use]
-    pub fn is_wanted(self) -> bool {
+    pub fn needs_request(self) -> bool {
         self == Self::NotAsked
     }
 
     /// Notes that the question is about to be sent. The answer may arrive before the sending call
     /// returns.
-    pub fn begin_asking(&mut self) {
+    pub fn mark_requested(&mut self) {
         *self = Self::Asked;
     }
 
@@ -31,20 +31,20 @@
     /// If it still counted as asked, the replica would wait for an answer that never comes until it
     /// is too late to recall. Entries would then know only those upstreams that have announced
     /// themselves since.
-    pub fn give_up_asking(&mut self) {
+    pub fn mark_rejected(&mut self) {
         if *self == Self::Asked {
             *self = Self::NotAsked;
         }
     }
 
     /// Takes the index that the leader reports as applied. Without one, the next leader is asked.
-    pub fn take_answer(&mut self, applied: Option<u64>) {
+    pub fn apply_answer(&mut self, applied: Option<u64>) {
         *self = applied.map_or(Self::NotAsked, Self::RequiredIndex);
     }
 
     /// Whether a replica that has applied the log up to `applied` may recall.
     #[must_use]
-    pub fn holds_at(self, applied: u64) -> bool {
+    pub fn is_complete_at(self, applied: u64) -> bool {
         matches!(self, Self::RequiredIndex(index) if applied >= index)
     }
 }
--- a/crates/pulley_core/src/process/registry/registry_gossip.rs
+++ b/crates/pulley_core/src/process/registry/registry_gossip.rs
@@ -41,8 +41,8 @@
         let Some(message) = RegistryMessage::unpack(body) else {
             return Vec::new();
         };
-        let first = !self.clock.is_adopted();
-        let jump = self.clock.adopt(now, message.time);
+        let first = !self.clock.has_merged_reading();
+        let jump = self.clock.merge_reading(now, message.time);
         if first && jump > 0 {
             // The new time shifts the boundaries of epochs. One epoch less, so that no lease is
             // extended.
--- a/crates/pulley_core/src/process/registry/shared_clock.rs
+++ b/crates/pulley_core/src/process/registry/shared_clock.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether a lease renewed in this epoch is still valid at the later epoch `at`.
-    pub(crate) const fn holds(self, at: Self) -> bool {
+    pub(crate) const fn is_valid_at(self, at: Self) -> bool {
         self.age(at) < LEASE_EPOCHS
     }
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SharedClock {
     offset_ms: u64,
-    adopted: bool,
+    has_merged: bool,
     epoch_ms: u64,
 }
 
@@ -63,7 +63,7 @@
         // Starts one lease after zero, so that a partly elapsed lease can be told from a fresh one
         // from the beginning.
         let offset_ms = epoch_ms.saturating_mul(u64::from(LEASE_EPOCHS));
-        Self { offset_ms, adopted: false, epoch_ms }
+        Self { offset_ms, has_merged: false, epoch_ms }
     }
 
     /// The longest time that a lease lasts.
@@ -85,16 +85,16 @@
     }
 
     /// Whether a reading of another host was ever merged.
-    pub(crate) fn is_adopted(&self) -> bool {
-        self.adopted
+    pub(crate) fn has_merged_reading(&self) -> bool {
+        self.has_merged
     }
 
     /// Merges another host's reading. Returns by how many epochs this host's time jumped ahead.
-    pub(crate) fn adopt(&mut self, now: Moment, theirs: SharedTime) -> u32 {
+    pub(crate) fn merge_reading(&mut self, now: Moment, theirs: SharedTime) -> u32 {
         let before = self.epoch(now);
         let offset = theirs.0.saturating_sub(now.micros() / 1_000);
         self.offset_ms = self.offset_ms.max(offset);
-        self.adopted = true;
+        self.has_merged = true;
         before.age(self.epoch(now))
     }
 
--- a/crates/pulley_core/src/process/registry/upstream_directory.rs
+++ b/crates/pulley_core/src/process/registry/upstream_directory.rs
@@ -19,8 +19,8 @@
 /// announcement. An upstream that died meanwhile is tried no longer than any other that dies.
 const RECALLED_EPOCHS: u32 = LEASE_EPOCHS / 2;
 
-/// How many introduction messages may wait: enough for all entries of a zone at the planned size.
-const INTRODUCTION_LIMIT: usize = 4_096;
+/// How many state transfer messages may wait: enough for all entries of a zone at the planned size.
+const STATE_TRANSFER_LIMIT: usize = 4_096;
 
 /// A replica's knowledge of upstreams and hosts at one moment, to be written to its disk.
 ///
@@ -94,20 +94,20 @@
     ///
     /// This is for a restart of all hosts, or of one host under heavy load. If an entry only
     /// compared tables with one host a round, it would learn of its upstreams after one round or
-    /// several, while its callers wait. Introductions are limited to entries of the own zone
+    /// several, while its callers wait. State transfers are limited to entries of the own zone
     /// because each one lists every upstream, and traffic within the zone costs least.
-    pub fn introduce(&mut self, now: Moment, to: SocketAddr) {
+    pub fn transfer_state(&mut self, now: Moment, to: SocketAddr) {
         let epoch = self.clock.epoch(now);
         let entries = self.table.buckets().iter().flat_map(LeaseBucket::entries);
         let usable = entries.filter(|entry| entry.takes_work(epoch));
         let records = usable.map(|entry| self.table.aged_record(entry, epoch)).collect();
         for records in split_by_size(records) {
-            if self.introductions.len() >= INTRODUCTION_LIMIT {
+            if self.state_transfers.len() >= STATE_TRANSFER_LIMIT {
                 return;
             }
             let content = RegistryContent::Records { records, wanted: Vec::new() };
             let body = RegistryMessage::pack(self.clock.read(now), content);
-            self.introductions.push_back(RegistrySend { to, body });
+            self.state_transfers.push_back(RegistrySend { to, body });
         }
     }
 }
--- a/crates/pulley_core/src/process/registry/upstream_list.rs
+++ b/crates/pulley_core/src/process/registry/upstream_list.rs
@@ -37,7 +37,7 @@
 impl UpstreamList {
     /// Whether both are the same list in memory. Equal lists with separate storage are not.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn ptr_eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 
@@ -85,7 +85,7 @@
 
     /// Returns this list with `changes` applied. The last change of an upstream wins.
     #[must_use]
-    pub fn with(&self, changes: impl IntoIterator<Item = UpstreamChange>) -> Self {
+    pub fn with_changes(&self, changes: impl IntoIterator<Item = UpstreamChange>) -> Self {
         let mut records = self.0.to_vec();
         for change in changes {
             let position = records.binary_search_by(|held| held.announcement.id.cmp(change.id()));
--- a/crates/pulley_core/src/process/registry/upstream_registry.rs
+++ b/crates/pulley_core/src/process/registry/upstream_registry.rs
@@ -38,9 +38,9 @@
 const RECORD_QUEUE_PAUSE: Duration = Duration::from_millis(20);
 /// How many waiting record messages are sent in one tick.
 const RECORD_MESSAGES_PER_TICK: usize = 8;
-/// How many introduction messages are sent in one tick: enough to reach a zone's entries within a
+/// How many state transfer messages are sent in one tick: enough to reach a zone's entries within a
 /// second, few enough not to fill a replica's link.
-const INTRODUCTIONS_PER_TICK: usize = 32;
+const STATE_TRANSFERS_PER_TICK: usize = 32;
 /// The largest number of slots that an upstream may announce. More is a mistake in its settings.
 const SLOT_LIMIT: u32 = 10_000;
 /// The largest number of connections that an upstream may announce.
@@ -120,7 +120,7 @@
     next_update: Moment,
     pub(crate) record_queue: VecDeque<RegistrySend>,
     /// Messages to hosts that have just started. They don't wait behind the record messages.
-    pub(crate) introductions: VecDeque<RegistrySend>,
+    pub(crate) state_transfers: VecDeque<RegistrySend>,
     /// When an update last changed each bucket.
     pub(crate) bucket_changed_at: Vec<Option<Moment>>,
     /// When each bucket was last compared record by record.
@@ -133,7 +133,7 @@
     pub(crate) last_tick: Moment,
     next_epoch: Moment,
     /// The round for which the last tick sent leases, if one was due.
-    told_round: Option<u32>,
+    sent_round: Option<u32>,
     next_round: Moment,
     pub(crate) round: u32,
 }
@@ -156,14 +156,14 @@
             update_budget: 0.0,
             next_update: Moment::ZERO,
             record_queue: VecDeque::new(),
-            introductions: VecDeque::new(),
+            state_transfers: VecDeque::new(),
             bucket_changed_at: vec![None; BUCKETS],
             bucket_compared_at: vec![None; BUCKETS],
             digest_answered_at: None,
             bucket_digests_until: Moment::ZERO,
             last_tick: Moment::ZERO,
             next_epoch: Moment::ZERO,
-            told_round: None,
+            sent_round: None,
             next_round: Moment::ZERO,
             round: 0,
         }
@@ -187,7 +187,7 @@
 
     /// The number of known upstreams, including expired ones.
     #[must_use]
-    pub fn known(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.table.len()
     }
 
@@ -216,8 +216,8 @@
     #[must_use]
     pub fn next_wakeup(&self) -> Moment {
         let mut next = self.next_round.min(self.next_epoch);
-        let has_introductions = !self.introductions.is_empty();
-        if !self.departures.is_empty() || has_introductions {
+        let has_state_transfers = !self.state_transfers.is_empty();
+        if !self.departures.is_empty() || has_state_transfers {
             next = next.min(self.last_tick + UPDATE_DELAY);
         }
         if !self.updates.is_empty() {
@@ -240,7 +240,7 @@
 
     /// Sets the evacuated zones, sorted by name. Their upstreams take no work, whatever they
     /// announce and whenever they start.
-    pub fn evacuate(&mut self, zones: &[ZoneName]) {
+    pub fn set_evacuated_zones(&mut self, zones: &[ZoneName]) {
         self.table.set_evacuated_zones(zones);
     }
 
@@ -301,7 +301,7 @@
     ///
     /// The message may have been delayed while the upstream restarted under the same id. If an
     /// `incarnation` is given that is not the known one, nothing changes.
-    pub fn announce_gone(
+    pub fn announce_departure(
         &mut self,
         now: Moment,
         id: &UpstreamId,
@@ -389,8 +389,8 @@
     /// Returns the round for which the last tick sent leases, if one was due. Others with messages
     /// for the same host may send them along.
     #[must_use]
-    pub const fn told_round(&self) -> Option<u32> {
-        self.told_round
+    pub const fn sent_round(&self) -> Option<u32> {
+        self.sent_round
     }
 
     // ---------------------------------------------------------------------------------------------
@@ -406,17 +406,17 @@
         }
         let burst = self.record_queue.len().min(RECORD_MESSAGES_PER_TICK);
         let mut sends: Vec<RegistrySend> = self.record_queue.drain(..burst).collect();
-        let burst = self.introductions.len().min(INTRODUCTIONS_PER_TICK);
-        sends.extend(self.introductions.drain(..burst));
+        let burst = self.state_transfers.len().min(STATE_TRANSFERS_PER_TICK);
+        sends.extend(self.state_transfers.drain(..burst));
         self.send_departures(now, ring, &mut sends);
         if now >= self.next_update && !self.updates.is_empty() {
             self.send_updates(now, ring, &mut sends);
             self.next_update = now + UPDATE_INTERVAL;
         }
-        self.told_round = None;
+        self.sent_round = None;
         if now >= self.next_round {
             self.send_leases(now, ring, &mut sends);
-            self.told_round = Some(self.round);
+            self.sent_round = Some(self.round);
             self.round = self.round.wrapping_add(1);
             let cycle = self.clock.lease().mul_f64(CYCLE_FRACTION);
             let pause = cycle / ring.rounds().max(1);
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -88,7 +88,7 @@
             if service == shares.services.len() {
                 shares.services.push(ServiceState { share: 0.0, used: 0 });
             }
-            shares.services[service].share += f32::from(kind.share.parts()) / 10_000.0;
+            shares.services[service].share += f32::from(kind.share.basis_points()) / 10_000.0;
             let mut state = KindState::new(kind, service);
             if let Some(known) = known_kinds.get(&state.key) {
                 state.own = known.own;
--- a/crates/pulley_core/src/request/verdict.rs
+++ b/crates/pulley_core/src/request/verdict.rs
@@ -48,9 +48,10 @@
             "not-run" => Ok(Self::NotRun),
             "may-have-run" => Ok(Self::MayHaveRun),
             "ran" => Ok(Self::Ran),
-            _ => {
-                Err(QuantityFault { text: text.to_owned(), wanted: "not-run, may-have-run or ran" })
-            }
+            _ => Err(QuantityFault {
+                text: text.to_owned(),
+                expected: "not-run, may-have-run or ran",
+            }),
         }
     }
 }
--- a/crates/pulley_core/src/version/change.rs
+++ b/crates/pulley_core/src/version/change.rs
@@ -35,7 +35,7 @@
     fn from_str(text: &str) -> Result<Self, QuantityFault> {
         text.parse()
             .map(Self)
-            .map_err(|_| QuantityFault { text: text.to_owned(), wanted: "a version number" })
+            .map_err(|_| QuantityFault { text: text.to_owned(), expected: "a version number" })
     }
 }
 
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -241,7 +241,9 @@
 
     pub(super) fn lease_holds(&self, now: Moment) -> bool {
         let epoch = self.clock.epoch(now);
-        self.lease.as_ref().is_some_and(|lease| self.clock.epoch_of(lease.confirmed).holds(epoch))
+        self.lease
+            .as_ref()
+            .is_some_and(|lease| self.clock.epoch_of(lease.confirmed).is_valid_at(epoch))
     }
 
     /// Whether a version, or one before it, was the latest accepted within a lease's validity.
@@ -252,7 +254,7 @@
     fn is_confirmed(&self, now: Moment, version: ConfigVersion) -> bool {
         let epoch = self.clock.epoch(now);
         let proofs = self.confirmations.iter().filter(|(confirmed, _)| *confirmed <= version);
-        proofs.map(|(_, at)| self.clock.epoch_of(*at)).any(|at| at.holds(epoch))
+        proofs.map(|(_, at)| self.clock.epoch_of(*at)).any(|at| at.is_valid_at(epoch))
     }
 
     fn note_confirmation(&mut self, version: ConfigVersion, at: SharedTime) {
@@ -409,7 +411,7 @@
         // A message that was in transit for long would set the clock of a host that has just
         // started to the past and make an old lease look fresh. Only an answer may set it first.
         if self.knows_time {
-            self.clock.adopt(now, time);
+            self.clock.merge_reading(now, time);
         }
         match content {
             PlanContent::Lease { lease, held, digest, evacuated } => {
@@ -433,7 +435,7 @@
                 self.adopt_zones(&evacuated);
                 if nonce == self.nonce {
                     self.is_answered = true;
-                    self.clock.adopt(now, time);
+                    self.clock.merge_reading(now, time);
                     self.note_report(now, from, report);
                     self.knows_time |= knows_time;
                     if let Some(lease) = lease {
--- a/crates/pulley_core/src/version/replica/replica_identity.rs
+++ b/crates/pulley_core/src/version/replica/replica_identity.rs
@@ -39,7 +39,7 @@
     fn from_str(text: &str) -> Result<Self, QuantityFault> {
         u64::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| QuantityFault { text: text.to_owned(), wanted: "a disk id in hex" })
+            .map_err(|_| QuantityFault { text: text.to_owned(), expected: "a disk id in hex" })
     }
 }
 
@@ -77,7 +77,7 @@
             fn from_str(text: &str) -> Result<Self, QuantityFault> {
                 text.parse()
                     .map(Self)
-                    .map_err(|_| QuantityFault { text: text.to_owned(), wanted: $wanted })
+                    .map_err(|_| QuantityFault { text: text.to_owned(), expected: $wanted })
             }
         }
     )*};
--- a/crates/pulley_core/src/version/sheet/sheet_reader.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_reader.rs
@@ -250,8 +250,8 @@
             let Some((pool, share)) = share else { continue };
             let sum = sums.entry(pool).or_default();
             let before = *sum;
-            *sum += u32::from(share.parts());
-            let whole = u32::from(ShareFraction::WHOLE.parts());
+            *sum += u32::from(share.basis_points());
+            let whole = u32::from(ShareFraction::WHOLE.basis_points());
             if before <= whole && *sum > whole {
                 let left = whole - before;
                 let allowed = format!(
--- a/crates/pulley_core/tests/arrival_probes/subset_tests.rs
+++ b/crates/pulley_core/tests/arrival_probes/subset_tests.rs
@@ -132,7 +132,7 @@
                 let record = UpstreamRecord { takes_work, ..upstream(index, zone, 2) };
                 UpstreamChange::Put(Arc::new(record))
             };
-            let next = list.with([change]);
+            let next = list.with_changes([change]);
             scheduler.apply_changes(now, &next.changes_since(&list));
             list = next;
             // Requests that outlast their upstream keep its slot in the table.
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -35,7 +35,7 @@
         method: MethodMatch::Any,
         path_prefix: "/".into(),
         priority: RequestPriority(priority),
-        share: ShareFraction::from_parts(parts).expect("share"),
+        share: ShareFraction::from_basis_points(parts).expect("share"),
         reserved_slots: SlotCount(1),
         deadline: Duration::from_millis(300),
         idempotent: true,
--- a/crates/pulley_core/tests/link_pacer.rs
+++ b/crates/pulley_core/tests/link_pacer.rs
@@ -21,7 +21,7 @@
     while read != answers {
         for (done, total) in read.iter_mut().zip(answers) {
             let piece = (total - *done).min(16 * KIB);
-            now = pacer.note(now, *done, piece).unwrap_or(now);
+            now = pacer.record_read(now, *done, piece).unwrap_or(now);
             *done += piece;
         }
     }
@@ -46,10 +46,10 @@
 fn small_answers_are_not_paced() {
     let mut pacer = LinkPacer::new(SLOW_KBPS);
     for _ in 0..1_000 {
-        assert_eq!(pacer.note(at(1_000), 0, 4 * KIB), None);
-        assert_eq!(pacer.note(at(1_000), 4 * KIB, 12 * KIB), None);
+        assert_eq!(pacer.record_read(at(1_000), 0, 4 * KIB), None);
+        assert_eq!(pacer.record_read(at(1_000), 4 * KIB, 12 * KIB), None);
     }
-    assert_eq!(pacer.note(at(1_000), 16 * KIB, KIB), None);
+    assert_eq!(pacer.record_read(at(1_000), 16 * KIB, KIB), None);
 }
 
 // Guards against needless waits on a fast link. At 700 Mbit/s a large answer arrives within two
@@ -65,7 +65,7 @@
 #[test]
 fn time_without_large_answers_is_not_saved_up() {
     let mut pacer = LinkPacer::new(SLOW_KBPS);
-    assert!(pacer.note(at(0), 16 * KIB, 16 * KIB).is_some());
-    let next = pacer.note(at(60_000), 16 * KIB, 16 * KIB).expect("paced");
+    assert!(pacer.record_read(at(0), 16 * KIB, 16 * KIB).is_some());
+    let next = pacer.record_read(at(60_000), 16 * KIB, 16 * KIB).expect("paced");
     assert!(next.since(at(60_000)) > Duration::from_millis(60));
 }
--- a/crates/pulley_core/tests/members/differences_tests.rs
+++ b/crates/pulley_core/tests/members/differences_tests.rs
@@ -76,7 +76,7 @@
                 followed.retain(|pool, _| incremental.contains_key(pool));
                 for (pool, list) in incremental {
                     let held = followed.entry(pool).or_default();
-                    *held = held.with(list.changes_since(held));
+                    *held = held.with_changes(list.changes_since(held));
                     assert_eq!(*held, list, "seed {seed}, step {step}");
                 }
             }
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -157,7 +157,7 @@
         registry.announce(now, announcement(upstream, 1, 1)).unwrap();
     }
     assert_eq!(open_zones(&mut registry, now).len(), 5);
-    registry.evacuate(&[zone(1), zone(3)]);
+    registry.set_evacuated_zones(&[zone(1), zone(3)]);
     assert_eq!(open_zones(&mut registry, now), [zone(0), zone(2), zone(4)]);
     let late = announcement(11, 1, 1);
     let restarted = announcement(1, 2, 1);
@@ -168,6 +168,6 @@
         assert!(!registry.takes_work(now, &id));
     }
     assert_eq!(open_zones(&mut registry, now), [zone(0), zone(2), zone(4)]);
-    registry.evacuate(&[zone(3)]);
+    registry.set_evacuated_zones(&[zone(3)]);
     assert_eq!(open_zones(&mut registry, now), [zone(0), zone(1), zone(2), zone(4)]);
 }
--- a/crates/pulley_core/tests/members/link_model.rs
+++ b/crates/pulley_core/tests/members/link_model.rs
@@ -9,7 +9,7 @@
 
 /// The capacity of a host's link in each direction, and the part that callers use.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LinkTerms {
+pub(crate) struct LinkRates {
     /// The rate in bytes a second.
     pub(crate) rate: u32,
     /// The bytes a second of callers, who send steadily and wait in the same queue.
@@ -30,7 +30,7 @@
 /// One direction of one host's link, a first-in first-out queue.
 #[derive(Clone, Debug)]
 struct LinkQueue {
-    terms: LinkTerms,
+    rates: LinkRates,
     /// Waiting bytes, including those of callers.
     waiting: f64,
     updated: Moment,
@@ -40,21 +40,21 @@
 }
 
 impl LinkQueue {
-    fn new(terms: LinkTerms, now: Moment, long: Duration) -> Self {
-        assert!(terms.callers < terms.rate, "callers must leave room: {terms:?}");
-        Self { terms, waiting: 0.0, updated: now, long, stats: LinkStats::default() }
+    fn new(rates: LinkRates, now: Moment, long: Duration) -> Self {
+        assert!(rates.callers < rates.rate, "callers must leave room: {rates:?}");
+        Self { rates, waiting: 0.0, updated: now, long, stats: LinkStats::default() }
     }
 
     fn wait(&self) -> Duration {
-        Duration::from_secs_f64(self.waiting / f64::from(self.terms.rate))
+        Duration::from_secs_f64(self.waiting / f64::from(self.rates.rate))
     }
 
     /// Drains the queue up to `now`, while callers keep sending.
     fn advance(&mut self, now: Moment) {
         let elapsed = now.since(self.updated).as_secs_f64();
         self.updated = now;
-        let drain = f64::from(self.terms.rate - self.terms.callers);
-        let long_bytes = self.long.as_secs_f64() * f64::from(self.terms.rate);
+        let drain = f64::from(self.rates.rate - self.rates.callers);
+        let long_bytes = self.long.as_secs_f64() * f64::from(self.rates.rate);
         let long_time = ((self.waiting - long_bytes) / drain).clamp(0.0, elapsed);
         self.stats.long_time += Duration::from_secs_f64(long_time);
         self.waiting = (self.waiting - drain * elapsed).max(0.0);
@@ -84,9 +84,9 @@
 
 impl LinkModel {
     /// Makes empty links, one for each host. A wait of `long` counts as a long one.
-    pub(crate) fn new(terms: &[LinkTerms], now: Moment, long: Duration) -> Self {
-        let queue = |terms: &LinkTerms| LinkQueue::new(*terms, now, long);
-        Self { queues: terms.iter().map(|terms| [queue(terms), queue(terms)]).collect() }
+    pub(crate) fn new(rates: &[LinkRates], now: Moment, long: Duration) -> Self {
+        let queue = |rates: &LinkRates| LinkQueue::new(*rates, now, long);
+        Self { queues: rates.iter().map(|rates| [queue(rates), queue(rates)]).collect() }
     }
 
     /// Returns when a datagram has left its sender's link, or `None` if it is dropped there.
--- a/crates/pulley_core/tests/members/member_table_tests.rs
+++ b/crates/pulley_core/tests/members/member_table_tests.rs
@@ -69,7 +69,7 @@
     let mut table = MemberTable::new(record(0, 0), settings, 5);
     for index in 1..3_000 {
         let mut other = MemberTable::new(record(index, 0), MemberSettings::default(), 6);
-        other.seed(address(0));
+        other.add_seed(address(0));
         for send in other.tick(Moment::ZERO) {
             table.receive(Moment::ZERO, address(index), &send.body);
         }
@@ -89,7 +89,7 @@
     network.run_for(Duration::from_secs(5));
     let earlier = MemberTable::new(record(4, 0), MemberSettings::default(), 8);
     network.hosts[4].members = earlier;
-    network.hosts[4].members.seed(address(0));
+    network.hosts[4].members.add_seed(address(0));
     network.run_for(Duration::from_secs(30));
     assert_eq!(live_counts(&network), vec![6; 6]);
 }
@@ -101,7 +101,7 @@
 fn a_host_without_peers_contacts_all_its_seeds() {
     let mut table = MemberTable::new(record(0, 1), MemberSettings::default(), 3);
     let seeds: Vec<_> = (1..6).map(address).collect();
-    seeds.iter().for_each(|seed| table.seed(*seed));
+    seeds.iter().for_each(|seed| table.add_seed(*seed));
     let mut called: Vec<_> = table.tick(Moment::ZERO).into_iter().map(|send| send.to).collect();
     called.sort();
     called.dedup();
--- a/crates/pulley_core/tests/members/network.rs
+++ b/crates/pulley_core/tests/members/network.rs
@@ -23,7 +23,7 @@
 
 /// The state machine that a message belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Kind {
+pub(crate) enum MessageKind {
     Member,
     Upstream,
     Plan,
@@ -38,10 +38,10 @@
     pub(crate) up: bool,
     /// A stopped process reads and sends nothing until this time. Messages wait in its socket.
     pub(crate) paused_until: Moment,
-    pub(crate) sent: BTreeMap<Kind, (u64, u64)>,
+    pub(crate) sent: BTreeMap<MessageKind, (u64, u64)>,
     pub(crate) received: u64,
     /// Real time spent in each state machine, with the numbers of ticks and messages.
-    pub(crate) spent: BTreeMap<Kind, TimeSpent>,
+    pub(crate) spent: BTreeMap<MessageKind, TimeSpent>,
     scheduled: Option<Moment>,
 }
 
@@ -73,8 +73,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Wake(usize),
-    Arrive { to: usize, from: SocketAddr, kind: Kind, body: Bytes },
-    Deliver { to: usize, from: SocketAddr, kind: Kind, body: Bytes },
+    Arrive { to: usize, from: SocketAddr, kind: MessageKind, body: Bytes },
+    Deliver { to: usize, from: SocketAddr, kind: MessageKind, body: Bytes },
 }
 
 pub(crate) struct Network {
@@ -159,7 +159,7 @@
         let seed = self.rng.random();
         let mut members = MemberTable::new(record(index, start), MemberSettings::default(), seed);
         for seed in 0..3 {
-            members.seed(address(seed));
+            members.add_seed(address(seed));
         }
         Host {
             address: address(index),
@@ -227,16 +227,16 @@
         self.schedule_wakeup(host);
     }
 
-    pub(crate) fn announce_gone(&mut self, host: usize, id: &UpstreamId) {
+    pub(crate) fn announce_departure(&mut self, host: usize, id: &UpstreamId) {
         let now = self.now;
-        assert!(self.hosts[host].registry.announce_gone(now, id, None));
+        assert!(self.hosts[host].registry.announce_departure(now, id, None));
         self.schedule_wakeup(host);
     }
 
     /// Has one host send all upstreams to another that has just started.
-    pub(crate) fn introduce(&mut self, host: usize, to: usize) {
+    pub(crate) fn transfer_state(&mut self, host: usize, to: usize) {
         let (now, to) = (self.now, self.hosts[to].address);
-        self.hosts[host].registry.introduce(now, to);
+        self.hosts[host].registry.transfer_state(now, to);
         self.schedule_wakeup(host);
     }
 
@@ -320,37 +320,39 @@
         let upstream_time = begun.elapsed() - member_time;
         let plans = host.plans.tick(now, &ring);
         let plan_time = begun.elapsed() - member_time - upstream_time;
-        for (kind, time) in
-            [(Kind::Member, member_time), (Kind::Upstream, upstream_time), (Kind::Plan, plan_time)]
-        {
+        for (kind, time) in [
+            (MessageKind::Member, member_time),
+            (MessageKind::Upstream, upstream_time),
+            (MessageKind::Plan, plan_time),
+        ] {
             let spent = host.spent.entry(kind).or_default();
             spent.ticks += 1;
             spent.tick_time += time;
         }
         let member = member.into_iter().map(|send| (send.to, send.body)).collect();
         let upstream = upstream.into_iter().map(|send| (send.to, send.body)).collect();
-        self.send_all(index, Kind::Member, member);
-        self.send_all(index, Kind::Upstream, upstream);
+        self.send_all(index, MessageKind::Member, member);
+        self.send_all(index, MessageKind::Upstream, upstream);
         self.send_plans(index, plans);
         self.schedule_wakeup(index);
     }
 
-    fn deliver(&mut self, to: usize, from: SocketAddr, kind: Kind, body: &[u8]) {
+    fn deliver(&mut self, to: usize, from: SocketAddr, kind: MessageKind, body: &[u8]) {
         let now = self.now;
         let sender = index_of(from);
         let host = &mut self.hosts[to];
         host.received += (body.len() + WIRE_OVERHEAD) as u64;
         let begun = Instant::now();
         let (sends, plans) = match kind {
-            Kind::Member => {
+            MessageKind::Member => {
                 let sends = host.members.receive(now, from, body);
                 (sends.into_iter().map(|send| (send.to, send.body)).collect(), Vec::new())
             }
-            Kind::Upstream => {
+            MessageKind::Upstream => {
                 let sends = host.registry.receive(now, from, body);
                 (sends.into_iter().map(|send| (send.to, send.body)).collect(), Vec::new())
             }
-            Kind::Plan => (Vec::new(), host.plans.receive(now, &host_name(sender), body)),
+            MessageKind::Plan => (Vec::new(), host.plans.receive(now, &host_name(sender), body)),
         };
         let spent = host.spent.entry(kind).or_default();
         spent.messages += 1;
@@ -363,10 +365,10 @@
     fn send_plans(&mut self, from: usize, sends: Vec<pulley_core::version::PlanSend>) {
         let of = |host: &HostId| address(host.as_str()[4..].parse().expect("a host of this test"));
         let sends = sends.into_iter().map(|send| (of(&send.to), send.body)).collect();
-        self.send_all(from, Kind::Plan, sends);
+        self.send_all(from, MessageKind::Plan, sends);
     }
 
-    fn send_all(&mut self, from: usize, kind: Kind, sends: Vec<(SocketAddr, Bytes)>) {
+    fn send_all(&mut self, from: usize, kind: MessageKind, sends: Vec<(SocketAddr, Bytes)>) {
         for (to, body) in sends {
             assert!(body.len() <= 1_200, "{kind:?} message of {} bytes", body.len());
             let sent = self.hosts[from].sent.entry(kind).or_default();
--- a/crates/pulley_core/tests/members/plan_difference_tests.rs
+++ b/crates/pulley_core/tests/members/plan_difference_tests.rs
@@ -42,7 +42,7 @@
         },
         path_prefix: String::arbitrary(g).into(),
         priority: RequestPriority(u8::arbitrary(g)),
-        share: ShareFraction::from_parts(u16::arbitrary(g) % 10_001).unwrap(),
+        share: ShareFraction::from_basis_points(u16::arbitrary(g) % 10_001).unwrap(),
         reserved_slots: SlotCount(u32::arbitrary(g)),
         deadline: Duration::arbitrary(g),
         idempotent: bool::arbitrary(g),
--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -8,13 +8,13 @@
 use pulley_core::version::{PlanFollower, PlanSend, ReplicaSet, StoredPlan};
 use pulley_core::{ConfigVersion, HostId, Moment};
 
-use crate::link_model::{LinkModel, LinkTerms};
+use crate::link_model::{LinkModel, LinkRates};
 use crate::network::{Network, host_name};
 use crate::route_rows::RouteRows;
 
 const SECOND: Duration = Duration::from_secs(1);
-const ENTRY_LINK: LinkTerms = LinkTerms { rate: 175_000, callers: 87_500 };
-const REPLICA_LINK: LinkTerms = LinkTerms { rate: 125_000_000, callers: 0 };
+const ENTRY_LINK: LinkRates = LinkRates { rate: 175_000, callers: 87_500 };
+const REPLICA_LINK: LinkRates = LinkRates { rate: 125_000_000, callers: 0 };
 
 /// Makes five replicas, and entries with links of limited rate, all at one version.
 fn with_links(count: usize, seed: u64, plan: &Arc<StoredPlan>) -> Network {
@@ -24,13 +24,13 @@
     network.run_for(3 * SECOND);
     commit_everywhere(&mut network, plan);
     network.run_for(5 * SECOND);
-    let terms = |host| if host < 5 { REPLICA_LINK } else { ENTRY_LINK };
-    let terms: Vec<LinkTerms> = (0..count).map(terms).collect();
-    for (host, terms) in network.hosts.iter_mut().zip(&terms) {
+    let rates = |host| if host < 5 { REPLICA_LINK } else { ENTRY_LINK };
+    let rates: Vec<LinkRates> = (0..count).map(rates).collect();
+    for (host, rates) in network.hosts.iter_mut().zip(&rates) {
         assert_eq!(host.plans.version(), plan.version);
-        host.plans = host.plans.clone().with_link_rate(Some(f64::from(terms.rate)));
+        host.plans = host.plans.clone().with_link_rate(Some(f64::from(rates.rate)));
     }
-    network.links = Some(LinkModel::new(&terms, network.now, SECOND));
+    network.links = Some(LinkModel::new(&rates, network.now, SECOND));
     network
 }
 
--- a/crates/pulley_core/tests/members/restart_tests.rs
+++ b/crates/pulley_core/tests/members/restart_tests.rs
@@ -5,12 +5,12 @@
 use pulley_core::version::{LogIndex, PlanStanding, ReplicaSet};
 use pulley_core::{ConfigVersion, HostId};
 
-use crate::network::{Kind, Network, announcement, host_name};
+use crate::network::{MessageKind, Network, announcement, host_name};
 
 const SECOND: Duration = Duration::from_secs(1);
 const REPLICAS: usize = 5;
 
-fn sent(network: &Network, kind: Kind, hosts: std::ops::Range<usize>) -> u64 {
+fn sent(network: &Network, kind: MessageKind, hosts: std::ops::Range<usize>) -> u64 {
     let sent = network.hosts[hosts].iter().filter_map(|host| host.sent.get(&kind));
     sent.map(|(messages, _)| messages).sum()
 }
@@ -25,9 +25,9 @@
     let replicas: Vec<HostId> = (0..REPLICAS).map(host_name).collect();
     network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
     network.run_for(SECOND);
-    let before = sent(&network, Kind::Plan, 0..REPLICAS);
+    let before = sent(&network, MessageKind::Plan, 0..REPLICAS);
     network.run_for(SECOND);
-    let answers = sent(&network, Kind::Plan, 0..REPLICAS) - before;
+    let answers = sent(&network, MessageKind::Plan, 0..REPLICAS) - before;
     // Each replica answers each entry five times a second at most.
     let most = 5 * (HOSTS * REPLICAS) as u64;
     assert!(answers <= most, "{answers} answers of the replicas within a second, at most {most}");
@@ -83,12 +83,12 @@
     const UPSTREAMS: usize = 100;
     let mut network = Network::new(HOSTS, 43);
     network.run_for(5 * SECOND);
-    let before = sent(&network, Kind::Upstream, 0..HOSTS);
+    let before = sent(&network, MessageKind::Upstream, 0..HOSTS);
     for upstream in 0..UPSTREAMS {
         network.announce(upstream % REPLICAS, announcement(upstream, 1, 1));
         network.run_for(SECOND / 100);
     }
-    let messages = (sent(&network, Kind::Upstream, 0..HOSTS) - before) / HOSTS as u64;
+    let messages = (sent(&network, MessageKind::Upstream, 0..HOSTS) - before) / HOSTS as u64;
     // Twenty sends a second to four hosts each, and as many messages again for comparisons.
     assert!(messages <= 160, "{messages} messages of each host within a second");
     network.run_for(SECOND);
--- a/crates/pulley_core/tests/members/upstream_directory_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_directory_tests.rs
@@ -39,7 +39,7 @@
     for replica in 0..5 {
         network.hosts[replica].registry.recall(now, directory.clone(), |_| false);
         for entry in (5..40).filter(|entry| entry % 5 == replica) {
-            network.introduce(replica, entry);
+            network.transfer_state(replica, entry);
         }
     }
     network.run_for(50 * MILLISECOND);
@@ -120,18 +120,18 @@
 #[test]
 fn a_recall_question_that_was_not_accepted_is_asked_again() {
     let mut proof = RecallProof::default();
-    assert!(proof.is_wanted());
-    proof.begin_asking();
-    assert!(!proof.is_wanted());
-    proof.give_up_asking();
-    assert!(proof.is_wanted());
+    assert!(proof.needs_request());
+    proof.mark_requested();
+    assert!(!proof.needs_request());
+    proof.mark_rejected();
+    assert!(proof.needs_request());
     // An answer that arrives while the question is being sent takes precedence over the notice that
     // the question was rejected.
-    proof.begin_asking();
-    proof.take_answer(Some(7));
-    proof.give_up_asking();
-    assert!(!proof.holds_at(6));
-    assert!(proof.holds_at(7));
-    proof.take_answer(None);
-    assert!(proof.is_wanted());
+    proof.mark_requested();
+    proof.apply_answer(Some(7));
+    proof.mark_rejected();
+    assert!(!proof.is_complete_at(6));
+    assert!(proof.is_complete_at(7));
+    proof.apply_answer(None);
+    assert!(proof.needs_request());
 }
--- a/crates/pulley_core/tests/members/upstream_registry_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_registry_tests.rs
@@ -124,7 +124,7 @@
     announce_for(&mut network, 200, 1, 5);
     network.restart(6);
     let before = network.now;
-    while network.hosts[6].registry.known() < 200 {
+    while network.hosts[6].registry.upstream_count() < 200 {
         network.run_for(Duration::from_millis(50));
         assert!(network.now.since(before) < 2 * SECOND);
     }
@@ -149,7 +149,7 @@
         }
     }
     let id = announcement(3, 1, 1).id;
-    network.announce_gone(0, &id);
+    network.announce_departure(0, &id);
     network.run_for(Duration::from_millis(100));
     assert_eq!(hosts_using(&network, 3), 0);
 }
@@ -164,17 +164,17 @@
     let second = Announcement { incarnation: Incarnation(6), ..first.clone() };
     registry.announce(now, first.clone()).unwrap();
     registry.announce(now, second.clone()).unwrap();
-    assert!(registry.announce_gone(now, &first.id, Some(first.incarnation)));
+    assert!(registry.announce_departure(now, &first.id, Some(first.incarnation)));
     assert!(registry.takes_work(now, &first.id));
     assert!(registry.departure(&first.id).is_none());
-    assert!(registry.announce_gone(now, &first.id, Some(second.incarnation)));
+    assert!(registry.announce_departure(now, &first.id, Some(second.incarnation)));
     assert!(!registry.takes_work(now, &first.id));
     // A departure received by one host takes effect at another.
     let mut other = UpstreamRegistry::new();
     other.announce(now, second.clone()).unwrap();
     other.take_departure(now, &registry.departure(&first.id).unwrap().1);
     assert!(!other.takes_work(now, &first.id));
-    assert!(!registry.announce_gone(now, &announcement(9, 1, 1).id, None), "unknown");
+    assert!(!registry.announce_departure(now, &announcement(9, 1, 1).id, None), "unknown");
 }
 
 /// Upstreams that announce themselves every second and a half, sometimes late, must keep their
@@ -211,7 +211,7 @@
     };
     for host in &network.hosts {
         assert_eq!(taking(host), upstreams);
-        let (_, bytes) = host.sent[&crate::network::Kind::Upstream];
+        let (_, bytes) = host.sent[&crate::network::MessageKind::Upstream];
         // Every lease takes three bits a round, and records are no longer compared.
         assert!(bytes / 4 < 16_000, "{} bytes a second", bytes / 4);
     }
--- a/crates/pulley_core/tests/members/wide_change.rs
+++ b/crates/pulley_core/tests/members/wide_change.rs
@@ -8,13 +8,13 @@
 use pulley_core::version::{LogIndex, PlanStanding, ReplicaSet, StoredPlan};
 use pulley_core::{ConfigVersion, HostId, Moment};
 
-use super::link_model::{LinkModel, LinkStats, LinkTerms};
-use super::network::{Host, Kind, Network, host_name};
+use super::link_model::{LinkModel, LinkRates, LinkStats};
+use super::network::{Host, MessageKind, Network, host_name};
 use super::route_rows::RouteRows;
 
 /// The number of hosts with a replica. Their links are in effect unlimited.
 pub(crate) const REPLICAS: usize = 5;
-const REPLICA_LINK: LinkTerms = LinkTerms { rate: 125_000_000, callers: 0 };
+const REPLICA_LINK: LinkRates = LinkRates { rate: 125_000_000, callers: 0 };
 /// The number of rows in force before the change.
 const ROWS_BEFORE: usize = 48;
 /// The versions: before the change, with the added rows, and with one weight changed.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WideChange {
     pub(crate) hosts: usize,
-    pub(crate) entry_link: LinkTerms,
+    pub(crate) entry_link: LinkRates,
     pub(crate) added_rows: usize,
     /// The wait from which a queue at a link counts as long.
     pub(crate) long_queue: Duration,
@@ -52,16 +52,16 @@
 
 impl ChangeStats {
     /// The number of hosts without the last version at the end.
-    pub(crate) fn lacking(&self) -> usize {
+    pub(crate) fn hosts_without_version(&self) -> usize {
         self.in_force.iter().filter(|time| time.is_none()).count()
     }
 
     /// The time after which this fraction of the hosts had the last version, or `None` if they did
     /// not get it.
-    pub(crate) fn part_in_force(&self, part: f64) -> Option<Duration> {
+    pub(crate) fn time_for_fraction(&self, fraction: f64) -> Option<Duration> {
         let mut times: Vec<Option<Duration>> = self.in_force.clone();
         times.sort_by_key(|time| time.unwrap_or(Duration::MAX));
-        let place = (times.len() as f64 * part).ceil().max(1.0) as usize - 1;
+        let place = (times.len() as f64 * fraction).ceil().max(1.0) as usize - 1;
         times[place]
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// The fraction of the entries' time in which a queue at their links was long.
-    pub(crate) fn long_share(&self) -> f64 {
+    pub(crate) fn long_queue_fraction(&self) -> f64 {
         let long: Duration = self.entry_queues().map(|stats| stats.long_time).sum();
         long.as_secs_f64() / (self.watched.as_secs_f64() * self.entry_queues().count() as f64)
     }
@@ -124,7 +124,7 @@
             }
             network.run_for(STEP);
         }
-        let sent = |host: &Host| host.sent.get(&Kind::Plan).map_or(0, |sum| sum.1);
+        let sent = |host: &Host| host.sent.get(&MessageKind::Plan).map_or(0, |sum| sum.1);
         let sent = network.hosts.iter().map(sent).collect();
         let now = network.now;
         let links = network.links.as_mut().expect("links were set");
@@ -141,16 +141,16 @@
         network.leader = Some((0, 1));
         accept(&mut network, plan);
         network.run_for(Duration::from_secs(8));
-        let terms = |host| if host < REPLICAS { REPLICA_LINK } else { self.entry_link };
-        let terms: Vec<LinkTerms> = (0..self.hosts).map(terms).collect();
-        network.links = Some(LinkModel::new(&terms, network.now, self.long_queue));
+        let rates = |host| if host < REPLICAS { REPLICA_LINK } else { self.entry_link };
+        let rates: Vec<LinkRates> = (0..self.hosts).map(rates).collect();
+        network.links = Some(LinkModel::new(&rates, network.now, self.long_queue));
         network.run_for(Duration::from_secs(1));
-        for (host, terms) in network.hosts.iter_mut().zip(&terms) {
-            host.plans = host.plans.clone().with_link_rate(Some(f64::from(terms.rate)));
+        for (host, rates) in network.hosts.iter_mut().zip(&rates) {
+            host.plans = host.plans.clone().with_link_rate(Some(f64::from(rates.rate)));
             assert_eq!(host.plans.standing(network.now), PlanStanding::InForce(plan.version));
             host.sent.clear();
         }
-        network.links = Some(LinkModel::new(&terms, network.now, self.long_queue));
+        network.links = Some(LinkModel::new(&rates, network.now, self.long_queue));
         network
     }
 }
--- a/crates/pulley_core/tests/members/wide_change_tests.rs
+++ b/crates/pulley_core/tests/members/wide_change_tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::link_model::LinkTerms;
+use crate::link_model::LinkRates;
 use crate::wide_change::{ChangeStats, REPLICAS, WideChange};
 
 /// The time after its acceptance within which a change must be in force everywhere.
@@ -15,7 +15,7 @@
 const LONG_SHARE: f64 = 0.01;
 
 fn change_of(added_rows: usize) -> ChangeStats {
-    let entry_link = LinkTerms { rate: 175_000, callers: 87_500 };
+    let entry_link = LinkRates { rate: 175_000, callers: 87_500 };
     let change =
         WideChange { hosts: 186, entry_link, added_rows, long_queue: LONG_QUEUE, seed: 51 };
     change.run(IN_FORCE_WITHIN, IN_FORCE_WITHIN)
@@ -24,16 +24,16 @@
 fn assert_in_force(stats: &ChangeStats) {
     let (entries, replicas) = (stats.sent_by(REPLICAS..186), stats.sent_by(0..REPLICAS));
     assert_eq!(
-        stats.lacking(),
+        stats.hosts_without_version(),
         0,
         "hosts without the last version {IN_FORCE_WITHIN:?} after its acceptance; half had it after \
          {:?}; entries sent {entries:?} bytes (mean, most), replicas {replicas:?}",
-        stats.part_in_force(0.5),
+        stats.time_for_fraction(0.5),
     );
 }
 
 fn assert_links_free(stats: &ChangeStats) {
-    let (longest, share) = (stats.longest_queue(), stats.long_share());
+    let (longest, share) = (stats.longest_queue(), stats.long_queue_fraction());
     let dropped = stats.dropped();
     assert!(
         longest <= LONGEST_QUEUE && share <= LONG_SHARE,
--- a/crates/pulley_core/tests/mutated_messages.rs
+++ b/crates/pulley_core/tests/mutated_messages.rs
@@ -112,7 +112,7 @@
         .map(|number| MemberTable::new(record(number), MemberSettings::default(), 1))
         .collect();
     for table in &mut tables {
-        table.seed(address(0));
+        table.add_seed(address(0));
     }
     let mut recorded = Vec::new();
     let mut now = Moment::ZERO;
@@ -147,7 +147,7 @@
         now = now + Duration::from_millis(100);
         let _ = registries[0].announce(now, announcement(step % 7));
         if step == 20 {
-            registries[0].announce_gone(now, &announcement(3).id, None);
+            registries[0].announce_departure(now, &announcement(3).id, None);
             let departure = registries[0].departure(&announcement(3).id);
             recorded.extend(departure.map(|(_, record)| record));
         }
--- a/crates/pulley_core/tests/pool_scheduler.rs
+++ b/crates/pulley_core/tests/pool_scheduler.rs
@@ -23,7 +23,7 @@
         method: MethodMatch::Any,
         path_prefix: "/".into(),
         priority: RequestPriority(priority),
-        share: ShareFraction::from_parts(parts).expect("share"),
+        share: ShareFraction::from_basis_points(parts).expect("share"),
         reserved_slots: SlotCount(0),
         deadline: Duration::from_secs(1),
         idempotent: true,
--- a/crates/pulley_core/tests/stored_change.rs
+++ b/crates/pulley_core/tests/stored_change.rs
@@ -19,7 +19,7 @@
         method: MethodMatch::Any,
         path_prefix: "/".into(),
         priority: RequestPriority(1),
-        share: ShareFraction::from_parts(share).expect("at most the whole"),
+        share: ShareFraction::from_basis_points(share).expect("at most the whole"),
         reserved_slots: SlotCount(0),
         deadline: Duration::from_millis(100),
         idempotent: true,
--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -100,7 +100,7 @@
                 self.handle_announcement(now, announcement, reply);
             }
             ControlRequest::Gone(id, incarnation, reply) => {
-                if self.registry.announce_gone(now, &id, incarnation) {
+                if self.registry.announce_departure(now, &id, incarnation) {
                     self.confirm_departure(now, &id, incarnation, reply);
                 } else {
                     let fault = format!("no upstream {id} is known here");
@@ -108,7 +108,7 @@
                 }
             }
             ControlRequest::Seeds(seeds) => {
-                seeds.into_iter().for_each(|seed| self.members.seed(seed));
+                seeds.into_iter().for_each(|seed| self.members.add_seed(seed));
             }
             ControlRequest::ObservedDrain(id) => self.registry.observe_drain(now, &id),
             ControlRequest::Drain(id, reply) => {
--- a/crates/pulleyd/src/process/control_api.rs
+++ b/crates/pulleyd/src/process/control_api.rs
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// Returns the same faults as [`Self::announce`].
-    pub async fn announce_gone(
+    pub async fn announce_departure(
         &self,
         id: UpstreamId,
         incarnation: Option<Incarnation>,
--- a/crates/pulleyd/src/process/control_core.rs
+++ b/crates/pulleyd/src/process/control_core.rs
@@ -149,7 +149,7 @@
         let mut members = MemberTable::new(parts.own, MemberSettings::default(), parts.seed);
         let remembered = parts.directory.iter().flat_map(|directory| directory.peers.iter());
         for seed in parts.seeds.iter().chain(remembered) {
-            members.seed(*seed);
+            members.add_seed(*seed);
         }
         Self {
             members,
@@ -193,7 +193,7 @@
         for send in leases {
             self.datagram(send.to, FrameClass::Upstreams, send.body);
         }
-        let joined = self.registry.told_round();
+        let joined = self.registry.sent_round();
         let joined = joined.and_then(|round| self.follower.join_round(now, &ring, round));
         self.send_plans(joined.into_iter().collect());
         let plans = self.follower.tick(now, &ring);
@@ -390,7 +390,7 @@
         self.published = Some((inputs, now));
         if members_changed {
             self.apply_members();
-            self.inform_new_entries(now);
+            self.transfer_state_to_entries(now);
         }
         let view = self.build_view(now, standing);
         self.publish(now, view);
@@ -401,7 +401,7 @@
         let evacuated = self.follower.evacuated();
         if evacuated.revision != self.applied_zones {
             self.applied_zones = evacuated.revision;
-            self.registry.evacuate(&evacuated.zones);
+            self.registry.set_evacuated_zones(&evacuated.zones);
         }
     }
 
--- a/crates/pulleyd/src/process/control_status.rs
+++ b/crates/pulleyd/src/process/control_status.rs
@@ -106,7 +106,7 @@
             "leader": self.follower.leader(now),
             "evacuated": self.follower.evacuated().zones,
             "hosts": hosts,
-            "upstreams": self.registry.known(),
+            "upstreams": self.registry.upstream_count(),
             "replica": replica,
             "replicas": replica.as_ref().map(|status| &status.members),
             "count_age_ms": self.count_ages(now),
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -548,7 +548,7 @@
     }
 
     fn apply_addresses(&mut self) {
-        for host in self.core.members.take_moved() {
+        for host in self.core.members.take_changed_hosts() {
             match self.core.members.find(&host) {
                 Some(record) => self.links.set_address(&host, record.peer_address),
                 None => self.links.forget(&host),
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -70,13 +70,13 @@
             return;
         };
         let leader = replica.leader();
-        if self.recovery.proof.holds_at(replica.node().applied_index().0) {
+        if self.recovery.proof.is_complete_at(replica.node().applied_index().0) {
             self.recall_directory(now);
-        } else if self.recovery.proof.is_wanted() && leader.is_some() {
-            self.recovery.proof.begin_asking();
+        } else if self.recovery.proof.needs_request() && leader.is_some() {
+            self.recovery.proof.mark_requested();
             self.router.set_leader(leader);
             if !self.ask(now, ReplicaQuestion::Applied, PendingAnswer::Applied) {
-                self.recovery.proof.give_up_asking();
+                self.recovery.proof.mark_rejected();
             }
         }
     }
@@ -87,7 +87,7 @@
             ReplicaAnswer::Applied(index) => Some(index.0),
             _ => None,
         };
-        self.recovery.proof.take_answer(applied);
+        self.recovery.proof.apply_answer(applied);
         if applied.is_some() {
             self.recall_upstreams(now);
         }
@@ -106,7 +106,7 @@
         self.recovery.outcome = Some(RecallOutcome::Recalled { taken, written });
         if taken > 0 {
             self.recovery.informed_entries.clear();
-            self.inform_new_entries(now);
+            self.transfer_state_to_entries(now);
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Sends the upstreams to entries of this zone that have just started.
-    pub(super) fn inform_new_entries(&mut self, now: Moment) {
+    pub(super) fn transfer_state_to_entries(&mut self, now: Moment) {
         if self.replica.is_none() {
             return;
         }
@@ -130,7 +130,7 @@
             .collect();
         for (start, address) in &entries {
             if !self.recovery.informed_entries.contains(start) {
-                self.registry.introduce(now, *address);
+                self.registry.transfer_state(now, *address);
             }
         }
         self.recovery.informed_entries = entries.into_iter().map(|(start, _)| start).collect();
--- a/crates/pulleyd/src/request/answer_body.rs
+++ b/crates/pulleyd/src/request/answer_body.rs
@@ -68,7 +68,7 @@
 
     fn record_frame(&mut self, timer: &TimerService, frame: &Frame<Bytes>) {
         let bytes = frame.data_ref().map_or(0, |data| data.len() as u64);
-        let resume_at = self.pacer.lock().note(self.clock.now(), self.bytes_received, bytes);
+        let resume_at = self.pacer.lock().record_read(self.clock.now(), self.bytes_received, bytes);
         self.bytes_received += bytes;
         self.pause = resume_at.map(|at| timer.at(at));
     }
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -369,7 +369,7 @@
     ) -> Option<SchedulerEffects> {
         let mut state = self.state.lock();
         let is_same_plan = Arc::ptr_eq(&state.plan, plan);
-        let is_same_list = state.upstreams.is_same(&upstreams);
+        let is_same_list = state.upstreams.ptr_eq(&upstreams);
         if is_same_plan && is_same_list {
             return None;
         }
--- a/crates/pulleyd/tests/replica/large_configuration_tests.rs
+++ b/crates/pulleyd/tests/replica/large_configuration_tests.rs
@@ -89,7 +89,7 @@
         method: MethodMatch::Any,
         path_prefix: path.into(),
         priority: RequestPriority(2),
-        share: ShareFraction::from_parts(0).expect("at most the whole"),
+        share: ShareFraction::from_basis_points(0).expect("at most the whole"),
         reserved_slots: SlotCount(0),
         deadline: Duration::from_millis(800),
         idempotent: true,
