--- a/crates/pulley_core/src/connection/connection_book.rs
+++ b/crates/pulley_core/src/connection/connection_table.rs
@@ -7,9 +7,9 @@
 
 /// Number of a connection to one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkNumber(pub u64);
+pub struct ConnectionNumber(pub u64);
 
-impl fmt::Display for LinkNumber {
+impl fmt::Display for ConnectionNumber {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
@@ -17,7 +17,7 @@
 
 /// Whether a request may be sent a second time if its connection fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkSafety {
+pub enum RepeatSafety {
     /// Sending the request again does no harm.
     Repeatable,
     /// The request may be sent only once, so its connection must be known to work.
@@ -53,15 +53,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckoutChoice {
     /// Uses this idle connection.
-    Reuse(LinkNumber),
+    Reuse(ConnectionNumber),
     /// Opens a new connection, already counted under this number.
-    Open(LinkNumber),
+    Open(ConnectionNumber),
     /// Opens a new connection after closing an unproven idle one, to stay within the share.
     Replace {
         /// The idle connection to close.
-        close: LinkNumber,
+        close: ConnectionNumber,
         /// The number of the new connection.
-        open: LinkNumber,
+        open: ConnectionNumber,
     },
     /// No connection is available: this entry's share of the upstream's connections is in use.
     Full,
@@ -86,24 +86,24 @@
 
 /// The connections of one entry to one upstream.
 ///
-/// The book stays within the entry's share of the upstream's limit, and avoids connections that may
+/// The table stays within the entry's share of the upstream's limit, and avoids connections that may
 /// have gone silent. A network device between the two ends can lose track of a connection while new
 /// ones work, and a request sent over the lost one is never answered. This shows as a request that
-/// exceeds its time limit. [`Self::suspect`] then retires all idle connections that have not
+/// exceeds its time limit. [`Self::retire_unproven`] then retires all idle connections that have not
 /// answered since it was sent.
 #[derive(Clone, Debug)]
-pub struct ConnectionBook {
+pub struct ConnectionTable {
     rules: ConnectionRules,
     share: usize,
     next_number: u64,
-    links: FastMap<LinkNumber, ConnectionRecord>,
+    links: FastMap<ConnectionNumber, ConnectionRecord>,
     /// Idle connections, the most recently used last, so that surplus ones stay idle and are
     /// closed.
-    idle: Vec<LinkNumber>,
+    idle: Vec<ConnectionNumber>,
 }
 
-impl ConnectionBook {
-    /// Creates an empty book.
+impl ConnectionTable {
+    /// Creates an empty table.
     #[must_use]
     pub fn new(rules: ConnectionRules) -> Self {
         let (links, idle) = (FastMap::default(), Vec::new());
@@ -125,7 +125,7 @@
     /// Load: bursts onto few upstreams. Repeatable requests use the most recently used connection.
     /// Requests that may be sent only once use a recently proven or a new connection, because on a
     /// silent one their outcome would stay unknown.
-    pub fn checkout(&mut self, now: Moment, safety: WorkSafety) -> CheckoutChoice {
+    pub fn checkout(&mut self, now: Moment, safety: RepeatSafety) -> CheckoutChoice {
         if let Some(number) = self.take_idle(now, safety) {
             return CheckoutChoice::Reuse(number);
         }
@@ -142,20 +142,20 @@
 
     /// Counts a spare connection for the caller to open in advance, if none is idle and there are
     /// fewer than `useful` connections.
-    pub fn open_spare(&mut self, now: Moment, useful: usize) -> Option<LinkNumber> {
+    pub fn open_spare(&mut self, now: Moment, useful: usize) -> Option<ConnectionNumber> {
         let wanted = self.idle.is_empty() && self.links.len() < self.share.min(useful);
         wanted.then(|| self.open(now))
     }
 
     /// Records that an answer began or that the connection was set up, so both directions work.
-    pub fn prove(&mut self, now: Moment, number: LinkNumber) {
+    pub fn mark_proven(&mut self, now: Moment, number: ConnectionNumber) {
         if let Some(link) = self.links.get_mut(&number) {
             link.proven = now;
         }
     }
 
-    /// Returns a connection to the book after its answer was read completely.
-    pub fn put_back(&mut self, now: Moment, number: LinkNumber) -> ReturnChoice {
+    /// Returns a connection to the table after its answer was read completely.
+    pub fn check_in(&mut self, now: Moment, number: ConnectionNumber) -> ReturnChoice {
         let over_share = self.links.len() > self.share;
         let Some(link) = self.links.get_mut(&number) else { return ReturnChoice::Close };
         if over_share || now.since(link.opened) >= self.rules.age_limit {
@@ -168,7 +168,7 @@
     }
 
     /// Removes a closed connection.
-    pub fn forget(&mut self, number: LinkNumber) {
+    pub fn remove(&mut self, number: ConnectionNumber) {
         if self.links.remove(&number).is_some_and(|link| link.idle_since.is_some()) {
             self.idle.retain(|idle| *idle != number);
         }
@@ -176,13 +176,13 @@
 
     /// Retires the idle connections that have not proved to work since `sent`, the time at which a
     /// still unanswered request was sent. Returns them for closing.
-    pub fn suspect(&mut self, sent: Moment) -> Vec<LinkNumber> {
+    pub fn retire_unproven(&mut self, sent: Moment) -> Vec<ConnectionNumber> {
         self.retire_idle(|link| link.proven < sent)
     }
 
     /// Retires the idle connections that have been idle or open for too long. Returns them for
     /// closing.
-    pub fn expire(&mut self, now: Moment) -> Vec<LinkNumber> {
+    pub fn expire(&mut self, now: Moment) -> Vec<ConnectionNumber> {
         let rules = self.rules;
         self.retire_idle(|link| {
             let idle = link.idle_since.map_or(Duration::ZERO, |since| now.since(since));
@@ -192,7 +192,7 @@
 
     /// Returns the number of connections that are open or being opened.
     #[must_use]
-    pub fn open_links(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.links.len()
     }
 
@@ -202,18 +202,18 @@
         self.share
     }
 
-    fn open(&mut self, now: Moment) -> LinkNumber {
-        let number = LinkNumber(self.next_number);
+    fn open(&mut self, now: Moment) -> ConnectionNumber {
+        let number = ConnectionNumber(self.next_number);
         self.next_number += 1;
         self.links.insert(number, ConnectionRecord { opened: now, proven: now, idle_since: None });
         number
     }
 
-    fn take_idle(&mut self, now: Moment, safety: WorkSafety) -> Option<LinkNumber> {
+    fn take_idle(&mut self, now: Moment, safety: RepeatSafety) -> Option<ConnectionNumber> {
         let number = *self.idle.last()?;
         let link = self.links.get_mut(&number)?;
         let unproven = now.since(link.proven) >= self.rules.proof_limit;
-        if safety == WorkSafety::Once && unproven {
+        if safety == RepeatSafety::Once && unproven {
             // The other idle connections were used even earlier.
             return None;
         }
@@ -221,7 +221,10 @@
         self.idle.pop()
     }
 
-    fn retire_idle(&mut self, is_stale: impl Fn(&ConnectionRecord) -> bool) -> Vec<LinkNumber> {
+    fn retire_idle(
+        &mut self,
+        is_stale: impl Fn(&ConnectionRecord) -> bool,
+    ) -> Vec<ConnectionNumber> {
         let links = &self.links;
         let (stale, fresh): (Vec<_>, Vec<_>) = std::mem::take(&mut self.idle)
             .into_iter()
--- a/crates/pulley_core/src/connection/mod.rs
+++ b/crates/pulley_core/src/connection/mod.rs
@@ -1,7 +1,7 @@
 //! State that lasts as long as one connection.
 
-mod connection_book;
+mod connection_table;
 
-pub use connection_book::{
-    CheckoutChoice, ConnectionBook, ConnectionRules, LinkNumber, ReturnChoice, WorkSafety,
+pub use connection_table::{
+    CheckoutChoice, ConnectionNumber, ConnectionRules, ConnectionTable, RepeatSafety, ReturnChoice,
 };
--- a/crates/pulleyd/src/connection/caller_listener.rs
+++ b/crates/pulleyd/src/connection/caller_listener.rs
@@ -21,7 +21,7 @@
 use tokio::task::AbortHandle;
 
 use crate::process::TimerSubscription;
-use crate::request::{FirstArrival, RequestForwarder, TrafficContext, TrafficCounters};
+use crate::request::{FirstRequestFlag, RequestForwarder, TrafficContext, TrafficCounters};
 
 /// The result of binding the listener.
 type Result<T> = std::result::Result<T, io::Error>;
@@ -192,7 +192,7 @@
         let mut forwarder = RequestForwarder::new(Arc::clone(&self.context)).with_caller(peer.ip());
         if guard.open_before >= limit {
             TrafficCounters::add(&self.context.counters.callers_refused);
-            forwarder = forwarder.refusing_all();
+            forwarder = forwarder.with_all_refused();
         }
         self.spawn(stream, peer, forwarder, guard);
     }
@@ -204,7 +204,7 @@
         forwarder: RequestForwarder,
         guard: ConnectionGuard,
     ) {
-        let arrival = forwarder.arrival();
+        let flag = forwarder.first_request_flag();
         let header_timeout = self.context.header_timeout();
         let builder = server_builder(self.context.limits.header_bytes, header_timeout);
         let connection = builder.serve_connection(TokioIo::new(stream), forwarder).into_owned();
@@ -213,8 +213,7 @@
         let first_timeout = self.context.timer.after(header_timeout);
         self.tasks.spawn(async move {
             let _guard = guard;
-            if let Some(Err(fault)) =
-                with_first_request_timeout(watched, first_timeout, arrival).await
+            if let Some(Err(fault)) = with_first_request_timeout(watched, first_timeout, flag).await
             {
                 debug!(logger, "caller-connection-ended"; "peer" => %peer, "error" => %fault);
             }
@@ -225,7 +224,7 @@
         let Self { context, graceful, tasks } = self;
         let deadline = context.clock.now() + grace;
         let ended = tokio::select! {
-            drained = context.timer.limit(deadline, graceful.shutdown()) => drained.is_some(),
+            drained = context.timer.run_until(deadline, graceful.shutdown()) => drained.is_some(),
             () = cut => false,
         };
         let mut report = DrainReport::default();
@@ -249,7 +248,7 @@
 async fn with_first_request_timeout<C: Future>(
     connection: C,
     first_timeout: TimerSubscription,
-    arrival: FirstArrival,
+    flag: FirstRequestFlag,
 ) -> Option<C::Output> {
     let mut connection = pin!(connection);
     let mut first_timeout = Some(first_timeout);
@@ -257,7 +256,7 @@
         if let Poll::Ready(ended) = connection.as_mut().poll(context) {
             return Poll::Ready(Some(ended));
         }
-        if arrival.has_come() {
+        if flag.has_arrived() {
             first_timeout = None;
         }
         let Some(limit) = &mut first_timeout else { return Poll::Pending };
--- a/crates/pulleyd/src/connection/peer_datagrams.rs
+++ b/crates/pulleyd/src/connection/peer_datagrams.rs
@@ -117,7 +117,7 @@
     ///
     /// Each datagram wakes up both hosts and carries its own headers, name and tag. On a mostly
     /// idle system that overhead is larger than the messages themselves.
-    pub fn send_all(&self, to: SocketAddr, parts: &[(FrameClass, Bytes)]) {
+    pub fn send_bundle(&self, to: SocketAddr, parts: &[(FrameClass, Bytes)]) {
         let length: usize = parts.iter().map(|(_, body)| PART_HEADER_LENGTH + body.len()).sum();
         if parts.len() < 2 || length > DATAGRAM_LIMIT {
             for (class, body) in parts {
--- a/crates/pulleyd/src/connection/peer_link_settings.rs
+++ b/crates/pulleyd/src/connection/peer_link_settings.rs
@@ -17,7 +17,7 @@
     pub(crate) listen: SocketAddr,
     pub(crate) key_ring: KeyRing,
     pub(crate) bind_ip: Option<IpAddr>,
-    pub(crate) process: u64,
+    pub(crate) process_id: u64,
     pub(crate) heartbeat: Duration,
     pub(crate) idle_limit: Duration,
     pub(crate) queue_frames: usize,
@@ -34,7 +34,7 @@
             listen,
             key_ring,
             bind_ip: None,
-            process: 0,
+            process_id: 0,
             heartbeat: Duration::from_millis(500),
             idle_limit: Duration::from_secs(60),
             queue_frames: 1_024,
@@ -52,8 +52,8 @@
     /// Sets the number that distinguishes this run of the host's process from earlier and later
     /// ones.
     #[must_use]
-    pub fn with_process(mut self, process: u64) -> Self {
-        self.process = process;
+    pub fn with_process_id(mut self, process_id: u64) -> Self {
+        self.process_id = process_id;
         self
     }
 
--- a/crates/pulleyd/src/connection/peer_links.rs
+++ b/crates/pulleyd/src/connection/peer_links.rs
@@ -94,7 +94,7 @@
         let context = GateContext {
             host: settings.host.clone(),
             cluster: settings.cluster.clone(),
-            process: settings.process,
+            process: settings.process_id,
             key_ring: settings.key_ring.clone(),
             inbound,
         };
--- a/crates/pulleyd/src/connection/peer_outbound_link.rs
+++ b/crates/pulleyd/src/connection/peer_outbound_link.rs
@@ -199,7 +199,7 @@
             challenge.get()?.get_nonce()?.try_into().map_err(|_| LinkEnd::PeerMismatch)?;
         let nonces = LinkNonces { initiator: rand::random(), responder };
         let (cluster, host, process) =
-            (&settings.cluster, settings.host.as_str(), settings.process);
+            (&settings.cluster, settings.host.as_str(), settings.process_id);
         let ours = LinkProof { role: HandshakeRole::Initiator, cluster, host, process, nonces };
         let mut request = gate.enter_request();
         let mut hello = request.get().init_hello();
--- a/crates/pulleyd/src/connection/upstream_connections.rs
+++ b/crates/pulleyd/src/connection/upstream_connections.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use pulley_core::connection::WorkSafety;
+use pulley_core::connection::RepeatSafety;
 use pulley_core::process::{FastMap, UpstreamRecord};
 use pulley_core::{Moment, UpstreamId};
 
@@ -27,7 +27,7 @@
     /// The address the upstream listens on.
     pub address: SocketAddr,
     /// Whether the caller's request may be sent again.
-    pub safety: WorkSafety,
+    pub safety: RepeatSafety,
     /// The time after which the connection is no longer needed.
     pub deadline: Moment,
 }
@@ -60,8 +60,8 @@
 
     /// Returns the number of connections to all upstreams that are open or being opened.
     #[must_use]
-    pub fn open_links(&self) -> usize {
-        self.upstreams.load().values().map(|links| links.open_links()).sum()
+    pub fn open_connections(&self) -> usize {
+        self.upstreams.load().values().map(|links| links.open_connections()).sum()
     }
 
     /// Closes expired idle connections, applies the view's limits and opens spare connections, once
--- a/crates/pulleyd/src/connection/upstream_link.rs
+++ b/crates/pulleyd/src/connection/upstream_link.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
-use pulley_core::connection::LinkNumber;
+use pulley_core::connection::ConnectionNumber;
 use pulley_core::{Moment, RequestVerdict};
 use thiserror::Error;
 use tokio::sync::Notify;
@@ -126,7 +126,7 @@
         async move {
             match answer_until_ended(sending, &registration.ended).await {
                 Some(Ok(response)) => {
-                    registration.prove();
+                    registration.mark_proven();
                     Ok((response, UpstreamLink { sender, registration, _state: Answering }))
                 }
                 Some(Err(fault)) => {
@@ -173,31 +173,31 @@
 
     /// Returns the link to the idle connections, unused.
     pub fn give_back(self) {
-        put_back(self.sender, self.registration);
+        check_in(self.sender, self.registration);
     }
 }
 
 impl UpstreamLink<Answering> {
     /// Returns the link to the idle connections, after the whole answer has been read.
     pub fn give_back(self) {
-        put_back(self.sender, self.registration);
+        check_in(self.sender, self.registration);
     }
 }
 
-fn put_back(sender: http1::SendRequest<RequestBody>, registration: LinkRegistration) {
+fn check_in(sender: http1::SendRequest<RequestBody>, registration: LinkRegistration) {
     let links = Arc::clone(&registration.links);
     if sender.is_ready() || sender.is_closed() {
-        links.put_back(sender, registration);
+        links.check_in(sender, registration);
         return;
     }
-    links.put_back_when_ready(sender, registration);
+    links.check_in_when_ready(sender, registration);
 }
 
-/// A connection's registration in its upstream's book. Dropping it closes the connection.
+/// A connection's registration in its upstream's table. Dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct LinkRegistration {
     pub(super) links: Arc<UpstreamLinks>,
-    pub(super) number: LinkNumber,
+    pub(super) number: ConnectionNumber,
     pub(super) meter: LinkMeter,
     pub(super) driver: Option<AbortHandle>,
     /// Notified once the connection's task has ended.
@@ -205,12 +205,12 @@
 }
 
 impl LinkRegistration {
-    pub(super) fn new(links: Arc<UpstreamLinks>, number: LinkNumber) -> Self {
+    pub(super) fn new(links: Arc<UpstreamLinks>, number: ConnectionNumber) -> Self {
         Self { links, number, meter: LinkMeter::default(), driver: None, ended: Arc::default() }
     }
 
-    fn prove(&self) {
-        self.links.prove(self.number);
+    fn mark_proven(&self) {
+        self.links.mark_proven(self.number);
     }
 }
 
@@ -220,7 +220,7 @@
         if let Some(driver) = &self.driver {
             driver.abort();
         }
-        self.links.forget(self.number);
+        self.links.remove(self.number);
     }
 }
 
@@ -245,7 +245,7 @@
 impl SendRecord {
     /// Reports that the request is still unanswered after its time limit. Its connection may have
     /// gone silent, so idle connections that have not answered since it was sent are closed.
-    pub fn suspect(&self) {
-        self.links.suspect(self.sent);
+    pub fn retire_unproven(&self) {
+        self.links.retire_unproven(self.sent);
     }
 }
--- a/crates/pulleyd/src/connection/upstream_links.rs
+++ b/crates/pulleyd/src/connection/upstream_links.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use pulley_core::Moment;
 use pulley_core::connection::{
-    CheckoutChoice, ConnectionBook, ConnectionRules, LinkNumber, ReturnChoice, WorkSafety,
+    CheckoutChoice, ConnectionNumber, ConnectionRules, ConnectionTable, RepeatSafety, ReturnChoice,
 };
 use pulley_core::process::FastMap;
 use socket2::{SockRef, TcpKeepalive};
@@ -67,8 +67,8 @@
 
 #[derive(Debug)]
 struct LinksState {
-    book: ConnectionBook,
-    idle: FastMap<LinkNumber, IdleLink>,
+    table: ConnectionTable,
+    idle: FastMap<ConnectionNumber, IdleLink>,
     /// Maximum number of connections that are useful at the same time.
     useful: usize,
     last_used: Moment,
@@ -87,7 +87,7 @@
 impl UpstreamLinks {
     pub(super) fn new(address: SocketAddr, clock: ProcessClock, timer: TimerService) -> Self {
         let state = LinksState {
-            book: ConnectionBook::new(ConnectionRules::default()),
+            table: ConnectionTable::new(ConnectionRules::default()),
             idle: FastMap::default(),
             useful: 1,
             last_used: Moment::ZERO,
@@ -100,14 +100,14 @@
     /// time.
     pub(super) fn set_share(&self, connections: u32, live_entries: u32, useful: usize) {
         let mut state = self.state.lock();
-        state.book.set_share(connections, live_entries);
+        state.table.set_share(connections, live_entries);
         state.useful = useful;
     }
 
     /// Takes an idle connection or opens a new one.
     pub(super) async fn checkout(
         self: &Arc<Self>,
-        safety: WorkSafety,
+        safety: RepeatSafety,
         deadline: Moment,
     ) -> Result<UpstreamLink<Unused>> {
         loop {
@@ -125,7 +125,7 @@
                 self.connect_spare(spare);
             }
             let Some(idle) = reused else {
-                self.forget(number);
+                self.remove(number);
                 continue;
             };
             // A connection that closed while idle accepts no request, so the next one is tried.
@@ -142,21 +142,21 @@
         let number = {
             let mut state = self.state.lock();
             let useful = state.useful;
-            state.book.open_spare(self.clock.now(), useful)
+            state.table.open_spare(self.clock.now(), useful)
         };
         if let Some(number) = number {
             self.connect_spare(number);
         }
     }
 
-    fn connect_spare(self: &Arc<Self>, number: LinkNumber) {
+    fn connect_spare(self: &Arc<Self>, number: ConnectionNumber) {
         let registration = LinkRegistration::new(Arc::clone(self), number);
         let links = Arc::clone(self);
         tokio::spawn(async move {
             let deadline = links.clock.now() + CONNECT_TIMEOUT;
             if let Ok(link) = links.connect(registration, deadline).await {
                 let UpstreamLink { sender, registration, .. } = link;
-                links.put_back(sender, registration);
+                links.check_in(sender, registration);
             }
         });
     }
@@ -166,13 +166,13 @@
         self.clock.now().since(self.state.lock().last_used) <= SPARE_SPAN
     }
 
-    pub(super) fn put_back(&self, sender: RequestSender, registration: LinkRegistration) {
+    pub(super) fn check_in(&self, sender: RequestSender, registration: LinkRegistration) {
         let surplus = {
             let mut state = self.state.lock();
             let number = registration.number;
             let closed = state.closed || sender.is_closed();
             let idle = IdleLink { sender, registration };
-            if closed || state.book.put_back(self.clock.now(), number) == ReturnChoice::Close {
+            if closed || state.table.check_in(self.clock.now(), number) == ReturnChoice::Close {
                 Some(idle)
             } else {
                 state.idle.insert(number, idle)
@@ -187,34 +187,34 @@
     /// If the connection were returned at once, the next request would wait for that task. On a
     /// busy machine this takes longer than opening a new connection, while other idle ones are
     /// ready.
-    pub(super) fn put_back_when_ready(
+    pub(super) fn check_in_when_ready(
         self: Arc<Self>,
         mut sender: RequestSender,
         registration: LinkRegistration,
     ) {
         tokio::spawn(async move {
             let limit = self.clock.now() + READY_TIMEOUT;
-            if let Some(Ok(())) = self.timer.limit(limit, sender.ready()).await {
-                self.put_back(sender, registration);
+            if let Some(Ok(())) = self.timer.run_until(limit, sender.ready()).await {
+                self.check_in(sender, registration);
             }
         });
     }
 
-    pub(super) fn prove(&self, number: LinkNumber) {
-        self.state.lock().book.prove(self.clock.now(), number);
+    pub(super) fn mark_proven(&self, number: ConnectionNumber) {
+        self.state.lock().table.mark_proven(self.clock.now(), number);
     }
 
-    pub(super) fn forget(&self, number: LinkNumber) {
-        self.state.lock().book.forget(number);
+    pub(super) fn remove(&self, number: ConnectionNumber) {
+        self.state.lock().table.remove(number);
     }
 
-    pub(super) fn suspect(&self, sent: Moment) {
-        self.close_idle(|book| book.suspect(sent));
+    pub(super) fn retire_unproven(&self, sent: Moment) {
+        self.close_idle(|table| table.retire_unproven(sent));
     }
 
     pub(super) fn expire(&self) {
         let now = self.clock.now();
-        self.close_idle(|book| book.expire(now));
+        self.close_idle(|table| table.expire(now));
     }
 
     /// Closes all idle connections, because the upstream is gone or has moved.
@@ -235,18 +235,21 @@
         self.address
     }
 
-    pub(super) fn open_links(&self) -> usize {
-        self.state.lock().book.open_links()
+    pub(super) fn open_connections(&self) -> usize {
+        self.state.lock().table.open_connections()
     }
 
     /// Chooses a connection. Also returns the idle connection that the choice removes, and the
     /// number of a spare connection to open.
-    fn choose(&self, safety: WorkSafety) -> (CheckoutChoice, Option<IdleLink>, Option<LinkNumber>) {
+    fn choose(
+        &self,
+        safety: RepeatSafety,
+    ) -> (CheckoutChoice, Option<IdleLink>, Option<ConnectionNumber>) {
         let mut state = self.state.lock();
         let now = self.clock.now();
         let was_used_recently = now.since(state.last_used) <= SPARE_SPAN;
         state.last_used = now;
-        let choice = state.book.checkout(now, safety);
+        let choice = state.table.checkout(now, safety);
         let removed = match choice {
             CheckoutChoice::Reuse(number) => state.idle.remove(&number),
             CheckoutChoice::Replace { close, .. } => state.idle.remove(&close),
@@ -254,14 +257,14 @@
         };
         let is_reuse = matches!(choice, CheckoutChoice::Reuse(_));
         let useful = if is_reuse && was_used_recently { state.useful } else { 0 };
-        let spare = state.book.open_spare(now, useful);
+        let spare = state.table.open_spare(now, useful);
         (choice, removed, spare)
     }
 
-    fn close_idle(&self, choose: impl FnOnce(&mut ConnectionBook) -> Vec<LinkNumber>) {
+    fn close_idle(&self, choose: impl FnOnce(&mut ConnectionTable) -> Vec<ConnectionNumber>) {
         let closed: Vec<_> = {
             let mut state = self.state.lock();
-            let numbers = choose(&mut state.book);
+            let numbers = choose(&mut state.table);
             numbers.iter().filter_map(|number| state.idle.remove(number)).collect()
         };
         drop(closed);
@@ -273,7 +276,7 @@
         deadline: Moment,
     ) -> Result<UpstreamLink<Unused>> {
         let limit = deadline.min(self.clock.now() + CONNECT_TIMEOUT);
-        let connected = self.timer.limit(limit, TcpStream::connect(self.address)).await;
+        let connected = self.timer.run_until(limit, TcpStream::connect(self.address)).await;
         let stream = connected.ok_or(LinkFault::ConnectTimeout)?.map_err(LinkFault::Unreachable)?;
         set_options(&stream).map_err(LinkFault::Unreachable)?;
         let stream = TokioIo::new(MeteredStream::new(stream, registration.meter.clone()));
@@ -293,7 +296,7 @@
             }
         });
         registration.driver = Some(driver.abort_handle());
-        self.prove(number);
+        self.mark_proven(number);
         Ok(UpstreamLink::new(sender, registration))
     }
 }
--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -99,7 +99,7 @@
             ControlRequest::Announce(announcement, reply) => {
                 self.handle_announcement(now, announcement, reply);
             }
-            ControlRequest::Gone(id, incarnation, reply) => {
+            ControlRequest::UpstreamLeft(id, incarnation, reply) => {
                 if self.registry.announce_departure(now, &id, incarnation) {
                     self.confirm_departure(now, &id, incarnation, reply);
                 } else {
--- a/crates/pulleyd/src/process/control_api.rs
+++ b/crates/pulleyd/src/process/control_api.rs
@@ -57,7 +57,8 @@
         id: UpstreamId,
         incarnation: Option<Incarnation>,
     ) -> Result<()> {
-        with_timeout(self.control.ask(|reply| ControlRequest::Gone(id, incarnation, reply))).await?
+        with_timeout(self.control.ask(|reply| ControlRequest::UpstreamLeft(id, incarnation, reply)))
+            .await?
     }
 
     /// Puts a configuration in force. After the answer `Unknown` it may be sent again.
--- a/crates/pulleyd/src/process/control_handle.rs
+++ b/crates/pulleyd/src/process/control_handle.rs
@@ -46,7 +46,7 @@
     /// An upstream's announcement.
     Announce(Announcement, oneshot::Sender<Result<()>>),
     /// An upstream has left. Holds the incarnation that left, if the upstream names it.
-    Gone(pulley_core::UpstreamId, Option<Incarnation>, oneshot::Sender<Result<()>>),
+    UpstreamLeft(pulley_core::UpstreamId, Option<Incarnation>, oneshot::Sender<Result<()>>),
     /// Adds addresses of other hosts to the seeds.
     Seeds(Vec<SocketAddr>),
     /// An upstream said in an answer that it drains.
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -281,7 +281,7 @@
     let listen = settings.peers_listen;
     let mut link_settings =
         LinkSettings::new(host.clone(), cluster.clone(), listen, key_ring.clone())
-            .with_process(rand::random());
+            .with_process_id(rand::random());
     let own: IpAddr = settings.own_address();
     if !own.is_unspecified() {
         link_settings = link_settings.with_bind_ip(own);
@@ -373,7 +373,7 @@
                     while let Some(part) = take_same(&mut outputs, to) {
                         parts.push(part);
                     }
-                    self.datagrams.send_all(to, &parts);
+                    self.datagrams.send_bundle(to, &parts);
                 }
                 ControlOutput::Persist(batch) => outputs.extend(self.persist(batch)),
                 ControlOutput::ReadAudit(read) => outputs.extend(self.read_audit(read)),
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -102,7 +102,7 @@
     /// Returns the fault that prevented the start. Nothing runs then.
     pub fn start(settings: DaemonSettings, logger: Logger) -> DaemonResult<Self> {
         let key_ring = KeyRing::load(&settings.secret_file)?;
-        Self::start_with(settings, DaemonProtocol::default(), key_ring, logger)
+        Self::start_with_protocol(settings, DaemonProtocol::default(), key_ring, logger)
     }
 
     /// Starts a daemon like [`Self::start`], with another protocol than its own towards callers,
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Returns the fault that prevented the start. Nothing runs then.
-    pub fn start_with(
+    pub fn start_with_protocol(
         settings: DaemonSettings,
         protocol: DaemonProtocol,
         key_ring: KeyRing,
--- a/crates/pulleyd/src/process/timer_service.rs
+++ b/crates/pulleyd/src/process/timer_service.rs
@@ -89,7 +89,7 @@
 
     /// Runs a future until it completes or the deadline passes. Returns `None` if the deadline
     /// passes first, which drops the future.
-    pub async fn limit<T>(&self, deadline: Moment, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn run_until<T>(&self, deadline: Moment, work: impl Future<Output = T>) -> Option<T> {
         match select(pin!(work), self.at(deadline)).await {
             Either::Left((done, _)) => Some(done),
             Either::Right(_) => None,
--- a/crates/pulleyd/src/request/answer_metadata.rs
+++ b/crates/pulleyd/src/request/answer_metadata.rs
@@ -57,16 +57,18 @@
             dialect.expected_upstream.is_some() && status == StatusCode::MISDIRECTED_REQUEST;
         let is_shed = is_misdirected || declares_not_run(status, headers, dialect);
         let mut report = take_report(headers, dialect, counters);
-        if dialect.load_counts_own && !is_shed {
+        if dialect.load_includes_answered && !is_shed {
             report = report.map(LoadReport::without_answered_request);
         }
         let metadata = Self {
             is_shed,
-            retried_downstream: dialect.own_headers && headers.contains_key(CAUSE_HEADER),
+            retried_downstream: dialect.sends_system_headers && headers.contains_key(CAUSE_HEADER),
             is_draining: headers.get(DRAINING_HEADER).is_some_and(|value| value == "true"),
             report,
             retry_after: retry_after(headers, dialect),
-            is_unconfirmed_not_run: !is_shed && !dialect.own_headers && implies_not_run(status),
+            is_unconfirmed_not_run: !is_shed
+                && !dialect.sends_system_headers
+                && implies_not_run(status),
         };
         strip_hop_by_hop(headers);
         strip_own_headers(headers);
@@ -114,6 +116,6 @@
     let reported = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     // Callers that read fractions of a second need not wait a whole second if one upstream shed the
     // request: others may be free.
-    let default = if dialect.own_headers { RETRY_AFTER_DEFAULT } else { SHED_RETRY };
+    let default = if dialect.sends_system_headers { RETRY_AFTER_DEFAULT } else { SHED_RETRY };
     reported.unwrap_or(default).min(RETRY_AFTER_LIMIT)
 }
--- a/crates/pulleyd/src/request/arrival_probing.rs
+++ b/crates/pulleyd/src/request/arrival_probing.rs
@@ -7,7 +7,7 @@
 use futures::stream::FuturesUnordered;
 use http::header::{HOST, HeaderValue};
 use http::{Method, Request, Uri};
-use pulley_core::connection::WorkSafety;
+use pulley_core::connection::RepeatSafety;
 use pulley_core::request::{
     LoadReport, ProbeQuery, ProbeReach, ProbeReading, ProbeTarget, RequestTicket,
 };
@@ -157,12 +157,12 @@
                 async move {
                     let end = now + PROBE_TIMEOUT;
                     let reply = probe_one(&context, &path, &target, end);
-                    let answer = context.timer.limit(end, reply).await.flatten();
+                    let answer = context.timer.run_until(end, reply).await.flatten();
                     (target.upstream, answer)
                 }
             })
             .collect();
-        while let Some(answer) = context.timer.limit(limit, pending.next()).await {
+        while let Some(answer) = context.timer.run_until(limit, pending.next()).await {
             let Some((upstream, answer)) = answer else { break };
             let Some((report, link)) = answer else {
                 self.unanswered += 1;
@@ -210,13 +210,13 @@
     let request = LinkRequest {
         upstream: &target.upstream,
         address: target.address,
-        safety: WorkSafety::Repeatable,
+        safety: RepeatSafety::Repeatable,
         deadline,
     };
     let link = context.connections.checkout(request).await.ok()?;
     let (parts, link) = link.probe(probe_request(context, path, target)?).await?;
     let dialect = &context.dialect;
-    if let Some(name) = &dialect.instance {
+    if let Some(name) = &dialect.upstream_id {
         let is_expected = parts.headers.get(name).is_some_and(|id| id == target.upstream.as_str());
         if !is_expected {
             return None;
--- a/crates/pulleyd/src/request/call_terms.rs
+++ b/crates/pulleyd/src/request/call_terms.rs
@@ -68,7 +68,7 @@
         let left = self.deadline.since(now).as_millis();
         let left = u64::try_from(left).unwrap_or(u64::MAX);
         headers.insert(&dialect.deadline, HeaderValue::from(left));
-        if !dialect.own_headers {
+        if !dialect.sends_system_headers {
             return;
         }
         let attempt = self.earlier_attempts.saturating_add(attempt);
--- a/crates/pulleyd/src/request/header_dialect.rs
+++ b/crates/pulleyd/src/request/header_dialect.rs
@@ -24,15 +24,15 @@
     /// On requests, in both directions: the caller's request id, used in logs.
     pub request_id: HeaderName,
     /// Whether upstreams repeat the request id in their responses.
-    pub echoes_id: bool,
+    pub echoes_request_id: bool,
     /// On requests to upstreams: the id of the intended upstream; any other upstream answers 421.
     pub expected_upstream: Option<HeaderName>,
     /// On an upstream's probe answers: its id.
-    pub instance: Option<HeaderName>,
+    pub upstream_id: Option<HeaderName>,
     /// On an upstream's responses: its presence means that the request was not run.
     pub not_run: Option<HeaderName>,
     /// On an upstream's responses: without it, a success does not come from the upstream itself.
-    pub proof: Option<HeaderName>,
+    pub answer_signature: Option<HeaderName>,
     /// On an upstream's probe answers: milliseconds for which it is still cold. If the header is
     /// missing, the upstream has warmed up.
     pub cold_left: Option<HeaderName>,
@@ -42,10 +42,10 @@
     pub read_load: LoadReader,
     /// Whether the load on a response still counts that request, which has ended once the response
     /// is here. The load on a probe answer never counts the probe.
-    pub load_counts_own: bool,
+    pub load_includes_answered: bool,
     /// Whether the system's own headers (verdict, cause, attempt, priority) are used. Without them
     /// the status alone has to say whether a request has run.
-    pub own_headers: bool,
+    pub sends_system_headers: bool,
 }
 
 impl HeaderDialect {
@@ -70,16 +70,16 @@
         Self {
             deadline: DEADLINE_HEADER,
             request_id: REQUEST_ID_HEADER,
-            echoes_id: false,
+            echoes_request_id: false,
             expected_upstream: None,
-            instance: None,
+            upstream_id: None,
             not_run: None,
-            proof: None,
+            answer_signature: None,
             cold_left: None,
             load: LOAD_HEADER,
             read_load: read_load_report,
-            load_counts_own: false,
-            own_headers: true,
+            load_includes_answered: false,
+            sends_system_headers: true,
         }
     }
 }
--- a/crates/pulleyd/src/request/mod.rs
+++ b/crates/pulleyd/src/request/mod.rs
@@ -33,7 +33,7 @@
     PRIORITY_HEADER, REQUEST_ID_HEADER, VERDICT_HEADER,
 };
 pub use request_body::{BodyCursor, BodySource, RequestBody, RequestFault};
-pub(crate) use request_forwarder::FirstArrival;
+pub(crate) use request_forwarder::FirstRequestFlag;
 pub use request_forwarder::{ForwardFuture, RequestForwarder};
 pub use scheduler_set::{Placement, SchedulerSet};
 pub use system_answer::SystemAnswer;
--- a/crates/pulleyd/src/request/request_attempt.rs
+++ b/crates/pulleyd/src/request/request_attempt.rs
@@ -9,7 +9,7 @@
 use http::uri::{PathAndQuery, Uri};
 use http::{Request, Response, Version};
 use hyper::body::Incoming;
-use pulley_core::connection::WorkSafety;
+use pulley_core::connection::RepeatSafety;
 use pulley_core::request::{AttemptOutcome, ProbeReach, RequestTicket};
 use pulley_core::version::AnswerSize;
 use pulley_core::{Moment, RefusalCause, RequestVerdict, UpstreamId};
@@ -205,10 +205,10 @@
         self.record_sending(SentAttempt { at: self.context.clock.now(), record: record.clone() });
         let sending = pin!(link.send(request));
         let timer = self.context.timer.clone();
-        if let Some(sent) = timer.limit(self.terms.deadline, sending).await {
+        if let Some(sent) = timer.run_until(self.terms.deadline, sending).await {
             return Ok(sent);
         }
-        record.suspect();
+        record.retire_unproven();
         let has_sent = meter.seal();
         let verdict = if has_sent { RequestVerdict::MayHaveRun } else { RequestVerdict::NotRun };
         Err(AttemptFault::timed_out(verdict))
@@ -247,15 +247,17 @@
     fn is_genuine_answer(&self, response: &Response<Incoming>) -> bool {
         let dialect = &self.context.dialect;
         let name = &dialect.request_id;
-        if dialect.echoes_id
+        if dialect.echoes_request_id
             && let Some(sent_id) = self.parts.headers.get(name)
             && response.headers().get(name) != Some(sent_id)
         {
             return false;
         }
-        let lacks_proof =
-            dialect.proof.as_ref().is_some_and(|name| !response.headers().contains_key(name));
-        !(lacks_proof && response.status().is_success())
+        let lacks_signature = dialect
+            .answer_signature
+            .as_ref()
+            .is_some_and(|name| !response.headers().contains_key(name));
+        !(lacks_signature && response.status().is_success())
     }
 
     fn answer(
@@ -272,8 +274,8 @@
         response.map(|body| UpstreamAnswer { body, attempt, link, outcome, timer, pacing })
     }
 
-    fn safety(&self) -> WorkSafety {
-        if self.row().idempotent { WorkSafety::Repeatable } else { WorkSafety::Once }
+    fn safety(&self) -> RepeatSafety {
+        if self.row().idempotent { RepeatSafety::Repeatable } else { RepeatSafety::Once }
     }
 
     fn link_fault(&self, fault: &LinkFault) -> AttemptFault {
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -59,16 +59,16 @@
     context: Arc<TrafficContext>,
     caller: Option<IpAddr>,
     refuses_all: bool,
-    arrival: FirstArrival,
+    first_request: FirstRequestFlag,
 }
 
 /// Records whether a connection has received a request yet.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FirstArrival(Arc<AtomicBool>);
+pub(crate) struct FirstRequestFlag(Arc<AtomicBool>);
 
-impl FirstArrival {
+impl FirstRequestFlag {
     /// Whether a request has arrived.
-    pub(crate) fn has_come(&self) -> bool {
+    pub(crate) fn has_arrived(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
@@ -91,7 +91,12 @@
     /// Creates a forwarder over the context that all requests share.
     #[must_use]
     pub fn new(context: Arc<TrafficContext>) -> Self {
-        Self { context, caller: None, refuses_all: false, arrival: FirstArrival::default() }
+        Self {
+            context,
+            caller: None,
+            refuses_all: false,
+            first_request: FirstRequestFlag::default(),
+        }
     }
 
     /// Sets the caller whose connection it serves.
@@ -103,14 +108,14 @@
 
     /// Refuses every request as not run, because the process is at its connection limit.
     #[must_use]
-    pub(crate) const fn refusing_all(mut self) -> Self {
+    pub(crate) const fn with_all_refused(mut self) -> Self {
         self.refuses_all = true;
         self
     }
 
     /// Returns the flag that shows whether the connection has received a request yet.
-    pub(crate) fn arrival(&self) -> FirstArrival {
-        self.arrival.clone()
+    pub(crate) fn first_request_flag(&self) -> FirstRequestFlag {
+        self.first_request.clone()
     }
 
     /// Forwards one request and answers it; on a host that has just started, once it is ready.
@@ -177,7 +182,7 @@
     }
 
     fn accept(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
-        self.arrival.note();
+        self.first_request.note();
         let permit = self.acquire_permit()?;
         let admitted = self.admit(request, arrived)?;
         let row = admitted.kind.row();
@@ -323,7 +328,7 @@
 ) -> Result<Response<AnswerBody>> {
     let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
     let gathering = BodySource::gather(body, context.limits.keyed_bytes);
-    let gathered = context.timer.limit(terms.deadline, gathering).await;
+    let gathered = context.timer.run_until(terms.deadline, gathering).await;
     let (body, data) = match gathered {
         Some(Ok(gathered)) => gathered,
         Some(Err(fault)) => return Err(gather_fault_answer(&fault)),
--- a/crates/pulleyd/src/request/request_run.rs
+++ b/crates/pulleyd/src/request/request_run.rs
@@ -198,7 +198,7 @@
         let first = self.attempt(self.ticket(1)?);
         let Some(at) = self.second_attempt_at() else { return first.await };
         let mut first = pin!(first);
-        if let Some(done) = self.context.timer.limit(at, first.as_mut()).await {
+        if let Some(done) = self.context.timer.run_until(at, first.as_mut()).await {
             return done;
         }
         self.suspect_idle_connections();
@@ -272,7 +272,7 @@
     fn suspect_idle_connections(&self) {
         let sent = self.progress.lock().sent.clone();
         if let Some(sent) = sent {
-            sent.record.suspect();
+            sent.record.retire_unproven();
         }
     }
 
--- a/crates/pulleyd/src/request/system_answer.rs
+++ b/crates/pulleyd/src/request/system_answer.rs
@@ -60,10 +60,10 @@
         let text = format!("verdict={} cause={}\n", self.verdict, self.cause);
         let mut response = Response::new(AnswerBody::from_bytes(text.into()));
         *response.status_mut() =
-            if dialect.own_headers { self.status } else { self.status_without_verdict() };
+            if dialect.sends_system_headers { self.status } else { self.status_without_verdict() };
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if !dialect.own_headers {
+        if !dialect.sends_system_headers {
             self.insert_fractional_retry_after(headers);
             return response;
         }
--- a/crates/pulleyd/tests/peer_links.rs
+++ b/crates/pulleyd/tests/peer_links.rs
@@ -379,8 +379,8 @@
         (FrameClass::Configuration, Bytes::from_static(b"version")),
     ];
     let large = [small[0].clone(), (FrameClass::Membership, Bytes::from(vec![7; DATAGRAM_LIMIT]))];
-    one.send_all(to, &small);
-    one.send_all(to, &large);
+    one.send_bundle(to, &small);
+    one.send_bundle(to, &large);
     for (class, body) in small.iter().chain(&large) {
         let next = timeout(TEST_TIMEOUT, datagrams.recv()).await.unwrap().unwrap();
         assert_eq!((next.sender, next.class, next.body), (host("one"), *class, body.clone()));
--- a/crates/pulleyd/tests/request_behind.rs
+++ b/crates/pulleyd/tests/request_behind.rs
@@ -56,7 +56,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_behind_asks_callers_back_within_a_part_of_their_deadline() {
     let upstream = FakeUpstream::healthy("done").await;
-    let dialect = HeaderDialect { own_headers: false, ..HeaderDialect::default() };
+    let dialect = HeaderDialect { sends_system_headers: false, ..HeaderDialect::default() };
     let entry = EntryBuilder::new().dialect(dialect).start(&[&upstream]).await;
     set_awaited(&entry, Some(8));
     let answer = entry.post("/ticket", "x").await;
--- a/crates/pulleyd/tests/request_dialect.rs
+++ b/crates/pulleyd/tests/request_dialect.rs
@@ -12,12 +12,12 @@
 
 fn dialect() -> HeaderDialect {
     HeaderDialect {
-        echoes_id: true,
+        echoes_request_id: true,
         expected_upstream: Some(HeaderName::from_static("x-meant")),
-        instance: Some(HeaderName::from_static("x-instance")),
+        upstream_id: Some(HeaderName::from_static("x-instance")),
         not_run: Some(HeaderName::from_static("x-not-run")),
-        proof: Some(HeaderName::from_static("x-proof")),
-        own_headers: false,
+        answer_signature: Some(HeaderName::from_static("x-proof")),
+        sends_system_headers: false,
         ..HeaderDialect::default()
     }
 }
--- a/crates/pulleyd/tests/request_path.rs
+++ b/crates/pulleyd/tests/request_path.rs
@@ -96,7 +96,7 @@
     let refused = answers.iter().filter(|answer| answer.summary().ends_with(" not-run")).count();
     assert_eq!(ran + refused, 60);
     assert_eq!(upstream.runs(), ran);
-    assert!(ran > 0 && entry.context.connections.open_links() <= 3);
+    assert!(ran > 0 && entry.context.connections.open_connections() <= 3);
     let open = || upstream.connections() - upstream.ended();
     eventually("surplus connections are closed", || open() <= 3).await;
 }
--- a/crates/pulleyd/tests/timer_service.rs
+++ b/crates/pulleyd/tests/timer_service.rs
@@ -52,7 +52,7 @@
     }
     let timer = start();
     let deadline = timer.now() + Duration::from_secs(600);
-    assert_eq!(timer.limit(deadline, async { 7 }).await, Some(7));
+    assert_eq!(timer.run_until(deadline, async { 7 }).await, Some(7));
 
     let dropped = Arc::new(AtomicUsize::new(0));
     let counter = DropCounter(Arc::clone(&dropped));
@@ -61,6 +61,6 @@
         std::future::pending::<()>().await;
     };
     let deadline = timer.now() + Duration::from_millis(10);
-    assert_eq!(timer.limit(deadline, endless).await, None);
+    assert_eq!(timer.run_until(deadline, endless).await, None);
     assert_eq!(dropped.load(Ordering::SeqCst), 1);
 }
