--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -317,7 +317,7 @@
             avoid: Vec::new(),
         });
         let place = entry * self.deployment.pools.len() + pool;
-        self.budgets[place].note_request();
+        self.budgets[place].record_request();
         self.calls.len() - 1
     }
 
--- a/crates/pulley_core/src/process/registry/recall_proof.rs
+++ b/crates/pulley_core/src/process/registry/recall_proof.rs
@@ -20,13 +20,13 @@
         self == Self::NotAsked
     }
 
-    /// Notes that the question is about to be sent. The answer may arrive before the sending call
+    /// Records that the question is about to be sent. The answer may arrive before the sending call
     /// returns.
     pub fn mark_requested(&mut self) {
         *self = Self::Asked;
     }
 
-    /// Notes that the question was rejected because too many are already waiting.
+    /// Records that the question was rejected because too many are already waiting.
     ///
     /// If it still counted as asked, the replica would wait for an answer that never comes until it
     /// is too late to recall. Entries would then know only those upstreams that have announced
--- a/crates/pulley_core/src/process/registry/upstream_registry.rs
+++ b/crates/pulley_core/src/process/registry/upstream_registry.rs
@@ -296,7 +296,7 @@
         outcome
     }
 
-    /// Notes the departure that an upstream announced itself. Returns whether the upstream is
+    /// Records the departure that an upstream announced itself. Returns whether the upstream is
     /// known.
     ///
     /// The message may have been delayed while the upstream restarted under the same id. If an
@@ -344,7 +344,7 @@
         self.departures.push(aged);
     }
 
-    /// Notes that an upstream announced in a reply that it drains. This takes effect at once, for
+    /// Records that an upstream announced in a reply that it drains. This takes effect at once, for
     /// this incarnation.
     pub fn observe_drain(&mut self, now: Moment, id: &UpstreamId) {
         // A drain is not needed for an upstream that is no longer known.
--- a/crates/pulley_core/src/request/arrival_probes.rs
+++ b/crates/pulley_core/src/request/arrival_probes.rs
@@ -150,7 +150,7 @@
     }
 
     /// Learns from an answer that took a last slot and `times` usual answer times.
-    pub(crate) fn note(&mut self, times: f32) {
+    pub(crate) fn record(&mut self, times: f32) {
         self.answers = (self.answers + 1.0).min(1.0 / ANSWER_WEIGHT);
         let sample = (times - 1.0).clamp(-1.0, 2.0);
         self.cost += (sample - self.cost) / self.answers;
--- a/crates/pulley_core/src/request/busy_period.rs
+++ b/crates/pulley_core/src/request/busy_period.rs
@@ -28,7 +28,7 @@
 
 impl BusyPeriod {
     /// Records that a request found no room. Returns its retry delay, which is at least `soonest`.
-    pub(crate) fn note_refusal(
+    pub(crate) fn record_refusal(
         &mut self,
         now: Moment,
         soonest: Duration,
--- a/crates/pulley_core/src/request/cold_rate_limit.rs
+++ b/crates/pulley_core/src/request/cold_rate_limit.rs
@@ -55,14 +55,14 @@
     }
 
     /// Records the upstream's own report that it stays cold for `left`.
-    pub(crate) fn note_cold(&mut self, now: Moment, left: Duration, is_assigned: bool) {
+    pub(crate) fn record_cold(&mut self, now: Moment, left: Duration, is_assigned: bool) {
         self.begin(now, is_assigned);
         self.is_suspected = false;
         self.until = now + left;
     }
 
     /// Records that the upstream may have turned cold, for `span` at most.
-    pub(crate) fn note_suspected(&mut self, now: Moment, span: Duration, is_assigned: bool) {
+    pub(crate) fn record_suspected(&mut self, now: Moment, span: Duration, is_assigned: bool) {
         if !self.is_cold(now) {
             self.begin(now, is_assigned);
             self.is_suspected = true;
@@ -71,7 +71,7 @@
     }
 
     /// Records the upstream's own report that it is not cold.
-    pub(crate) fn note_warm(&mut self) {
+    pub(crate) fn record_warm(&mut self) {
         self.until = Moment::ZERO;
         self.is_suspected = false;
     }
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -273,12 +273,12 @@
     }
 
     /// Counts a new outstanding request of a kind.
-    pub(crate) fn note_start(&mut self, kind_index: usize) {
+    pub(crate) fn record_start(&mut self, kind_index: usize) {
         self.change_own(kind_index, |own| own + 1);
     }
 
     /// Counts the end of an outstanding request of a kind.
-    pub(crate) fn note_finish(&mut self, kind_index: usize) {
+    pub(crate) fn record_finish(&mut self, kind_index: usize) {
         self.change_own(kind_index, |own| own.saturating_sub(1));
     }
 
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -245,9 +245,9 @@
             self.upstreams.add_outstanding(-1.0);
         }
         if let Some(kind_index) = self.shares.index_of(running.row) {
-            self.shares.note_finish(kind_index);
+            self.shares.record_finish(kind_index);
             if outcome == AttemptOutcome::Answered {
-                self.note_answer(now, kind_index, &running, report);
+                self.record_answer(now, kind_index, &running, report);
             }
         }
         self.finishes = self.finishes.wrapping_add(1);
@@ -371,7 +371,7 @@
                 ));
                 continue;
             }
-            self.note_start_gap(now, kind_index, waiting.arrived);
+            self.record_start_gap(now, kind_index, waiting.arrived);
             effects.push(self.start(now, kind_index, upstream, &waiting.ticket));
         }
     }
@@ -478,7 +478,7 @@
         upstream: usize,
         ticket: &RequestTicket,
     ) -> SchedulerEffect {
-        self.shares.note_start(kind_index);
+        self.shares.record_start(kind_index);
         self.upstreams.add_outstanding(1.0);
         let warm_up = self.upstreams.warm_up();
         let state = self.upstreams.at_mut(upstream);
@@ -524,7 +524,7 @@
         }
     }
 
-    fn note_start_gap(&mut self, now: Moment, kind_index: usize, arrived: Moment) {
+    fn record_start_gap(&mut self, now: Moment, kind_index: usize, arrived: Moment) {
         let kind = self.shares.kind_mut(kind_index);
         let since = kind.last_start.map_or(arrived, |last| last.max(arrived));
         kind.last_start = Some(now);
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -218,14 +218,14 @@
             .filter_map(|reading| Some((self.reading_cost(now, reading)?, reading)))
             .min_by(|(a, _), (b, _)| a.rank().total_cmp(&b.rank()));
         let Some((PlacementCost { cost, delay_to_others, index, .. }, reading)) = best else {
-            readings.iter().for_each(|reading| self.note_reading(now, reading));
+            readings.iter().for_each(|reading| self.record_reading(now, reading));
             return self.arrive_unprobed(now, kind_index, ticket);
         };
         if self.queue.len() > 0 || !self.may_start(kind_index) || ticket.deadline <= now {
             return self.arrive(now, ticket);
         }
         for reading in readings {
-            self.note_reading(now, reading);
+            self.record_reading(now, reading);
         }
         self.probes.refill(now);
         if self.should_hold(now, kind_index, ticket, (index, reading), cost)
@@ -239,7 +239,7 @@
             let slots = self.upstreams.at(index).slots();
             let queueing = expected_queueing(slots, &reading.report, self.base_time(kind_index));
             let soonest = queueing.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
-            let retry_after = self.busy_period.note_refusal(now, soonest, &mut self.rng);
+            let retry_after = self.busy_period.record_refusal(now, soonest, &mut self.rng);
             return vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)];
         }
         let slots = self.upstreams.at(index).slots();
@@ -277,7 +277,7 @@
             return vec![self.start(now, kind_index, found, ticket)];
         }
         let soonest = self.base_time(kind_index).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
-        let retry_after = self.busy_period.note_refusal(now, soonest, &mut self.rng);
+        let retry_after = self.busy_period.record_refusal(now, soonest, &mut self.rng);
         vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)]
     }
 
@@ -413,7 +413,7 @@
     }
 
     /// Learns from an answer how long a kind's work takes where nothing slows it down.
-    fn note_base(&mut self, kind_index: usize, cost: f32, took: Duration) {
+    fn record_base(&mut self, kind_index: usize, cost: f32, took: Duration) {
         let kind = self.shares.kind_mut(kind_index);
         let sample = took.as_secs_f32() * 1_000.0 / cost;
         if kind.base_ms <= 0.0 {
@@ -423,10 +423,10 @@
         kind.base_ms += BASE_WEIGHT * (sample.min(kind.base_ms * MAX_BASE_RATIO) - kind.base_ms);
     }
 
-    fn note_reading(&mut self, now: Moment, reading: &ProbeReading) {
+    fn record_reading(&mut self, now: Moment, reading: &ProbeReading) {
         if let Some(index) = self.upstreams.index_of(&reading.upstream) {
             if let Some(left) = reading.report.cold_left {
-                self.upstreams.note_cold(now, index, left);
+                self.upstreams.record_cold(now, index, left);
             }
             // The reported cold time counts from now and holds until the next report, so it is not
             // stored.
@@ -495,7 +495,7 @@
 
     /// Learns from an answer how long the kind's work takes, and how accurate the upstream's load
     /// report was.
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &mut self,
         now: Moment,
         kind_index: usize,
@@ -506,7 +506,7 @@
         let took = now.since(running.started);
         let expected = self.base_time(kind_index).as_secs_f32() * cost;
         let state = self.upstreams.at_mut(running.upstream);
-        state.note_latency_ratio(now, took.as_secs_f32() / expected);
+        state.record_latency_ratio(now, took.as_secs_f32() / expected);
         // The two estimates are learned from different answers. Learned from the same answers, one
         // would compensate for the error of the other.
         match running.room {
@@ -516,12 +516,12 @@
                 if running.was_nearly_full && self.was_filled(running.upstream, report) =>
             {
                 let longer = (took.as_secs_f32() / expected - 1.0) / FULL_TIME_PART;
-                self.last_slot_cost.note(1.0 + longer);
+                self.last_slot_cost.record(1.0 + longer);
             }
-            Some(SlotRoom::Free) => self.note_base(kind_index, cost, took),
+            Some(SlotRoom::Free) => self.record_base(kind_index, cost, took),
             Some(SlotRoom::Last) => {
                 let usual = expected / (1.0 + self.last_slot_cost.estimate());
-                self.last_slot_cost.note(took.as_secs_f32() / usual);
+                self.last_slot_cost.record(took.as_secs_f32() / usual);
             }
             Some(SlotRoom::Full) | None => {}
         }
--- a/crates/pulley_core/src/request/retry_budget.rs
+++ b/crates/pulley_core/src/request/retry_budget.rs
@@ -121,7 +121,7 @@
     }
 
     /// Counts a first attempt.
-    pub const fn note_request(&mut self) {
+    pub const fn record_request(&mut self) {
         let saved = self.saved + self.deposit;
         self.saved = if saved < self.max_saved { saved } else { self.max_saved };
     }
--- a/crates/pulley_core/src/request/upstream_state.rs
+++ b/crates/pulley_core/src/request/upstream_state.rs
@@ -137,7 +137,7 @@
     }
 
     /// Learns from an answer that took `ratio` times as long as the load report promised.
-    pub(crate) fn note_latency_ratio(&mut self, now: Moment, ratio: f32) {
+    pub(crate) fn record_latency_ratio(&mut self, now: Moment, ratio: f32) {
         let latency_ratio = self.latency_ratio(now);
         self.latency_ratio =
             latency_ratio + RATIO_WEIGHT * (ratio.clamp(1.0, MAX_RATIO) - latency_ratio);
--- a/crates/pulley_core/src/request/upstream_table.rs
+++ b/crates/pulley_core/src/request/upstream_table.rs
@@ -164,11 +164,11 @@
             self.unlisted.retain(|other| *other != index);
             let before = self.states[index].takes_work();
             let restarted = self.states[index].update(now, record);
-            self.note_phase(now, index, before || restarted);
+            self.record_phase(now, index, before || restarted);
             index
         } else {
             let index = self.insert(UpstreamState::new(now, record));
-            self.note_phase(now, index, true);
+            self.record_phase(now, index, true);
             index
         };
         self.mark_available(index);
@@ -178,7 +178,7 @@
     /// Updates from an upstream's record whether it is cold. An upstream that gets work again
     /// without a restart, because its zone is back in use, may have turned cold in the meantime.
     /// Its own report decides.
-    fn note_phase(&mut self, now: Moment, index: usize, is_known: bool) {
+    fn record_phase(&mut self, now: Moment, index: usize, is_known: bool) {
         let Some(terms) = self.warm_up else { return };
         let state = &mut self.states[index];
         state.skip_ramp();
@@ -186,20 +186,20 @@
         let is_suspected = phase == UpstreamPhase::Ready && !is_known && state.takes_work();
         if phase == UpstreamPhase::Warming && !is_cold {
             let is_assigned = self.is_assigned(index);
-            self.states[index].cold.note_cold(now, terms.span, is_assigned);
+            self.states[index].cold.record_cold(now, terms.span, is_assigned);
         } else if is_suspected {
             let is_assigned = self.is_assigned(index);
-            self.states[index].cold.note_suspected(now, terms.span, is_assigned);
+            self.states[index].cold.record_suspected(now, terms.span, is_assigned);
         }
     }
 
     /// Records an upstream's own report of how long it stays cold.
-    pub(crate) fn note_cold(&mut self, now: Moment, index: usize, left: Duration) {
+    pub(crate) fn record_cold(&mut self, now: Moment, index: usize, left: Duration) {
         if left.is_zero() {
-            self.states[index].cold.note_warm();
+            self.states[index].cold.record_warm();
         } else if self.warm_up.is_some() {
             let is_assigned = self.is_assigned(index);
-            self.states[index].cold.note_cold(now, left, is_assigned);
+            self.states[index].cold.record_cold(now, left, is_assigned);
         }
     }
 
--- a/crates/pulley_core/src/request/wait_queue.rs
+++ b/crates/pulley_core/src/request/wait_queue.rs
@@ -43,7 +43,7 @@
     pub(crate) fn pop(&mut self, kind_index: usize) -> Option<WaitingRequest> {
         let (_, waiting) = self.kinds[kind_index].pop_first()?;
         self.places.remove(&waiting.ticket.number);
-        self.note_taken(kind_index);
+        self.record_taken(kind_index);
         Some(waiting)
     }
 
@@ -51,7 +51,7 @@
     pub(crate) fn remove(&mut self, number: RequestNumber) -> Option<WaitingRequest> {
         let (kind_index, deadline) = self.places.remove(&number)?;
         let waiting = self.kinds[kind_index].remove(&(deadline, number));
-        self.note_taken(kind_index);
+        self.record_taken(kind_index);
         waiting
     }
 
@@ -103,7 +103,7 @@
         firsts.map(|first| first.ticket.deadline).min()
     }
 
-    fn note_taken(&mut self, kind_index: usize) {
+    fn record_taken(&mut self, kind_index: usize) {
         if self.kinds[kind_index].is_empty()
             && let Ok(place) = self.waiting.binary_search(&kind_index)
         {
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -257,7 +257,7 @@
         proofs.map(|(_, at)| self.clock.epoch_of(*at)).any(|at| at.is_valid_at(epoch))
     }
 
-    fn note_confirmation(&mut self, version: ConfigVersion, at: SharedTime) {
+    fn record_confirmation(&mut self, version: ConfigVersion, at: SharedTime) {
         if self.confirmations.back().is_some_and(|(last, _)| *last == version) {
             self.confirmations.pop_back();
         }
@@ -314,7 +314,7 @@
         self.own_report = Some(LogReport { replicas, last_entry, last_order });
     }
 
-    /// Notes that this host no longer has a replica.
+    /// Records that this host no longer has a replica.
     pub fn clear_log_report(&mut self) {
         self.own_report = None;
     }
@@ -436,7 +436,7 @@
                 if nonce == self.nonce {
                     self.is_answered = true;
                     self.clock.merge_reading(now, time);
-                    self.note_report(now, from, report);
+                    self.record_report(now, from, report);
                     self.knows_time |= knows_time;
                     if let Some(lease) = lease {
                         self.adopt_lease(lease);
@@ -487,7 +487,7 @@
         }
         self.flood |= known.is_none_or(|known| known.version < lease.version);
         self.fetch_leased(&lease);
-        self.note_confirmation(lease.version, lease.confirmed);
+        self.record_confirmation(lease.version, lease.confirmed);
         self.lease = Some(lease);
         self.update_fetch_sources();
     }
--- a/crates/pulley_core/src/version/follower/plan_follower_asking.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_asking.rs
@@ -96,7 +96,7 @@
         self.message(now, to.clone(), answer)
     }
 
-    pub(super) fn note_report(&mut self, now: Moment, from: &HostId, report: Option<LogReport>) {
+    pub(super) fn record_report(&mut self, now: Moment, from: &HostId, report: Option<LogReport>) {
         if let Some(report) = report {
             self.log_reports.insert(from.clone(), (now, report));
         }
--- a/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
@@ -133,15 +133,15 @@
         }
     }
 
-    /// Notes that a complete path did not lead to its plan: a whole plan has to be fetched next.
+    /// Records that a complete path did not lead to its plan: a whole plan has to be fetched next.
     pub(crate) fn reject_path(&mut self, now: Moment) {
         self.needs_whole_plan = true;
         self.asked_at = Some(now);
     }
 
-    /// Notes which version is in force here now. Chunks of a path that does not lead on from it are
+    /// Records which version is in force here now. Chunks of a path that does not lead on from it are
     /// dropped.
-    pub(crate) fn note_held(&mut self, held: ConfigVersion) {
+    pub(crate) fn record_held(&mut self, held: ConfigVersion) {
         self.needs_whole_plan = false;
         let advances = |path: &PartialPath| path.span.advances(held);
         if !self.path.as_ref().is_none_or(advances) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Notes a host that holds the goal.
+    /// Records a host that holds the goal.
     pub(crate) fn add_holder(&mut self, host: &HostId) {
         let is_known = self.holders.contains(host) || self.replicas.contains(host);
         if !is_known && self.holders.len() < HOLDER_LIMIT {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Notes that a host has nothing useful, or no capacity to send it. If it is the host that was
+    /// Records that a host has nothing useful, or no capacity to send it. If it is the host that was
     /// asked, another one is asked next.
     pub(crate) fn skip_host(&mut self, now: Moment, host: &HostId) {
         if self.asked_at.is_none() || self.is_paused || self.asked_host.as_ref() != Some(host) {
--- a/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
@@ -186,7 +186,7 @@
         }
         self.held = Some(plan);
         match &mut self.fetch {
-            Some(fetch) if fetch.goal() > version => fetch.note_held(version),
+            Some(fetch) if fetch.goal() > version => fetch.record_held(version),
             _ => self.fetch = None,
         }
         // A host that sent a lease for this version has already announced that it can be fetched.
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -353,7 +353,7 @@
                 let ticket = ticket(number * 4 + entry as u64, rng.random_range(0..3), deadline);
                 outcomes.insert(ticket.number.0, 0);
                 let effects = network.entries[entry].arrive(now, &ticket);
-                note(&effects, &mut outcomes, &mut running);
+                record_effects(&effects, &mut outcomes, &mut running);
                 number += 1;
             }
             if !running.is_empty() && rng.random_bool(0.9) {
@@ -365,15 +365,15 @@
                 };
                 let ended =
                     network.entries[entry].finish(now, RequestNumber(number), outcome, None);
-                note(&ended, &mut outcomes, &mut running);
+                record_effects(&ended, &mut outcomes, &mut running);
             }
             let effects = network.run(now, now + 2 * MS);
-            note(&effects, &mut outcomes, &mut running);
+            record_effects(&effects, &mut outcomes, &mut running);
             now = now + 2 * MS;
         }
         outcomes.values().all(|count| *count == 1)
     }
-    fn note(
+    fn record_effects(
         effects: &[SchedulerEffect],
         outcomes: &mut BTreeMap<u64, u32>,
         running: &mut Vec<(u64, usize)>,
@@ -515,7 +515,7 @@
     let inputs = RetryInputs { most_attempts: 3, ..failed_once() };
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.note_request();
+        budget.record_request();
         retries += u32::from(budget.decide(&inputs) == RetryDecision::Retry);
     }
     assert!((100..=103).contains(&retries), "{retries} retries of 1,000 requests");
@@ -548,7 +548,7 @@
             for _ in 0..200 {
                 // Some entries get several times the requests of others.
                 let entry = rng.random_range(0..entries).min(rng.random_range(0..entries));
-                budgets[entry].note_request();
+                budgets[entry].record_request();
                 let retries = budgets[entry].decide(&inputs) == RetryDecision::Retry;
                 counted.0 += 1;
                 counted.1 += u32::from(retries);
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -72,7 +72,7 @@
         self.0.load(Ordering::Relaxed)
     }
 
-    fn note(&self) {
+    fn record(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
@@ -182,7 +182,7 @@
     }
 
     fn accept(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
-        self.first_request.note();
+        self.first_request.record();
         let permit = self.acquire_permit()?;
         let admitted = self.admit(request, arrived)?;
         let row = admitted.kind.row();
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -154,7 +154,7 @@
         let (receiver, effects) = {
             let mut state = cell.state.lock();
             if ticket.attempt == 0 {
-                state.retries.note_request();
+                state.retries.record_request();
             }
             let now = self.clock.now();
             let mut effects = match readings {
--- a/crates/pulleyd/tests/sessions/main.rs
+++ b/crates/pulleyd/tests/sessions/main.rs
@@ -68,18 +68,18 @@
     let apply = [&APPLY[..], &["--expect=0"]].concat();
     record.pulleyctl(&cluster, &apply);
     cluster.wait_for_version(1).await;
-    record.note("bela had read version 0 too and comes second");
+    record.add_note("bela had read version 0 too and comes second");
     let race = ["sheet", "apply", "other.csv", "--actor=bela", "--change-id=b-1", "--expect=0"];
     record.pulleyctl(&cluster, &race);
-    record.note("ana lost the answer and sends the same change again");
+    record.add_note("ana lost the answer and sends the same change again");
     record.pulleyctl(&cluster, &apply);
-    record.note("bela looks again and applies on top");
+    record.add_note("bela looks again and applies on top");
     let again = ["sheet", "apply", "other.csv", "--actor=bela", "--change-id=b-2", "--expect=1"];
     record.pulleyctl(&cluster, &again);
     cluster.wait_for_version(2).await;
-    record.note("ana's first try, sent once more, still has its first outcome");
+    record.add_note("ana's first try, sent once more, still has its first outcome");
     record.pulleyctl(&cluster, &apply);
-    record.note("her change id for another sheet is refused");
+    record.add_note("her change id for another sheet is refused");
     let reused =
         ["sheet", "apply", "other.csv", "--actor=ana", "--change-id=morning-1", "--expect=0"];
     record.pulleyctl(&cluster, &reused);
@@ -95,11 +95,11 @@
     let cluster = TestCluster::start(3).await;
     let mut record = SessionRecord::default();
     record.pulleyctl(&cluster, &["replica", "list"]);
-    record.note("host-4 is to join, and is not there yet");
+    record.add_note("host-4 is to join, and is not there yet");
     record.pulleyctl(&cluster, &["replica", "add", "host-4"]);
     wait_for_members(&cluster, 4).await;
     record.pulleyctl(&cluster, &["replica", "list"]);
-    record.note("it was a mistake");
+    record.add_note("it was a mistake");
     record.pulleyctl(&cluster, &["replica", "remove", "m4"]);
     wait_for_members(&cluster, 3).await;
     record.pulleyctl(&cluster, &["replica", "list"]);
@@ -147,7 +147,7 @@
         record.call(&cluster.hosts[index % 3], method, path, &[], body).await;
     }
     record.call(&cluster.hosts[0], "GET", "/nowhere", &[], "").await;
-    record.note("what host-1 has counted");
+    record.add_note("what host-1 has counted");
     record.metrics(&cluster, 0).await;
     record.check("callers_day");
     assert_eq!(upstreams.iter().map(|upstream| upstream.runs()).sum::<u64>(), 7);
@@ -158,20 +158,21 @@
 async fn refusals() {
     let mut cluster = cluster_with_sheet().await;
     let mut record = SessionRecord::default();
-    record.note("no upstream of the pool has announced itself");
+    record.add_note("no upstream of the pool has announced itself");
     record.call(&cluster.hosts[0], "GET", "/cover/check", &[], "").await;
     let _cover = cluster.start_upstream("cover-1", "cover", 2).await;
     let loss_files = cluster.start_upstream("loss-files-1", "loss-files", 1).await;
     let binding = cluster.start_upstream("binding-1", "binding", 2).await;
     cluster.wait_for_upstreams(3).await;
-    record.note("no row of the sheet matches");
+    record.add_note("no row of the sheet matches");
     record.call(&cluster.hosts[0], "GET", "/weather", &[], "").await;
-    record.note("the upstream could read the path as one of another kind");
+    record.add_note("the upstream could read the path as one of another kind");
     record.call(&cluster.hosts[0], "GET", "/cover/check/../../refunds", &[], "").await;
-    record.note("a deadline that is none");
+    record.add_note("a deadline that is none");
     let bad = [("jacinthpulley-deadline-ms", "soon")];
     record.call(&cluster.hosts[0], "GET", "/cover/check", &bad, "").await;
-    record.note("a key, sent again, gives the recorded answer; with another body it is refused");
+    record
+        .add_note("a key, sent again, gives the recorded answer; with another body it is refused");
     let key = [("idempotency-key", "policy-7")];
     record.call(&cluster.hosts[0], "POST", "/bindings", &key, "policy=7").await;
     cluster
@@ -185,7 +186,7 @@
     record.call(&cluster.hosts[2], "POST", "/bindings", &key, "policy=8").await;
     assert_eq!(binding.runs(), 1, "a binding runs at most once");
 
-    record.note("the only slot is taken for longer than the deadline allows");
+    record.add_note("the only slot is taken for longer than the deadline allows");
     let callers = cluster.hosts[0].callers();
     let held = tokio::spawn(async move {
         http_caller::call(callers, "GET", "/loss-files/held", &[], "").await
@@ -198,7 +199,7 @@
     record.write_request("GET", "/loss-files/held", &[], "");
     record.write_answer(&held);
 
-    record.note("two of three replicas are lost: nothing newer can be ruled out");
+    record.add_note("two of three replicas are lost: nothing newer can be ruled out");
     cluster.hosts[1].kill();
     cluster.hosts[2].kill();
     cluster
@@ -265,7 +266,7 @@
     let loss_files = cluster.start_upstream("loss-files-1", "loss-files", 2).await;
     cluster.wait_for_upstreams(3).await;
     let mut record = SessionRecord::default();
-    record.note("cover-1 says that it drains");
+    record.add_note("cover-1 says that it drains");
     first.drain().await;
     cluster.wait_for_upstreams(2).await;
     let before = first.runs();
@@ -274,7 +275,7 @@
     }
     assert_eq!((first.runs(), second.runs()), (before, 3));
 
-    record.note("host-1 is told to end while it carries a call");
+    record.add_note("host-1 is told to end while it carries a call");
     let callers = cluster.hosts[0].callers();
     let held = tokio::spawn(async move {
         http_caller::call(callers, "GET", "/loss-files/held", &[], "").await
@@ -292,9 +293,9 @@
     record.write_answer(&held);
     let status = cluster.hosts[0].wait_for_exit().await;
     let code = status.code().expect("it ends by itself");
-    record.note(&format!("host-1 ended with exit code {code}"));
+    record.add_note(&format!("host-1 ended with exit code {code}"));
 
-    record.note("an operator drains cover-2 as well");
+    record.add_note("an operator drains cover-2 as well");
     record.pulleyctl(&cluster, &["drain", "cover-2"]);
     cluster.wait_for_upstreams(1).await;
     record.call(&cluster.hosts[1], "GET", "/cover/check", &[], "").await;
@@ -324,10 +325,10 @@
     let upstream = cluster.start_upstream("cover-1", "cover", 2).await;
     cluster.wait_for_upstreams(1).await;
     let mut record = SessionRecord::default();
-    record.note("after five changes, all three hosts were killed and started again");
+    record.add_note("after five changes, all three hosts were killed and started again");
     record.pulleyctl(&cluster, &["sheet", "show"]);
     record.call(&cluster.hosts[2], "GET", "/cover/check", &[], "").await;
-    record.note("the first change, sent again, still has its first outcome");
+    record.add_note("the first change, sent again, still has its first outcome");
     record.pulleyctl(&cluster, &[&APPLY[..], &["--expect=0"]].concat());
     assert_eq!(upstream.runs(), 1);
     record.check("restart");
@@ -344,7 +345,7 @@
     cluster.wait_for_upstreams(2).await;
     let mut record = SessionRecord::default();
 
-    record.note("other callers have all of host-1's connections");
+    record.add_note("other callers have all of host-1's connections");
     let mut others = Vec::new();
     for _ in 0..CALLERS_LIMIT {
         let other = TcpStream::connect(cluster.hosts[0].callers()).await;
@@ -360,13 +361,13 @@
         })
         .await;
 
-    record.note("the other replicas are frozen: the key cannot be claimed");
+    record.add_note("the other replicas are frozen: the key cannot be claimed");
     let answer = call_without_quorum(&cluster).await;
     record.write_request("POST", "/bindings", &[("idempotency-key", "policy-9")], "policy=9");
     record.write_answer(&answer);
     assert_eq!(binding.runs(), 0, "a request answered as not run has run: {answer:?}");
 
-    record.note("host-2 is told to end, its health says so, and a call still comes");
+    record.add_note("host-2 is told to end, its health says so, and a call still comes");
     let answer = call_during_shutdown(&mut cluster).await;
     record.write_request("GET", "/loss-files/1", &[], "");
     record.write_answer(&answer);
--- a/crates/pulleyd/tests/sessions/session_record.rs
+++ b/crates/pulleyd/tests/sessions/session_record.rs
@@ -25,7 +25,7 @@
 
 impl SessionRecord {
     /// Adds a note about what the test itself does.
-    pub(crate) fn note(&mut self, text: &str) {
+    pub(crate) fn add_note(&mut self, text: &str) {
         let _ = writeln!(self.text, "# {text}\n");
     }
 
