--- a/crates/pulley_core/src/connection/connection_table.rs
+++ b/crates/pulley_core/src/connection/connection_table.rs
@@ -86,11 +86,11 @@
 
 /// The connections of one entry to one upstream.
 ///
-/// The table stays within the entry's share of the upstream's limit, and avoids connections that may
-/// have gone silent. A network device between the two ends can lose track of a connection while new
-/// ones work, and a request sent over the lost one is never answered. This shows as a request that
-/// exceeds its time limit. [`Self::retire_unproven`] then retires all idle connections that have not
-/// answered since it was sent.
+/// The table stays within the entry's share of the upstream's limit, and avoids connections that
+/// may have gone silent. A network device between the two ends can lose track of a connection while
+/// new ones work, and a request sent over the lost one is never answered. This shows as a request
+/// that exceeds its time limit. [`Self::retire_unproven`] then retires all idle connections that
+/// have not answered since it was sent.
 #[derive(Clone, Debug)]
 pub struct ConnectionTable {
     rules: ConnectionRules,
--- a/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
@@ -139,8 +139,8 @@
         self.asked_at = Some(now);
     }
 
-    /// Records which version is in force here now. Chunks of a path that does not lead on from it are
-    /// dropped.
+    /// Records which version is in force here now. Chunks of a path that does not lead on from it
+    /// are dropped.
     pub(crate) fn record_held(&mut self, held: ConfigVersion) {
         self.needs_whole_plan = false;
         let advances = |path: &PartialPath| path.span.advances(held);
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Records that a host has nothing useful, or no capacity to send it. If it is the host that was
-    /// asked, another one is asked next.
+    /// Records that a host has nothing useful, or no capacity to send it. If it is the host that
+    /// was asked, another one is asked next.
     pub(crate) fn skip_host(&mut self, now: Moment, host: &HostId) {
         if self.asked_at.is_none() || self.is_paused || self.asked_host.as_ref() != Some(host) {
             return;
--- a/crates/pulley_core/tests/many_entries/main.rs
+++ b/crates/pulley_core/tests/many_entries/main.rs
@@ -1,6 +1,6 @@
 //! Decisions of hundreds of entries that run side by side, in virtual time.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod cold_upstreams;
 mod entry_fleet;
--- a/crates/pulley_core/tests/members/main.rs
+++ b/crates/pulley_core/tests/members/main.rs
@@ -1,6 +1,6 @@
 //! Membership, upstream leases and the spread of the configuration, in virtual time.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod differences_tests;
 mod evacuation_tests;
--- a/crates/pulley_core/tests/mutated_messages.rs
+++ b/crates/pulley_core/tests/mutated_messages.rs
@@ -4,7 +4,7 @@
 //! recorded from hosts that talk to each other; their bytes are changed, truncated and duplicated,
 //! and the results are fed back. The run is seeded; `PULLEY_FUZZ_CASES` makes it longer.
 
-#![allow(clippy::unwrap_used, reason = "a test may panic")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/pulley_core/tests/sheet.rs
+++ b/crates/pulley_core/tests/sheet.rs
@@ -1,7 +1,7 @@
 //! Tests of the sheet reader and printer: what is accepted, what is refused, and that no input
 //! causes a panic.
 
-#![allow(clippy::unwrap_used, clippy::needless_pass_by_value, reason = "a test may panic")]
+#![allow(clippy::unwrap_used, clippy::needless_pass_by_value, reason = "a panic fails the test")]
 
 use pulley_core::version::{
     IndexedPlan, PolicyPlan, SheetColumn, SheetFaults, SheetPrinter, SheetReader,
--- a/crates/pulley_fuzz/tests/fuzz_targets.rs
+++ b/crates/pulley_fuzz/tests/fuzz_targets.rs
@@ -2,7 +2,7 @@
 //!
 //! The README describes how to run a target for longer, guided by coverage.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::net::SocketAddr;
 
--- a/crates/pulleyctl/src/command_line.rs
+++ b/crates/pulleyctl/src/command_line.rs
@@ -264,7 +264,7 @@
         match text.as_str() {
             "accepted" | "refused" | "member" | "zone" => Some(SmolStr::from(text)),
             _ => self.fault(format!(
-                "--outcome: {text:?} is not allowed; wanted: accepted, refused, member or zone"
+                "--outcome: {text:?} is not allowed; expected: accepted, refused, member or zone"
             )),
         }
     }
@@ -291,7 +291,7 @@
         let time = time.or_else(|| humantime::parse_rfc3339_weak(&text).ok());
         let Some(time) = time else {
             return self.fault(format!(
-                "--{flag}: {text:?} is not allowed; wanted: 2h, 30m or 2026-12-02T08:00:00Z"
+                "--{flag}: {text:?} is not allowed; expected: 2h, 30m or 2026-12-02T08:00:00Z"
             ));
         };
         let elapsed = time.duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -302,7 +302,7 @@
         let text = self.text(flag, None)?;
         match humantime::parse_duration(&text) {
             Ok(span) if !span.is_zero() => Some(span),
-            _ => self.fault(format!("--{flag}: {text:?} is not allowed; wanted: 500ms, 10s")),
+            _ => self.fault(format!("--{flag}: {text:?} is not allowed; expected: 500ms, 10s")),
         }
     }
 
--- a/crates/pulleyd/src/process/running_view.rs
+++ b/crates/pulleyd/src/process/running_view.rs
@@ -128,9 +128,7 @@
     #[must_use]
     pub fn readiness(&self) -> HostReadiness {
         if self.0.clock.now().micros() > self.0.valid_until.load(Ordering::Acquire) {
-            return HostReadiness::NotReady {
-                why: SmolStr::new_static("the control thread has paused"),
-            };
+            return HostReadiness::NotReady { why: SmolStr::new_static("control has paused") };
         }
         self.0.view.load().readiness.clone()
     }
--- a/crates/pulleyd/src/version/log_storage.rs
+++ b/crates/pulleyd/src/version/log_storage.rs
@@ -62,8 +62,8 @@
     /// Opens or creates a data folder and recovers its state.
     ///
     /// # Errors
-    /// `Locked` if another process has the folder open, `WrongOwner` if it belongs to another replica,
-    /// `Damaged` if synced data cannot be read. The folder is then left unchanged.
+    /// `Locked` if another process has the folder open, `WrongOwner` if it belongs to another
+    /// replica, `Damaged` if synced data cannot be read. The folder is then left unchanged.
     pub fn open(path: &Path, identity: &ReplicaIdentity) -> Result<(Self, RecoveredState)> {
         let folder = SystemFolder::open(path).map_err(StorageFault::disk("data folder"))?;
         // The lock is tied to the open file. The kernel releases it when the process dies, so no
--- a/crates/pulleyd/tests/peer_links.rs
+++ b/crates/pulleyd/tests/peer_links.rs
@@ -1,6 +1,6 @@
 //! Links and datagrams between hosts, over real sockets on loopback.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/pulleyd/tests/sessions/main.rs
+++ b/crates/pulleyd/tests/sessions/main.rs
@@ -3,7 +3,7 @@
 //! Update the files with `INSTA_UPDATE=always cargo test -p pulleyd --test sessions`, then review
 //! the difference before committing it.
 
-#![allow(clippy::panic, reason = "a test may panic to fail")]
+#![allow(clippy::panic, reason = "a panic fails the test")]
 
 mod http_caller;
 mod session_record;
