--- a/crates/pulley_core/src/process/counts/count_rows.rs
+++ b/crates/pulley_core/src/process/counts/count_rows.rs
@@ -36,8 +36,9 @@
 /// The counts of a part of an upstream list.
 ///
 /// Upstreams are identified by position instead of name, because counts are sent many times a
-/// second. Both sides derive the list from the upstreams they know, and `layout` tells whether the
-/// lists are the same. For a while after a change, when lists may differ, the keys are sent too.
+/// second. Both sides derive the list from the upstreams they know, and `layout_digest` tells
+/// whether the lists are the same. For a while after a change, when lists may differ, the keys are
+/// sent too.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountRows {
     /// The position of the first row.
--- a/crates/pulley_core/src/process/counts/pool_coordinator.rs
+++ b/crates/pulley_core/src/process/counts/pool_coordinator.rs
@@ -85,7 +85,7 @@
         /// The sum.
         sum: Box<CountSum>,
     },
-    /// Probe an upstream and report with [`PoolCoordinator::probed`].
+    /// Probe an upstream and report with [`PoolCoordinator::record_probe`].
     Probe {
         /// The upstream to probe.
         upstream: UpstreamId,
--- a/crates/pulleyd/src/version/audit_reader.rs
+++ b/crates/pulleyd/src/version/audit_reader.rs
@@ -56,7 +56,7 @@
     /// Queues a read for the thread without blocking.
     ///
     /// # Errors
-    /// `Stalled` if the queue is full or the thread has ended.
+    /// `QueueUnavailable` if the queue is full or the thread has ended.
     pub fn submit(&self, read: AuditRead) -> Result<()> {
         let Some(reads) = &self.reads else { return Err(StorageFault::QueueUnavailable) };
         reads.try_send(read).map_err(|_| StorageFault::QueueUnavailable)
--- a/crates/pulleyd/src/version/storage_worker.rs
+++ b/crates/pulleyd/src/version/storage_worker.rs
@@ -47,8 +47,8 @@
     /// Queues a batch for the thread without blocking.
     ///
     /// # Errors
-    /// `Stalled` if the queue is full or the thread has ended. No part of the batch is written
-    /// then, and the owner must report the failed write to the replica.
+    /// `QueueUnavailable` if the queue is full or the thread has ended. No part of the batch is
+    /// written then, and the owner must report the failed write to the replica.
     pub fn submit(&self, batch: PersistBatch) -> Result<()> {
         let Some(batches) = &self.batches else { return Err(StorageFault::QueueUnavailable) };
         batches.try_send(batch).map_err(|_| StorageFault::QueueUnavailable)
