--- a/crates/pulley_bench/src/capacity/change_cost.rs
+++ b/crates/pulley_bench/src/capacity/change_cost.rs
@@ -118,7 +118,7 @@
 
     /// Builds a new view and applies it to the schedulers, as a host does after a change.
     fn refresh_view(&mut self) {
-        self.members.take_moved();
+        self.members.take_changed_hosts();
         let live = self.members.live_entries();
         let view = RunningView {
             plan: Arc::clone(&self.plan),
@@ -134,7 +134,7 @@
 /// Returns the ping with which a host that has just started announces itself.
 fn startup_ping(host: usize, incarnation: u64) -> bytes::Bytes {
     let mut observer = MemberTable::new(record(0, 0), MemberSettings::default(), 1);
-    observer.seed(address(host));
+    observer.add_seed(address(host));
     let greeting = observer.tick(Moment::ZERO).remove(0).body;
     let mut table = MemberTable::new(record(host, incarnation), MemberSettings::default(), 1);
     table.receive(Moment::ZERO, address(0), &greeting);
--- a/crates/pulley_bench/src/capacity/plan_cost.rs
+++ b/crates/pulley_bench/src/capacity/plan_cost.rs
@@ -146,7 +146,7 @@
         }
         for offset_ms in [1, 500] {
             let due = now + Duration::from_millis(offset_ms);
-            for (_, delta) in scheduler.take_deltas(due) {
+            for (_, delta) in scheduler.take_reports(due) {
                 coordinator.receive(due, &host, &delta);
             }
         }
--- a/crates/pulley_bench/src/capacity/spread_cost.rs
+++ b/crates/pulley_bench/src/capacity/spread_cost.rs
@@ -6,7 +6,7 @@
 use eyre::{Result, WrapErr, ensure};
 use getopts::{Matches, Options};
 
-use super::link_model::LinkTerms;
+use super::link_model::LinkRates;
 use super::wide_change::{REPLICAS, WideChange};
 
 /// The wait from which a queue counts as long.
@@ -43,7 +43,7 @@
         ensure!(hosts > REPLICAS, "--hosts {hosts}: must be more than the {REPLICAS} replicas");
         for rate in number_list::<u32>(&matches, "link-bytes", "175000,300000,87000000")? {
             for added_rows in number_list(&matches, "rows", "140,1400,14000")? {
-                let entry_link = LinkTerms { rate, callers: rate / 100 * callers_percent };
+                let entry_link = LinkRates { rate, callers: rate / 100 * callers_percent };
                 let change =
                     WideChange { hosts, entry_link, added_rows, long_queue: LONG_QUEUE, seed };
                 report(&change, max_time);
@@ -56,7 +56,7 @@
 fn report(change: &WideChange, max_time: Duration) {
     let stats = change.run(IN_FORCE_LIMIT, max_time);
     let in_force_ms = |fraction: f64| {
-        let time = stats.part_in_force(fraction);
+        let time = stats.time_for_fraction(fraction);
         time.map_or_else(|| "none".to_owned(), |time| time.as_millis().to_string())
     };
     let (entry_mean, entry_max) = stats.sent_by(REPLICAS..change.hosts);
@@ -73,9 +73,9 @@
         change.seed,
         in_force_ms(0.5),
         in_force_ms(1.0),
-        stats.lacking(),
+        stats.hosts_without_version(),
         stats.longest_queue().as_millis(),
-        stats.long_share(),
+        stats.long_queue_fraction(),
         stats.dropped(),
         stats.watched.as_millis(),
     );
--- a/crates/pulley_bench/src/decisions/shared_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/shared_dispatcher.rs
@@ -41,7 +41,7 @@
     /// Indexed by entry, then by pool.
     schedulers: Vec<Vec<PoolScheduler>>,
     planned_ticks: Vec<Vec<Option<Moment>>>,
-    planned_deltas: Vec<Vec<Option<Moment>>>,
+    planned_reports: Vec<Vec<Option<Moment>>>,
     coordinators: Vec<PlacedCoordinator>,
     initial_coordinator: usize,
 }
@@ -85,11 +85,12 @@
     }
 
     fn send_deltas(&mut self, world: &mut SimWorld, entry: usize, pool: usize) {
-        if !world.alive[entry] || self.planned_deltas[entry][pool].is_none_or(|at| at > world.now) {
+        if !world.alive[entry] || self.planned_reports[entry][pool].is_none_or(|at| at > world.now)
+        {
             return;
         }
-        self.planned_deltas[entry][pool] = None;
-        for (zone, delta) in self.schedulers[entry][pool].take_deltas(world.now) {
+        self.planned_reports[entry][pool] = None;
+        for (zone, delta) in self.schedulers[entry][pool].take_reports(world.now) {
             let host = match &delta.to {
                 Some(host) => self.host_index(host),
                 None => {
@@ -101,13 +102,13 @@
                 world.send_message(entry, host, MessageBody::Delta(Box::new(delta)));
             }
         }
-        self.schedule_deltas(world, (entry, pool));
+        self.schedule_reports(world, (entry, pool));
     }
 
-    fn schedule_deltas(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
-        let Some(at) = self.schedulers[entry][pool].next_delta_at() else { return };
+    fn schedule_reports(&mut self, world: &mut SimWorld, (entry, pool): (usize, usize)) {
+        let Some(at) = self.schedulers[entry][pool].next_report_at() else { return };
         let at = at.max(world.now + TIMER_STEP);
-        let planned = &mut self.planned_deltas[entry][pool];
+        let planned = &mut self.planned_reports[entry][pool];
         if world.now < world.measure_end && planned.is_none_or(|planned| at < planned) {
             *planned = Some(at);
             world.events.schedule(at, SimEvent::Timer(PolicyTimer::SendDeltas { entry, pool }));
@@ -228,7 +229,7 @@
         let Ok(record) = world.deployment.upstream_record(model.pool, model.index) else { return };
         let outcome = ProbeOutcome::Answered { latency: PROBE_TIME, report: None };
         let coordinator = &mut self.coordinators[index].coordinator;
-        coordinator.probed(world.now, &record.announcement.id, outcome);
+        coordinator.record_probe(world.now, &record.announcement.id, outcome);
     }
 }
 
@@ -259,7 +260,7 @@
             }
             self.schedulers.push(schedulers);
             self.planned_ticks.push(vec![None; deployment.pools.len()]);
-            self.planned_deltas.push(vec![Some(Moment::ZERO); deployment.pools.len()]);
+            self.planned_reports.push(vec![Some(Moment::ZERO); deployment.pools.len()]);
         }
         self.place_coordinators(world)?;
         self.initial_coordinator = self.chosen_coordinator(world, 0, 0, 0).unwrap_or(0);
@@ -318,7 +319,7 @@
                             world.send_message(to, next_hop, MessageBody::Sum(Box::new(relay)));
                         }
                     }
-                    self.schedule_deltas(world, (to, pool));
+                    self.schedule_reports(world, (to, pool));
                 }
             }
             MessageBody::LeaseRequest { .. }
--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use eyre::Result;
-use pulley_core::process::{CountDelta, CountSum, UpstreamPhase, UpstreamRecord};
+use pulley_core::process::{CountReport, CountSum, UpstreamPhase, UpstreamRecord};
 use pulley_core::request::{
-    AttemptOutcome, RequestVerdict, RetryBudget, RetryDecision, RetryQuestion,
+    AttemptOutcome, RequestVerdict, RetryBudget, RetryDecision, RetryInputs,
 };
 use pulley_core::{Moment, UpstreamId};
 use rand::rngs::SmallRng;
@@ -68,7 +68,7 @@
 /// A control message between two hosts.
 #[derive(Clone, Debug)]
 pub(crate) enum MessageBody {
-    Delta(Box<CountDelta>),
+    Delta(Box<CountReport>),
     Sum(Box<CountSum>),
     LeaseRequest { call: usize },
     LeaseGrant { call: usize, upstream: usize },
@@ -327,7 +327,7 @@
             avoid: Vec::new(),
         });
         let index = entry * self.deployment.pools.len() + pool;
-        self.retry_budgets[index].note_request();
+        self.retry_budgets[index].record_request();
         self.calls.len() - 1
     }
 
@@ -388,15 +388,15 @@
         }
         let call = &self.calls[number];
         let index = call.entry * self.deployment.pools.len() + call.pool;
-        let question = RetryQuestion {
+        let question = RetryInputs {
             most_attempts: 3,
             outcome,
             verdict: RequestVerdict::MayHaveRun,
             idempotent: true,
             attempt: call.attempt,
-            retried_below: false,
-            left: call.deadline.since(self.now),
-            typical: Duration::from_millis(20),
+            retried_downstream: false,
+            time_left: call.deadline.since(self.now),
+            min_time: Duration::from_millis(20),
         };
         let retry = self.retry_budgets[index].decide(&question) == RetryDecision::Retry;
         if retry {
--- a/crates/pulley_bench/src/recovery/memory_bench.rs
+++ b/crates/pulley_bench/src/recovery/memory_bench.rs
@@ -5,7 +5,7 @@
 use super::stream_bench::row_plan;
 use pulley_core::version::{
     ChangeRequest, ClaimantId, ConfigVersion, KeyDigest, LedgerCommand, LedgerLimits, LogIndex,
-    LogTime, PolicyPlan, ReplicaMachines, RequestDigest, SnapshotPlace, StoredChange,
+    LogTime, PolicyPlan, ReplicaMachines, RequestDigest, SnapshotPosition, StoredChange,
 };
 
 /// The number of changes in two years, at 2,100 changes a day.
@@ -53,7 +53,7 @@
             change_id,
             actor,
             expect: ConfigVersion(number),
-            given: None,
+            assigned_version: None,
             received_unix_ms: number,
             sheet: format!("a sheet with {number}\n"),
             plan: small_plan(number)?,
@@ -61,7 +61,7 @@
         let change = StoredChange::new(request, machines.configuration.current());
         machines.configuration.apply(LogIndex(number + 1), &change);
         // Drops the audit records that the storage would write.
-        machines.configuration.take_unwritten();
+        machines.configuration.take_unwritten_chunks();
     }
     report("changes", count, before, &machines);
     Some(machines)
@@ -76,7 +76,7 @@
 fn report(what: &str, count: u64, before: u64, machines: &ReplicaMachines) {
     let after = resident_bytes();
     let started = Instant::now();
-    let snapshot = machines.snapshot(SnapshotPlace::default());
+    let snapshot = machines.snapshot(SnapshotPosition::default());
     let elapsed = started.elapsed();
     let size = snapshot.map_or(0, |snapshot| snapshot.state.len());
     println!(
--- a/crates/pulley_bench/src/recovery/size_bench.rs
+++ b/crates/pulley_bench/src/recovery/size_bench.rs
@@ -7,7 +7,7 @@
 use pulley_core::version::{
     ChangeAnswer, ChangeRequest, ConfigVersion, ConfigurationMachine, HostMatch, KindPlan,
     LogCommand, LogEntry, LogIndex, LogTime, PolicyPlan, QuestionRouter, ReplicaMachines,
-    ReplicaQuestion, RouterOutput, SnapshotPlace, StoredChange, StoredPlan, Term,
+    ReplicaQuestion, RouterOutput, SnapshotPosition, StoredChange, StoredPlan, Term,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -51,7 +51,7 @@
     let current = base.configuration.current();
     let (change, store_ms) = time_repeats(|| Ok(StoredChange::new(request.clone(), current)))?;
     let entry = LogEntry {
-        index: LogIndex(request.given.map_or(0, |given| given.0)),
+        index: LogIndex(request.assigned_version.map_or(0, |given| given.0)),
         term: Term(1),
         time: LogTime::default(),
         command: LogCommand::Change(Box::new(change.clone())),
@@ -61,7 +61,8 @@
     let (machine, apply_ms) =
         time_repeats(|| apply_change(&base.configuration, entry.index, &change))?;
     let after = ReplicaMachines { configuration: machine, ..ReplicaMachines::default() };
-    let (snapshot, snapshot_ms) = time_repeats(|| Ok(after.snapshot(SnapshotPlace::default())?))?;
+    let (snapshot, snapshot_ms) =
+        time_repeats(|| Ok(after.snapshot(SnapshotPosition::default())?))?;
     println!(
         "part=sizes change={what} routes={count} sheet_bytes={} plan_bytes={} frame_bytes={} \
          entry_bytes={} entry_weight={} snapshot_bytes={} send_ms={send_ms:.1} \
@@ -71,7 +72,7 @@
         postcard::to_stdvec(&request.plan)?.len(),
         frame.len(),
         encoded.len(),
-        entry.weight(),
+        entry.estimated_bytes(),
         snapshot.state.len(),
     );
     Ok(after)
@@ -108,7 +109,7 @@
 /// Returns the frame in which a host forwards a question to a replica.
 fn forward_question(question: &ReplicaQuestion) -> Result<Vec<u8>> {
     let mut router = QuestionRouter::new(host(0)?, 1);
-    router.apply_replicas(vec![host(1)?]);
+    router.set_replicas(vec![host(1)?]);
     let outputs = router.ask(Moment::ZERO, question.clone()).map(|(_, outputs)| outputs);
     match outputs.as_deref() {
         Some([RouterOutput::Send { body, .. }]) => Ok(body.to_vec()),
@@ -122,7 +123,7 @@
 /// Receives a forwarded frame as the leader does and returns the number of outputs.
 fn receive_frame(frame: &[u8]) -> Result<usize> {
     let mut router = QuestionRouter::new(host(1)?, 1);
-    router.apply_replicas(vec![host(1)?]);
+    router.set_replicas(vec![host(1)?]);
     let outputs = router.receive(Moment::ZERO, &host(0)?, frame);
     ensure!(
         matches!(outputs[..], [RouterOutput::AskLocal { .. }]),
@@ -181,7 +182,7 @@
         change_id: format!("change-{version}").parse()?,
         actor: "operator".parse()?,
         expect: ConfigVersion::default(),
-        given: Some(ConfigVersion(version)),
+        assigned_version: Some(ConfigVersion(version)),
         received_unix_ms: 1_700_000_000_000,
         sheet: format!("{{\"Version\":\"{version:08x}\",\"Routes\":[{}]}}", texts.join(",")),
         plan: PolicyPlan { kinds: rows.to_vec(), ..PolicyPlan::default() },
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -88,7 +88,7 @@
             if service == shares.services.len() {
                 shares.services.push(ServiceState { share: 0.0, used: 0 });
             }
-            shares.services[service].share += f32::from(kind.share.parts()) / 10_000.0;
+            shares.services[service].share += f32::from(kind.share.basis_points()) / 10_000.0;
             let mut state = KindState::new(kind, service);
             if let Some(known) = known_kinds.get(&state.key) {
                 state.own = known.own;
@@ -273,12 +273,12 @@
     }
 
     /// Counts a new outstanding request of a kind.
-    pub(crate) fn note_start(&mut self, kind_index: usize) {
+    pub(crate) fn record_start(&mut self, kind_index: usize) {
         self.change_own(kind_index, |own| own + 1);
     }
 
     /// Counts the end of an outstanding request of a kind.
-    pub(crate) fn note_finish(&mut self, kind_index: usize) {
+    pub(crate) fn record_finish(&mut self, kind_index: usize) {
         self.change_own(kind_index, |own| own.saturating_sub(1));
     }
 
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -237,17 +237,17 @@
         report: Option<LoadReport>,
     ) -> SchedulerEffects {
         let Some(running) = self.running.remove(&number) else { return Vec::new() };
-        let usual_ms = self.upstreams.usual_ms();
+        let median_latency_ms = self.upstreams.median_latency_ms();
         let state = self.upstreams.at_mut(running.upstream);
         state.last_report = report.map(|report| (now, report)).or(state.last_report);
-        state.finish(now, outcome, now.since(running.started), usual_ms);
+        state.finish(now, outcome, now.since(running.started), median_latency_ms);
         if state.takes_work() {
             self.upstreams.add_outstanding(-1.0);
         }
         if let Some(kind_index) = self.shares.index_of(running.row) {
-            self.shares.note_finish(kind_index);
+            self.shares.record_finish(kind_index);
             if outcome == AttemptOutcome::Answered {
-                self.note_answer(now, kind_index, &running, report);
+                self.record_answer(now, kind_index, &running, report);
             }
         }
         self.finishes = self.finishes.wrapping_add(1);
@@ -371,7 +371,7 @@
                 ));
                 continue;
             }
-            self.note_start_gap(now, kind_index, waiting.arrived);
+            self.record_start_gap(now, kind_index, waiting.arrived);
             effects.push(self.start(now, kind_index, upstream, &waiting.ticket));
         }
     }
@@ -458,8 +458,8 @@
     /// Recalculates how many requests this entry may start until the next sum.
     pub(crate) fn grant_leases(&mut self, entries: u16, interval: Duration) {
         let slots = self.upstreams.usable_slots();
-        let usual_ms = self.upstreams.usual_ms().max(1.0);
-        let answers = interval.as_secs_f32() * 1_000.0 / usual_ms;
+        let median_latency_ms = self.upstreams.median_latency_ms().max(1.0);
+        let answers = interval.as_secs_f32() * 1_000.0 / median_latency_ms;
         self.overcommit = (OVERCOMMIT + OVERCOMMIT_PER_ANSWER * answers).min(MAX_OVERCOMMIT);
         let terms = LeaseTerms {
             slots: slots * self.overcommit,
@@ -478,7 +478,7 @@
         upstream: usize,
         ticket: &RequestTicket,
     ) -> SchedulerEffect {
-        self.shares.note_start(kind_index);
+        self.shares.record_start(kind_index);
         self.upstreams.add_outstanding(1.0);
         let warm_up = self.upstreams.warm_up();
         let state = self.upstreams.at_mut(upstream);
@@ -524,7 +524,7 @@
         }
     }
 
-    fn note_start_gap(&mut self, now: Moment, kind_index: usize, arrived: Moment) {
+    fn record_start_gap(&mut self, now: Moment, kind_index: usize, arrived: Moment) {
         let kind = self.shares.kind_mut(kind_index);
         let since = kind.last_start.map_or(arrived, |last| last.max(arrived));
         kind.last_start = Some(now);
@@ -538,7 +538,7 @@
 
     /// Returns the usual answer time.
     pub(super) fn usual(&self) -> Duration {
-        Duration::from_secs_f32(self.upstreams.usual_ms() / 1_000.0)
+        Duration::from_secs_f32(self.upstreams.median_latency_ms() / 1_000.0)
     }
 
     /// Returns the time that must be left when a request starts.
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -78,9 +78,9 @@
 
 /// A query for upstreams to probe.
 #[derive(Clone, Copy, Debug)]
-pub struct ProbeQuestion<'a> {
+pub struct ProbeQuery<'a> {
     /// Upstreams that were already probed.
-    pub asked: &'a [UpstreamId],
+    pub probed: &'a [UpstreamId],
     /// Most upstreams to probe.
     pub wanted: usize,
     /// Where to look.
@@ -113,23 +113,23 @@
         &mut self,
         now: Moment,
         ticket: &RequestTicket,
-        question: &ProbeQuestion<'_>,
+        query: &ProbeQuery<'_>,
     ) -> Vec<ProbeTarget> {
         if self.queue.len() > 0 || self.shares.index_of(ticket.kind).is_none() {
             return Vec::new();
         }
-        let asked = question.asked;
-        let passed = |id: &UpstreamId| asked.contains(id) || ticket.avoid.contains(id);
+        let probed = query.probed;
+        let passed = |id: &UpstreamId| probed.contains(id) || ticket.avoid.contains(id);
         let mut candidates = self.upstreams.probe_candidates(now, &self.zone, passed);
-        let stays = question.reach == ProbeReach::OwnZone && self.own_zone_responds(now);
+        let stays = query.reach == ProbeReach::OwnZone && self.own_zone_responds(now);
         if stays {
             candidates.retain(|upstream| !upstream.in_other_zone);
         }
         candidates.shuffle(&mut self.rng);
         let candidates = self.alternate_zones(now, candidates);
         self.probes.refill(now);
-        let limit = if self.probes.is_ample() { question.wanted } else { SCARCE_PROBES };
-        let count = self.probes.take(now, limit.min(question.wanted).min(candidates.len()));
+        let limit = if self.probes.is_ample() { query.wanted } else { SCARCE_PROBES };
+        let count = self.probes.take(now, limit.min(query.wanted).min(candidates.len()));
         let targets = candidates.into_iter().take(count).map(|upstream| {
             let announcement = &self.upstreams.at(upstream.index).record.announcement;
             ProbeTarget { upstream: announcement.id.clone(), address: announcement.address }
@@ -169,9 +169,9 @@
     /// Requests of the zone would probe them one after the other, wait for each, and come late
     /// while upstreams of other zones stand idle. An upstream that is only slow is probed again a
     /// second later. So is a silent zone, by requests that find no other.
-    pub fn note_unanswered(&mut self, now: Moment, upstream: &UpstreamId) {
+    pub fn record_probe_timeout(&mut self, now: Moment, upstream: &UpstreamId) {
         if let Some(index) = self.upstreams.index_of(upstream) {
-            self.upstreams.at_mut(index).note_unanswered(now);
+            self.upstreams.at_mut(index).record_probe_timeout(now);
         }
     }
 
@@ -218,14 +218,14 @@
             .filter_map(|reading| Some((self.reading_cost(now, reading)?, reading)))
             .min_by(|(a, _), (b, _)| a.rank().total_cmp(&b.rank()));
         let Some((PlacementCost { cost, delay_to_others, index, .. }, reading)) = best else {
-            readings.iter().for_each(|reading| self.note_reading(now, reading));
+            readings.iter().for_each(|reading| self.record_reading(now, reading));
             return self.arrive_unprobed(now, kind_index, ticket);
         };
         if self.queue.len() > 0 || !self.may_start(kind_index) || ticket.deadline <= now {
             return self.arrive(now, ticket);
         }
         for reading in readings {
-            self.note_reading(now, reading);
+            self.record_reading(now, reading);
         }
         self.probes.refill(now);
         if self.should_hold(now, kind_index, ticket, (index, reading), cost)
@@ -239,7 +239,7 @@
             let slots = self.upstreams.at(index).slots();
             let queueing = expected_queueing(slots, &reading.report, self.base_time(kind_index));
             let soonest = queueing.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
-            let retry_after = self.busy_period.note_refusal(now, soonest, &mut self.rng);
+            let retry_after = self.busy_period.record_refusal(now, soonest, &mut self.rng);
             return vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)];
         }
         let slots = self.upstreams.at(index).slots();
@@ -277,7 +277,7 @@
             return vec![self.start(now, kind_index, found, ticket)];
         }
         let soonest = self.base_time(kind_index).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
-        let retry_after = self.busy_period.note_refusal(now, soonest, &mut self.rng);
+        let retry_after = self.busy_period.record_refusal(now, soonest, &mut self.rng);
         vec![refusal(ticket.number, RefusalCause::PoolBusy, retry_after)]
     }
 
@@ -293,8 +293,13 @@
 
     /// Whether one of the probed upstreams should answer a request by its target.
     #[must_use]
-    pub fn is_soon(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
-        self.meets_target(now, ticket, readings, 1.0)
+    pub fn meets_target(
+        &self,
+        now: Moment,
+        ticket: &RequestTicket,
+        readings: &[ProbeReading],
+    ) -> bool {
+        self.meets_target_at_size(now, ticket, readings, 1.0)
     }
 
     /// Whether a request would start at the best of the probed upstreams, but its answer would come
@@ -307,14 +312,19 @@
     /// expensive. Once half of the probes are used up, the rest is kept for requests that would
     /// otherwise find no upstream at all.
     #[must_use]
-    pub fn is_risky(&self, now: Moment, ticket: &RequestTicket, readings: &[ProbeReading]) -> bool {
+    pub fn may_miss_target(
+        &self,
+        now: Moment,
+        ticket: &RequestTicket,
+        readings: &[ProbeReading],
+    ) -> bool {
         let starts = self.best_cost(now, readings).is_some_and(|cost| cost <= MAX_START_COST);
         let may_ask = starts && ticket.target.is_some() && self.probes.is_ample();
-        may_ask && !self.meets_target(now, ticket, readings, LARGE_WORK_FACTOR)
+        may_ask && !self.meets_target_at_size(now, ticket, readings, LARGE_WORK_FACTOR)
     }
 
     /// Whether work of `size` times the usual size should be answered by its target.
-    fn meets_target(
+    fn meets_target_at_size(
         &self,
         now: Moment,
         ticket: &RequestTicket,
@@ -357,7 +367,7 @@
     /// Returns until when a request may look for an upstream. After that its answer would miss its
     /// target, and its caller should be refused.
     #[must_use]
-    pub fn patience(&self, now: Moment, ticket: &RequestTicket) -> Moment {
+    pub fn placement_deadline(&self, now: Moment, ticket: &RequestTicket) -> Moment {
         let (Some(kind_index), Some(target)) = (self.shares.index_of(ticket.kind), ticket.target)
         else {
             return now;
@@ -388,7 +398,7 @@
 
     /// Whether any upstream has reported its load within the last second.
     #[must_use]
-    pub fn has_heard(&self, now: Moment) -> bool {
+    pub fn has_recent_reports(&self, now: Moment) -> bool {
         let mut readings = self.upstreams.available().filter_map(|state| state.last_report);
         readings.any(|(at, _)| now.since(at) <= RECENT_SPAN)
     }
@@ -403,7 +413,7 @@
     }
 
     /// Learns from an answer how long a kind's work takes where nothing slows it down.
-    fn note_base(&mut self, kind_index: usize, cost: f32, took: Duration) {
+    fn record_base(&mut self, kind_index: usize, cost: f32, took: Duration) {
         let kind = self.shares.kind_mut(kind_index);
         let sample = took.as_secs_f32() * 1_000.0 / cost;
         if kind.base_ms <= 0.0 {
@@ -413,10 +423,10 @@
         kind.base_ms += BASE_WEIGHT * (sample.min(kind.base_ms * MAX_BASE_RATIO) - kind.base_ms);
     }
 
-    fn note_reading(&mut self, now: Moment, reading: &ProbeReading) {
+    fn record_reading(&mut self, now: Moment, reading: &ProbeReading) {
         if let Some(index) = self.upstreams.index_of(&reading.upstream) {
             if let Some(left) = reading.report.cold_left {
-                self.upstreams.note_cold(now, index, left);
+                self.upstreams.record_cold(now, index, left);
             }
             // The reported cold time counts from now and holds until the next report, so it is not
             // stored.
@@ -485,7 +495,7 @@
 
     /// Learns from an answer how long the kind's work takes, and how accurate the upstream's load
     /// report was.
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &mut self,
         now: Moment,
         kind_index: usize,
@@ -496,7 +506,7 @@
         let took = now.since(running.started);
         let expected = self.base_time(kind_index).as_secs_f32() * cost;
         let state = self.upstreams.at_mut(running.upstream);
-        state.note_latency_ratio(now, took.as_secs_f32() / expected);
+        state.record_latency_ratio(now, took.as_secs_f32() / expected);
         // The two estimates are learned from different answers. Learned from the same answers, one
         // would compensate for the error of the other.
         match running.room {
@@ -506,12 +516,12 @@
                 if running.was_nearly_full && self.was_filled(running.upstream, report) =>
             {
                 let longer = (took.as_secs_f32() / expected - 1.0) / FULL_TIME_PART;
-                self.last_slot_cost.note(1.0 + longer);
+                self.last_slot_cost.record(1.0 + longer);
             }
-            Some(SlotRoom::Free) => self.note_base(kind_index, cost, took),
+            Some(SlotRoom::Free) => self.record_base(kind_index, cost, took),
             Some(SlotRoom::Last) => {
                 let usual = expected / (1.0 + self.last_slot_cost.estimate());
-                self.last_slot_cost.note(took.as_secs_f32() / usual);
+                self.last_slot_cost.record(took.as_secs_f32() / usual);
             }
             Some(SlotRoom::Full) | None => {}
         }
--- a/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
@@ -167,7 +167,7 @@
     // Holding
 
     /// Puts a version in force that this host's own replica knows to be committed.
-    pub fn committed(&mut self, plan: &StoredPlan) {
+    pub fn apply_committed_plan(&mut self, plan: &StoredPlan) {
         if self.held.as_ref().is_some_and(|held| held.version >= plan.version) {
             return;
         }
@@ -186,7 +186,7 @@
         }
         self.held = Some(plan);
         match &mut self.fetch {
-            Some(fetch) if fetch.goal() > version => fetch.note_held(version),
+            Some(fetch) if fetch.goal() > version => fetch.record_held(version),
             _ => self.fetch = None,
         }
         // A host that sent a lease for this version has already announced that it can be fetched.
--- a/crates/pulley_core/src/version/replica/replica_log.rs
+++ b/crates/pulley_core/src/version/replica/replica_log.rs
@@ -4,25 +4,27 @@
 use std::sync::Arc;
 
 use super::{
-    LogCommand, LogEntry, LogIndex, LogTime, RecoveredState, ReplicaMembership, SnapshotPlace, Term,
+    LogCommand, LogEntry, LogIndex, LogTime, RecoveredState, ReplicaMembership, SnapshotPosition,
+    Term,
 };
 
 /// The entries after the newest snapshot, and the memberships among them.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicaLog {
-    base: SnapshotPlace,
+    base: SnapshotPosition,
     entries: VecDeque<Arc<LogEntry>>,
     memberships: Vec<(LogIndex, ReplicaMembership)>,
-    weight: usize,
+    estimated_bytes: usize,
 }
 
 impl ReplicaLog {
     pub(crate) fn recover(recovered: &RecoveredState, founders: ReplicaMembership) -> Self {
         let base = recovered.snapshot.as_ref().map_or_else(
-            || SnapshotPlace { members: founders, ..SnapshotPlace::default() },
-            |snapshot| snapshot.place.clone(),
+            || SnapshotPosition { members: founders, ..SnapshotPosition::default() },
+            |snapshot| snapshot.position.clone(),
         );
-        let mut log = Self { base, entries: VecDeque::new(), memberships: Vec::new(), weight: 0 };
+        let mut log =
+            Self { base, entries: VecDeque::new(), memberships: Vec::new(), estimated_bytes: 0 };
         for entry in &recovered.entries {
             if entry.index > log.base.index {
                 log.append(entry.clone());
@@ -33,7 +35,7 @@
 
     pub(crate) fn append(&mut self, entry: Arc<LogEntry>) {
         debug_assert_eq!(entry.index, self.last_index().next(), "entries are consecutive");
-        self.weight += entry.weight();
+        self.estimated_bytes += entry.estimated_bytes();
         if let LogCommand::Members { members, .. } = &entry.command {
             self.memberships.push((entry.index, members.clone()));
         }
@@ -44,7 +46,7 @@
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         while self.last_index() >= index {
             let Some(entry) = self.entries.pop_back() else { break };
-            self.weight -= entry.weight();
+            self.estimated_bytes -= entry.estimated_bytes();
         }
         self.memberships.retain(|(at, _)| *at < index);
     }
@@ -54,29 +56,29 @@
     pub(crate) fn compact(&mut self, upto: LogIndex, keep: usize) {
         let mut new_base = None;
         while let Some(entry) = self.entries.front() {
-            if entry.index > upto || self.weight <= keep {
+            if entry.index > upto || self.estimated_bytes <= keep {
                 break;
             }
             let (index, term, time) = (entry.index, entry.term, entry.time);
-            self.weight -= entry.weight();
+            self.estimated_bytes -= entry.estimated_bytes();
             self.entries.pop_front();
             new_base = Some((index, term, time));
         }
         let Some((index, term, time)) = new_base else { return };
         let members = self.members_at(index).clone();
         self.memberships.retain(|(at, _)| *at > index);
-        self.base = SnapshotPlace { index, term, time, members };
+        self.base = SnapshotPosition { index, term, time, members };
     }
 
     /// Replaces the whole log by a snapshot from the leader.
-    pub(crate) fn reset(&mut self, place: SnapshotPlace) {
+    pub(crate) fn reset(&mut self, position: SnapshotPosition) {
         self.entries.clear();
         self.memberships.clear();
-        self.weight = 0;
-        self.base = place;
+        self.estimated_bytes = 0;
+        self.base = position;
     }
 
-    pub(crate) fn base(&self) -> &SnapshotPlace {
+    pub(crate) fn base(&self) -> &SnapshotPosition {
         &self.base
     }
 
@@ -93,8 +95,8 @@
     }
 
     /// Returns the estimated size of the held entries, in bytes.
-    pub(crate) fn weight(&self) -> usize {
-        self.weight
+    pub(crate) fn estimated_bytes(&self) -> usize {
+        self.estimated_bytes
     }
 
     /// Returns the entry at an index, if it is held.
@@ -115,11 +117,11 @@
     /// is one.
     pub(crate) fn slice(&self, from: LogIndex, bytes: usize) -> Vec<Arc<LogEntry>> {
         let mut taken = Vec::new();
-        let mut weight = 0;
+        let mut estimated_bytes = 0;
         let mut index = from;
         while let Some(entry) = self.entry(index) {
-            weight += entry.weight();
-            if weight > bytes && !taken.is_empty() {
+            estimated_bytes += entry.estimated_bytes();
+            if estimated_bytes > bytes && !taken.is_empty() {
                 break;
             }
             taken.push(entry.clone());
--- a/crates/pulley_core/src/version/replica/replica_machines.rs
+++ b/crates/pulley_core/src/version/replica/replica_machines.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ChangeAnswer, ConfigurationMachine, DepartureMachine, EvacuationMachine, LedgerMachine,
-    LedgerOutcome, LogCommand, LogEntry, ReplicaMembership, ReplicaSnapshot, SnapshotPlace,
+    LedgerOutcome, LogCommand, LogEntry, ReplicaMembership, ReplicaSnapshot, SnapshotPosition,
     ZoneAnswer,
 };
 
@@ -62,17 +62,17 @@
     ///
     /// # Errors
     /// If the state cannot be encoded.
-    pub fn snapshot(&self, place: SnapshotPlace) -> postcard::Result<Arc<ReplicaSnapshot>> {
+    pub fn snapshot(&self, position: SnapshotPosition) -> postcard::Result<Arc<ReplicaSnapshot>> {
         let state = Bytes::from(postcard::to_allocvec(self)?);
-        Ok(Arc::new(ReplicaSnapshot { place, state }))
+        Ok(Arc::new(ReplicaSnapshot { position, state }))
     }
 
     /// Applies a committed entry.
     pub fn apply(&mut self, entry: &LogEntry) -> MachineOutcome {
         match &entry.command {
             LogCommand::Blank => MachineOutcome::Nothing,
-            LogCommand::Members { members, actor, unix_ms, what } => {
-                self.configuration.note_members(entry.index, *unix_ms, actor, what);
+            LogCommand::Members { members, actor, unix_ms, description } => {
+                self.configuration.record_member_change(entry.index, *unix_ms, actor, description);
                 MachineOutcome::Members(members.clone())
             }
             LogCommand::Change(change) => {
@@ -87,7 +87,7 @@
             }
             LogCommand::Zone(order) => {
                 let answer = self.evacuations.apply(entry.index, order);
-                self.configuration.note_zone(entry.index, order, &answer);
+                self.configuration.record_zone_order(entry.index, order, &answer);
                 MachineOutcome::Zone(answer)
             }
         }
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use pulley_core::process::{
-    Announcement, CoordinatorOutput, CountDelta, CountSum, Incarnation, PoolCoordinator,
+    Announcement, CoordinatorOutput, CountReport, CountSum, Incarnation, PoolCoordinator,
     ProbeBudget, ProbeRate, ShareFraction, SlotCount, UpstreamPhase, UpstreamRecord,
     UpstreamSequence, coordinator_for,
 };
 use pulley_core::request::{
     AttemptOutcome, KindDemand, PoolScheduler, RequestNumber, RequestTicket, RetryAllowance,
-    RetryBudget, RetryDecision, RetryQuestion, SchedulerEffect, divide_slots,
+    RetryBudget, RetryDecision, RetryInputs, SchedulerEffect, divide_slots,
 };
 use pulley_core::version::{KindPlan, MethodMatch, RequestPriority, RouteTerms, WorkLength};
 use pulley_core::{HostId, IndexedPlan, Moment, PolicyPlan, RequestVerdict};
@@ -35,7 +35,7 @@
         method: MethodMatch::Any,
         path_prefix: "/".into(),
         priority: RequestPriority(priority),
-        share: ShareFraction::from_parts(parts).expect("share"),
+        share: ShareFraction::from_basis_points(parts).expect("share"),
         reserved_slots: SlotCount(1),
         deadline: Duration::from_millis(300),
         idempotent: true,
@@ -99,7 +99,7 @@
 
 #[derive(Clone)]
 enum CountFrame {
-    Delta(Box<CountDelta>),
+    Report(Box<CountReport>),
     Sum(Box<CountSum>),
 }
 
@@ -155,9 +155,9 @@
             }
             for entry in 0..self.entries.len() {
                 effects.extend(self.entries[entry].tick(now));
-                for (_, delta) in self.entries[entry].take_deltas(now) {
-                    let to = delta.to.as_ref().map_or(self.coordinator_host, index_of);
-                    self.send(now, entry, to, &CountFrame::Delta(Box::new(delta)));
+                for (_, report) in self.entries[entry].take_reports(now) {
+                    let to = report.to.as_ref().map_or(self.coordinator_host, index_of);
+                    self.send(now, entry, to, &CountFrame::Report(Box::new(report)));
                 }
             }
             self.coordinate(now);
@@ -187,12 +187,12 @@
         effects: &mut Vec<SchedulerEffect>,
     ) {
         match frame {
-            CountFrame::Delta(delta) => {
+            CountFrame::Report(report) => {
                 if to == self.coordinator_host {
-                    self.coordinator.receive(now, &host(from), &delta);
+                    self.coordinator.receive(now, &host(from), &report);
                 }
                 if let Some(entry) = self.entries.get_mut(to) {
-                    entry.receive_report(&host(from), &delta);
+                    entry.receive_report(&host(from), &report);
                 }
             }
             CountFrame::Sum(sum) => {
@@ -235,8 +235,8 @@
     for number in 0..3 {
         scheduler.arrive(now, &ticket(number, 1, now + Duration::from_secs(1)));
     }
-    for (_, delta) in scheduler.take_deltas(now) {
-        coordinator.receive(now, &host(0), &delta);
+    for (_, report) in scheduler.take_reports(now) {
+        coordinator.receive(now, &host(0), &report);
     }
     coordinator.apply_plan(now, plan);
     coordinator.apply_upstreams(now, &records(5));
@@ -353,7 +353,7 @@
                 let ticket = ticket(number * 4 + entry as u64, rng.random_range(0..3), deadline);
                 outcomes.insert(ticket.number.0, 0);
                 let effects = network.entries[entry].arrive(now, &ticket);
-                note(&effects, &mut outcomes, &mut running);
+                record_effects(&effects, &mut outcomes, &mut running);
                 number += 1;
             }
             if !running.is_empty() && rng.random_bool(0.9) {
@@ -365,15 +365,15 @@
                 };
                 let ended =
                     network.entries[entry].finish(now, RequestNumber(number), outcome, None);
-                note(&ended, &mut outcomes, &mut running);
+                record_effects(&ended, &mut outcomes, &mut running);
             }
             let effects = network.run(now, now + 2 * MS);
-            note(&effects, &mut outcomes, &mut running);
+            record_effects(&effects, &mut outcomes, &mut running);
             now = now + 2 * MS;
         }
         outcomes.values().all(|count| *count == 1)
     }
-    fn note(
+    fn record_effects(
         effects: &[SchedulerEffect],
         outcomes: &mut BTreeMap<u64, u32>,
         running: &mut Vec<(u64, usize)>,
@@ -494,16 +494,16 @@
     assert!(slow[1] <= 20, "the slow upstream still got {} of the last 2,000 requests", slow[1]);
 }
 
-fn failed_once() -> RetryQuestion {
-    RetryQuestion {
+fn failed_once() -> RetryInputs {
+    RetryInputs {
         most_attempts: 2,
         outcome: AttemptOutcome::Failed,
         verdict: RequestVerdict::MayHaveRun,
         idempotent: true,
         attempt: 0,
-        retried_below: false,
-        left: 500 * MS,
-        typical: 20 * MS,
+        retried_downstream: false,
+        time_left: 500 * MS,
+        min_time: 20 * MS,
     }
 }
 
@@ -512,18 +512,18 @@
 #[test]
 fn one_layer_retries_within_its_budget() {
     let mut budget = RetryBudget::new();
-    let question = RetryQuestion { most_attempts: 3, ..failed_once() };
+    let inputs = RetryInputs { most_attempts: 3, ..failed_once() };
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.note_request();
-        retries += u32::from(budget.decide(&question) == RetryDecision::Retry);
+        budget.record_request();
+        retries += u32::from(budget.decide(&inputs) == RetryDecision::Retry);
     }
     assert!((100..=103).contains(&retries), "{retries} retries of 1,000 requests");
     for above in [
-        RetryQuestion { retried_below: true, ..question },
-        RetryQuestion { idempotent: false, ..question },
-        RetryQuestion { attempt: 2, ..question },
-        RetryQuestion { left: 10 * MS, ..question },
+        RetryInputs { retried_downstream: true, ..inputs },
+        RetryInputs { idempotent: false, ..inputs },
+        RetryInputs { attempt: 2, ..inputs },
+        RetryInputs { time_left: 10 * MS, ..inputs },
     ] {
         assert_ne!(RetryBudget::new().decide(&above), RetryDecision::Retry, "{above:?}");
     }
@@ -538,7 +538,7 @@
     for entries in [3_usize, 20, 29] {
         let fresh = || RetryBudget::within(allowance, u32::try_from(entries).expect("few"));
         let mut budgets: Vec<RetryBudget> = (0..entries).map(|_| fresh()).collect();
-        let question = failed_once();
+        let inputs = failed_once();
         let mut rng = StdRng::seed_from_u64(3);
         let mut seconds = vec![(0_u32, 0_u32); 40];
         for (second, counted) in seconds.iter_mut().enumerate() {
@@ -548,8 +548,8 @@
             for _ in 0..200 {
                 // Some entries get several times the requests of others.
                 let entry = rng.random_range(0..entries).min(rng.random_range(0..entries));
-                budgets[entry].note_request();
-                let retries = budgets[entry].decide(&question) == RetryDecision::Retry;
+                budgets[entry].record_request();
+                let retries = budgets[entry].decide(&inputs) == RetryDecision::Retry;
                 counted.0 += 1;
                 counted.1 += u32::from(retries);
             }
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -34,7 +34,7 @@
 
 fn order(network: &mut Network, zones: &Arc<EvacuatedZones>) {
     let (leader, _) = network.leader.unwrap();
-    network.hosts[leader].plans.committed_zones(zones);
+    network.hosts[leader].plans.apply_committed_zones(zones);
     network.publish(1, 10);
 }
 
@@ -124,7 +124,7 @@
     let report = |network: &mut Network, replica: usize, last: u64| {
         let replicas = network.replicas.clone();
         let plans = &mut network.hosts[replica].plans;
-        plans.set_replica(replicas, ConfigVersion(1), LogIndex(last));
+        plans.set_log_report(replicas, ConfigVersion(1), LogIndex(last));
     };
     (0..5).for_each(|replica| report(&mut network, replica, 20));
     network.leader = None;
@@ -157,7 +157,7 @@
         registry.announce(now, announcement(upstream, 1, 1)).unwrap();
     }
     assert_eq!(open_zones(&mut registry, now).len(), 5);
-    registry.evacuate(&[zone(1), zone(3)]);
+    registry.set_evacuated_zones(&[zone(1), zone(3)]);
     assert_eq!(open_zones(&mut registry, now), [zone(0), zone(2), zone(4)]);
     let late = announcement(11, 1, 1);
     let restarted = announcement(1, 2, 1);
@@ -168,6 +168,6 @@
         assert!(!registry.takes_work(now, &id));
     }
     assert_eq!(open_zones(&mut registry, now), [zone(0), zone(2), zone(4)]);
-    registry.evacuate(&[zone(3)]);
+    registry.set_evacuated_zones(&[zone(3)]);
     assert_eq!(open_zones(&mut registry, now), [zone(0), zone(1), zone(2), zone(4)]);
 }
--- a/crates/pulley_core/tests/members/restart_tests.rs
+++ b/crates/pulley_core/tests/members/restart_tests.rs
@@ -5,12 +5,12 @@
 use pulley_core::version::{LogIndex, PlanStanding, ReplicaSet};
 use pulley_core::{ConfigVersion, HostId};
 
-use crate::network::{Kind, Network, announcement, host_name};
+use crate::network::{MessageKind, Network, announcement, host_name};
 
 const SECOND: Duration = Duration::from_secs(1);
 const REPLICAS: usize = 5;
 
-fn sent(network: &Network, kind: Kind, hosts: std::ops::Range<usize>) -> u64 {
+fn sent(network: &Network, kind: MessageKind, hosts: std::ops::Range<usize>) -> u64 {
     let sent = network.hosts[hosts].iter().filter_map(|host| host.sent.get(&kind));
     sent.map(|(messages, _)| messages).sum()
 }
@@ -23,11 +23,11 @@
     const HOSTS: usize = 200;
     let mut network = Network::new(HOSTS, 41);
     let replicas: Vec<HostId> = (0..REPLICAS).map(host_name).collect();
-    network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
+    network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
     network.run_for(SECOND);
-    let before = sent(&network, Kind::Plan, 0..REPLICAS);
+    let before = sent(&network, MessageKind::Plan, 0..REPLICAS);
     network.run_for(SECOND);
-    let answers = sent(&network, Kind::Plan, 0..REPLICAS) - before;
+    let answers = sent(&network, MessageKind::Plan, 0..REPLICAS) - before;
     // Each replica answers each entry five times a second at most.
     let most = 5 * (HOSTS * REPLICAS) as u64;
     assert!(answers <= most, "{answers} answers of the replicas within a second, at most {most}");
@@ -54,11 +54,15 @@
     network.replicas = ReplicaSet { index: 1, hosts };
     for replica in 0..REPLICAS {
         let replicas = network.replicas.clone();
-        network.hosts[replica].plans.set_replica(replicas, ConfigVersion(1), LogIndex::default());
+        network.hosts[replica].plans.set_log_report(
+            replicas,
+            ConfigVersion(1),
+            LogIndex::default(),
+        );
     }
     if knows_replicas {
         let replicas = network.replicas.hosts.clone();
-        network.hosts.iter_mut().for_each(|host| host.plans.apply_replicas(&replicas));
+        network.hosts.iter_mut().for_each(|host| host.plans.set_announced_replicas(&replicas));
     }
     network.run_for(SECOND);
     network.leader = Some((0, 1));
@@ -79,12 +83,12 @@
     const UPSTREAMS: usize = 100;
     let mut network = Network::new(HOSTS, 43);
     network.run_for(5 * SECOND);
-    let before = sent(&network, Kind::Upstream, 0..HOSTS);
+    let before = sent(&network, MessageKind::Upstream, 0..HOSTS);
     for upstream in 0..UPSTREAMS {
         network.announce(upstream % REPLICAS, announcement(upstream, 1, 1));
         network.run_for(SECOND / 100);
     }
-    let messages = (sent(&network, Kind::Upstream, 0..HOSTS) - before) / HOSTS as u64;
+    let messages = (sent(&network, MessageKind::Upstream, 0..HOSTS) - before) / HOSTS as u64;
     // Twenty sends a second to four hosts each, and as many messages again for comparisons.
     assert!(messages <= 160, "{messages} messages of each host within a second");
     network.run_for(SECOND);
--- a/crates/pulleyd/src/process/control_api.rs
+++ b/crates/pulleyd/src/process/control_api.rs
@@ -52,12 +52,13 @@
     ///
     /// # Errors
     /// Returns the same faults as [`Self::announce`].
-    pub async fn announce_gone(
+    pub async fn announce_departure(
         &self,
         id: UpstreamId,
         incarnation: Option<Incarnation>,
     ) -> Result<()> {
-        with_timeout(self.control.ask(|reply| ControlRequest::Gone(id, incarnation, reply))).await?
+        with_timeout(self.control.ask(|reply| ControlRequest::UpstreamLeft(id, incarnation, reply)))
+            .await?
     }
 
     /// Puts a configuration in force. After the answer `Unknown` it may be sent again.
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -239,7 +239,7 @@
         schedulers: parts.schedulers,
         share_counts: settings.share_counts,
         upstream_lease: settings.traffic.upstream_lease,
-        serves_on: settings.traffic.serves_on,
+        serves_without_quorum: settings.traffic.serves_without_quorum,
         link_rate: settings.traffic.link_kbps.map(|rate| f64::from(rate) * BYTES_PER_KBIT),
         seed,
     });
@@ -281,7 +281,7 @@
     let listen = settings.peers_listen;
     let mut link_settings =
         LinkSettings::new(host.clone(), cluster.clone(), listen, key_ring.clone())
-            .with_process(rand::random());
+            .with_process_id(rand::random());
     let own: IpAddr = settings.own_address();
     if !own.is_unspecified() {
         link_settings = link_settings.with_bind_ip(own);
@@ -373,7 +373,7 @@
                     while let Some(part) = take_same(&mut outputs, to) {
                         parts.push(part);
                     }
-                    self.datagrams.send_all(to, &parts);
+                    self.datagrams.send_bundle(to, &parts);
                 }
                 ControlOutput::Persist(batch) => outputs.extend(self.persist(batch)),
                 ControlOutput::ReadAudit(read) => outputs.extend(self.read_audit(read)),
@@ -389,7 +389,7 @@
     }
 
     fn read_audit(&mut self, read: AuditRead) -> Vec<ControlOutput> {
-        let number = read.read;
+        let number = read.id;
         let submitted = self.disk.as_ref().map(|disk| disk.audit.submit(read));
         if matches!(submitted, Some(Ok(()))) {
             return Vec::new();
@@ -452,7 +452,7 @@
     /// the cluster its majority.
     fn reopen_full_disk(&mut self, inbox: &mut ControlInbox) {
         let now = self.clock.now();
-        if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_full) {
+        if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_disk_full) {
             warn!(self.logger, "disk-full"; "retry_ms" => millis(REOPEN_DELAY));
             self.reopen_at = Some(now + REOPEN_DELAY);
         }
@@ -538,7 +538,7 @@
         self.logged_spread = counts;
         self.next_spread_log = now + SPREAD_LOG_INTERVAL;
         let follower = &self.core.follower;
-        let awaited = follower.awaited().map(|version| version.to_string());
+        let awaited = follower.awaited_version().map(|version| version.to_string());
         info!(self.logger, "configuration-spread"; "version" => %follower.version(),
             "awaited" => awaited, "fetches" => counts.fetches,
             "dropped_paths" => counts.dropped_paths, "windows_asked" => counts.windows_asked,
@@ -548,7 +548,7 @@
     }
 
     fn apply_addresses(&mut self) {
-        for host in self.core.members.take_moved() {
+        for host in self.core.members.take_changed_hosts() {
             match self.core.members.find(&host) {
                 Some(record) => self.links.set_address(&host, record.peer_address),
                 None => self.links.forget(&host),
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -102,7 +102,7 @@
     /// Returns the fault that prevented the start. Nothing runs then.
     pub fn start(settings: DaemonSettings, logger: Logger) -> DaemonResult<Self> {
         let key_ring = KeyRing::load(&settings.secret_file)?;
-        Self::start_with(settings, DaemonProtocol::default(), key_ring, logger)
+        Self::start_with_protocol(settings, DaemonProtocol::default(), key_ring, logger)
     }
 
     /// Starts a daemon like [`Self::start`], with another protocol than its own towards callers,
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Returns the fault that prevented the start. Nothing runs then.
-    pub fn start_with(
+    pub fn start_with_protocol(
         settings: DaemonSettings,
         protocol: DaemonProtocol,
         key_ring: KeyRing,
@@ -428,7 +428,7 @@
     loop {
         let current = view.load();
         metrics.record_view(current.version.0, view.readiness() == HostReadiness::Ready);
-        metrics.record_awaited(current.awaited);
+        metrics.record_awaited_version(current.awaited_version);
         metrics.record_zones(current.evacuated.zones.len(), current.evacuated_upstreams());
         tokio::time::sleep(METRICS_INTERVAL).await;
     }
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -59,20 +59,20 @@
     context: Arc<TrafficContext>,
     caller: Option<IpAddr>,
     refuses_all: bool,
-    arrival: FirstArrival,
+    first_request: FirstRequestFlag,
 }
 
 /// Records whether a connection has received a request yet.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FirstArrival(Arc<AtomicBool>);
+pub(crate) struct FirstRequestFlag(Arc<AtomicBool>);
 
-impl FirstArrival {
+impl FirstRequestFlag {
     /// Whether a request has arrived.
-    pub(crate) fn has_come(&self) -> bool {
+    pub(crate) fn has_arrived(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
-    fn note(&self) {
+    fn record(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
@@ -91,7 +91,12 @@
     /// Creates a forwarder over the context that all requests share.
     #[must_use]
     pub fn new(context: Arc<TrafficContext>) -> Self {
-        Self { context, caller: None, refuses_all: false, arrival: FirstArrival::default() }
+        Self {
+            context,
+            caller: None,
+            refuses_all: false,
+            first_request: FirstRequestFlag::default(),
+        }
     }
 
     /// Sets the caller whose connection it serves.
@@ -103,14 +108,14 @@
 
     /// Refuses every request as not run, because the process is at its connection limit.
     #[must_use]
-    pub(crate) const fn refusing_all(mut self) -> Self {
+    pub(crate) const fn with_all_refused(mut self) -> Self {
         self.refuses_all = true;
         self
     }
 
     /// Returns the flag that shows whether the connection has received a request yet.
-    pub(crate) fn arrival(&self) -> FirstArrival {
-        self.arrival.clone()
+    pub(crate) fn first_request_flag(&self) -> FirstRequestFlag {
+        self.first_request.clone()
     }
 
     /// Forwards one request and answers it; on a host that has just started, once it is ready.
@@ -155,7 +160,7 @@
         let method = request.method().as_str();
         let host = requested_host(request.uri(), request.headers());
         let found = view.plan.find(host, method, request.uri().path(), rand::random());
-        let Some((_, row)) = found else { return view.awaited.is_none() };
+        let Some((_, row)) = found else { return view.awaited_version.is_none() };
         let upstreams = view.upstreams.get(&row.pool);
         upstreams.is_some_and(|records| records.iter().any(|record| record.takes_work))
     }
@@ -177,7 +182,7 @@
     }
 
     fn accept(&self, request: Request<Incoming>, arrived: Moment) -> Result<ForwardFuture> {
-        self.arrival.note();
+        self.first_request.record();
         let permit = self.acquire_permit()?;
         let admitted = self.admit(request, arrived)?;
         let row = admitted.kind.row();
@@ -279,7 +284,7 @@
 /// told to come back only while a newer version is known to be on its way, so that what no version
 /// allows is soon denied.
 fn deny_by_plan(view: &RunningView, denial: SystemAnswer) -> SystemAnswer {
-    match view.awaited {
+    match view.awaited_version {
         Some(_) => SystemAnswer::refused(RefusalCause::ConfigurationBehind, Some(BEHIND_RETRY)),
         None => denial,
     }
@@ -323,7 +328,7 @@
 ) -> Result<Response<AnswerBody>> {
     let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
     let gathering = BodySource::gather(body, context.limits.keyed_bytes);
-    let gathered = context.timer.limit(terms.deadline, gathering).await;
+    let gathered = context.timer.run_until(terms.deadline, gathering).await;
     let (body, data) = match gathered {
         Some(Ok(gathered)) => gathered,
         Some(Err(fault)) => return Err(gather_fault_answer(&fault)),
@@ -370,7 +375,7 @@
         "verdict" => %answer.verdict, "attempts" => refused.attempts,
         "upstream" => refused.upstream.as_ref().map(ToString::to_string),
         "held_ms" => u64::try_from(refused.elapsed.as_millis()).unwrap_or(u64::MAX),
-        "config" => view.version.0, "awaited" => view.awaited.map(|version| version.0),
+        "config" => view.version.0, "awaited" => view.awaited_version.map(|version| version.0),
         "retry_after_ms" => answer.retry_after.map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)));
     if closes_connection {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -10,7 +10,7 @@
 use pulley_core::process::{FastMap, Incarnation, UpstreamChange, UpstreamList, UpstreamRecord};
 use pulley_core::request::{
     AttemptOutcome, LoadReport, PoolScheduler, ProbeReading, RequestNumber, RequestTicket,
-    RetryAllowance, RetryBudget, RetryDecision, RetryQuestion, SchedulerEffect, SchedulerEffects,
+    RetryAllowance, RetryBudget, RetryDecision, RetryInputs, SchedulerEffect, SchedulerEffects,
 };
 use pulley_core::version::KindPlan;
 use pulley_core::{HostId, IndexedPlan, Moment, PoolName, RefusalCause, UpstreamId, ZoneName};
@@ -154,7 +154,7 @@
         let (receiver, effects) = {
             let mut state = cell.state.lock();
             if ticket.attempt == 0 {
-                state.retries.note_request();
+                state.retries.record_request();
             }
             let now = self.clock.now();
             let mut effects = match readings {
@@ -218,10 +218,10 @@
 
     /// Decides whether a failed attempt is retried, and charges the retry to the pool's budget.
     #[must_use]
-    pub fn decide_retry(&self, pool: &PoolName, question: &RetryQuestion) -> RetryDecision {
+    pub fn decide_retry(&self, pool: &PoolName, inputs: &RetryInputs) -> RetryDecision {
         match self.cell(pool) {
-            Some(cell) => cell.state.lock().retries.decide(question),
-            None => RetryBudget::new().decide(question),
+            Some(cell) => cell.state.lock().retries.decide(inputs),
+            None => RetryBudget::new().decide(inputs),
         }
     }
 
@@ -303,7 +303,7 @@
     /// Drops pools that the plan no longer names once their queues are empty.
     fn retire_pools(&self, plan: &IndexedPlan) {
         let is_kept = |pool: &PoolName, cell: &Arc<PoolCell>| {
-            plan.names_pool(pool) || !cell.state.lock().waiting.is_empty()
+            plan.contains_pool(pool) || !cell.state.lock().waiting.is_empty()
         };
         if self.pools.load().iter().all(|(pool, cell)| is_kept(pool, cell)) {
             return;
@@ -369,7 +369,7 @@
     ) -> Option<SchedulerEffects> {
         let mut state = self.state.lock();
         let is_same_plan = Arc::ptr_eq(&state.plan, plan);
-        let is_same_list = state.upstreams.is_same(&upstreams);
+        let is_same_list = state.upstreams.ptr_eq(&upstreams);
         if is_same_plan && is_same_list {
             return None;
         }
--- a/crates/pulleyd/tests/request_behind.rs
+++ b/crates/pulleyd/tests/request_behind.rs
@@ -18,8 +18,8 @@
 
 fn set_awaited(entry: &TestEntry, version: Option<u64>) {
     let view = &entry.context.view;
-    let awaited = version.map(ConfigVersion);
-    view.store(RunningView { awaited, ..RunningView::clone(&view.load()) });
+    let awaited_version = version.map(ConfigVersion);
+    view.store(RunningView { awaited_version, ..RunningView::clone(&view.load()) });
 }
 
 /// Narrows the limits of the version in force.
@@ -56,7 +56,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_behind_asks_callers_back_within_a_part_of_their_deadline() {
     let upstream = FakeUpstream::healthy("done").await;
-    let dialect = HeaderDialect { own_headers: false, ..HeaderDialect::default() };
+    let dialect = HeaderDialect { sends_system_headers: false, ..HeaderDialect::default() };
     let entry = EntryBuilder::new().dialect(dialect).start(&[&upstream]).await;
     set_awaited(&entry, Some(8));
     let answer = entry.post("/ticket", "x").await;
@@ -135,7 +135,7 @@
     let plan = Arc::default();
     view.store(RunningView {
         plan,
-        awaited: Some(ConfigVersion(8)),
+        awaited_version: Some(ConfigVersion(8)),
         ..RunningView::clone(&newest)
     });
     tokio::spawn(async move {
