--- a/crates/pulley_core/src/process/counts/count_link.rs
+++ b/crates/pulley_core/src/process/counts/count_link.rs
@@ -31,8 +31,9 @@
 const MIN_DIRECT_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_DIRECT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long the largest number of entries is remembered. The number divides the probe budget
-/// between the sides of a network partition, and partitions between regions last for minutes.
+/// How long the largest number of entries that a sum has reported is kept. The number divides the
+/// probe budget between the sides of a network partition, and partitions between regions last for
+/// minutes.
 const KNOWN_RETENTION: Duration = Duration::from_secs(600);
 
 /// The shortest delay between a sum and the report that answers it.
@@ -173,7 +174,8 @@
         (age < self.term()).then_some(age)
     }
 
-    /// Returns when the newest sum expires; `None` if it has already been dropped.
+    /// Returns when the newest sum expires; `None` if none has arrived or it has already been
+    /// dropped.
     pub(crate) fn expires_at(&self) -> Option<Moment> {
         Some(self.last_sum_at? + self.term())
     }
--- a/crates/pulley_core/src/process/counts/count_message.rs
+++ b/crates/pulley_core/src/process/counts/count_message.rs
@@ -49,12 +49,12 @@
     /// The destination host; `None` for the zone's coordinator. It is not sent.
     #[serde(skip)]
     pub to: Option<HostId>,
-    /// The pool.
+    /// The pool whose requests are counted.
     pub pool: PoolName,
     /// The zone whose coordinator should receive it; `None` in an answer to a round.
     pub zone: Option<ZoneName>,
-    /// The epoch of the answered sum. Without a round it is the highest epoch seen, and a new
-    /// coordinator chooses a higher one.
+    /// The epoch of the answered sum. In a direct report it is the highest epoch seen, so that a
+    /// new coordinator can choose a higher one.
     pub epoch: CountEpoch,
     /// The coordinator of that epoch.
     pub coordinator: CountKey,
@@ -68,14 +68,14 @@
     pub hosts: u16,
     /// The largest number of entries that recent sums have reported to the sender.
     pub largest_known: u16,
-    /// The counts.
+    /// The counts by upstream and by kind.
     pub rows: CountRows,
 }
 
 /// The counts of all entries, as a coordinator publishes them down a tree of entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountSum {
-    /// The pool.
+    /// The pool whose requests are counted.
     pub pool: PoolName,
     /// The coordinator that publishes it.
     pub coordinator: CountKey,
@@ -97,7 +97,7 @@
     pub sender: HostId,
     /// The entries to which the receiver forwards it, directly or through others.
     pub route: Vec<HostId>,
-    /// The counts.
+    /// The counts by upstream and by kind.
     pub rows: CountRows,
 }
 
--- a/crates/pulley_core/src/process/counts/count_rows.rs
+++ b/crates/pulley_core/src/process/counts/count_rows.rs
@@ -87,8 +87,8 @@
         self.keys.len()
     }
 
-    /// Maps each row of a message to its position in this list; `None` if the message cannot be
-    /// read here.
+    /// Maps each row of a message to its position in this list; `None` if the message is based on
+    /// another list and carries no keys.
     pub(crate) fn indices(&self, rows: &CountRows) -> Option<Vec<Option<usize>>> {
         if rows.layout_digest == self.digest {
             let first = usize::from(rows.first);
--- a/crates/pulley_core/src/process/counts/pool_coordinator.rs
+++ b/crates/pulley_core/src/process/counts/pool_coordinator.rs
@@ -51,7 +51,7 @@
 /// authentication tag, and 28 for names, epoch and round.
 const MESSAGE_OVERHEAD: u32 = 84;
 
-/// How long the latest result of an upstream is fresh; the upstream is not probed meanwhile.
+/// An upstream that was probed or answered a caller's request within this time is not probed.
 const FRESH: Duration = Duration::from_millis(500);
 
 /// How long a new coordinator waits before it probes, so that its predecessor can learn that it has
@@ -228,8 +228,9 @@
         if report.pool != self.pool || report.zone.as_ref().is_some_and(|zone| *zone != self.zone) {
             return;
         }
-        // An entry that has seen the same or a higher epoch of another coordinator ignores this
-        // one's. That host was coordinator before, or is one for entries that cannot see this host.
+        // An entry that has seen the same or a higher epoch of another coordinator ignores the sums
+        // of this one. The other host was coordinator before, or still is for entries that cannot
+        // see this host.
         let direct = report.round.is_none();
         if direct && report.coordinator != self.key && report.epoch >= self.epoch {
             self.epoch = CountEpoch(report.epoch.0.saturating_add(1));
@@ -346,7 +347,8 @@
         }
     }
 
-    /// Allows more time per hop of the tree when reports arrive too late, and gradually less later.
+    /// Allows more time per hop of the tree when reports arrive too late, and then gradually less
+    /// again.
     ///
     /// A report that reaches its relay after the relay has sent its own is lost for the round. With
     /// too little time, zones 1.5 ms apart lost half of all reports in every round, and entries
@@ -459,7 +461,8 @@
 /// A pool with a smaller fraction of its slots in use counts as lightly loaded.
 const LOW_UTILISATION: f32 = 0.5;
 
-/// The growth of the lowest median latency per round, so that it follows when requests take longer.
+/// The factor by which the lowest median latency grows per round, so that it follows a lasting
+/// increase.
 const BASE_GROWTH: f32 = 1.000_2;
 
 /// The weight of one round in the smoothed slot utilisation.
--- a/crates/pulley_core/src/process/counts/report_collector.rs
+++ b/crates/pulley_core/src/process/counts/report_collector.rs
@@ -94,7 +94,8 @@
         self.reached = route.iter().cloned().collect();
     }
 
-    /// Returns the number of listed entries and the largest number that any of them knows of.
+    /// Returns the number of listed entries and the largest number of entries that any of them
+    /// knows of.
     pub(crate) fn entry_counts(&self) -> (u32, u32) {
         let listed = u32::try_from(self.entries.len()).unwrap_or(u32::MAX);
         let largest = self.entries.values().map(|entry| u32::from(entry.largest_known)).max();
--- a/crates/pulley_core/src/process/counts/upstream_health.rs
+++ b/crates/pulley_core/src/process/counts/upstream_health.rs
@@ -13,13 +13,14 @@
 /// not cause load swings in the pool.
 const RECOVERY_PER_ANSWER: f32 = 0.02;
 
-/// The fraction recovered each second in any case, because without calls there are no answers to
-/// recover with.
+/// The fraction recovered each second in any case, because an upstream that gets no calls gives no
+/// answers by which it could recover.
 const RECOVERY_PER_SECOND: f32 = 0.1;
 
-/// An upstream this many times slower than its pool starts to lose slots. In busy periods, queueing
-/// at a few upstreams regularly doubles their latency for a while. With a factor of 2, healthy
-/// upstreams lost slots several times a minute, and the others had to carry their load.
+/// An upstream whose latency is more than this many times the pool's median loses usable slots. In
+/// busy periods, queueing at a few upstreams regularly doubles their latency for a while. With a
+/// factor of 2, healthy upstreams lost slots several times a minute, and the others had to carry
+/// their load.
 const SLOW_FACTOR: f32 = 4.0;
 
 /// The number of answers needed before an upstream's latency affects its usable fraction.
@@ -63,8 +64,8 @@
         let ratio = if pool_ms > 0.0 { self.latency_ms / pool_ms } else { 1.0 };
         self.slow = ratio > SLOW_FACTOR;
         if self.slow && self.answers >= MIN_ANSWERS {
-            // At a third of the speed, a third of the slots could be used. The square gives up
-            // more, because each call sent there also waits that much longer.
+            // An upstream at a third of its speed could use a third of its slots. The square takes
+            // away more, because each call sent there also takes three times as long.
             let target = (1.0 / (ratio * ratio)).max(MIN_USABLE);
             let step = (SLOW_WEIGHT * answers).min(1.0);
             self.usable += step * (target - self.usable).min(0.0);
@@ -94,8 +95,8 @@
     }
 }
 
-/// Returns the median of the known latencies, which one slow upstream does not shift as it would
-/// the mean; 0 if none is known.
+/// Returns the median of the known latencies; 0 if none is known. A single slow upstream shifts the
+/// median less than it would shift the mean.
 pub(crate) fn median_ms(known: impl Iterator<Item = f32>) -> f32 {
     let mut sorted: Vec<f32> = known.collect();
     if sorted.is_empty() {
--- a/crates/pulley_core/src/request/arrival_probes.rs
+++ b/crates/pulley_core/src/request/arrival_probes.rs
@@ -53,9 +53,9 @@
 /// Limits the rate of this entry's arrival probes to one pool.
 ///
 /// In a burst every request would probe several upstreams just when these have the least time to
-/// answer. Probes use up slot time, and more slots cannot be bought. The limit is the operators'
-/// own figure for each upstream. Every entry takes its part of it, so all entries together keep to
-/// it without coordination.
+/// answer. Probes use up slot time, and more slots cannot be bought. Operators set the limit for
+/// each upstream. Every entry takes its part of that limit, so all entries together keep to it
+/// without coordination.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ArrivalBudget {
     /// Probes per second.
@@ -115,8 +115,8 @@
 ///
 /// In a rush most free slots are last ones. Some upstreams slow down when they are full and others
 /// don't. When all were assumed to slow down, upstreams of three slots that did not were passed
-/// over as if they had a queue. Requests were then refused that would have been answered in time
-/// from one place behind a busy slot. The weight averages some thirty answers, as the size of the
+/// over as if they had a queue. Requests that would have been answered in time after queueing for
+/// one busy slot were then refused. The weight averages some thirty answers, as the size of the
 /// work varies by a third.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastSlotCost {
@@ -143,13 +143,13 @@
 
     /// Whether an upstream has a higher throughput with its last slot left free.
     ///
-    /// A request in the last slot slows down everything that runs there. If the slowdown exceeds
-    /// one part in the number of the other slots, fewer requests finish in the same time.
+    /// A request in the last slot slows down everything that runs there. If the slowdown times the
+    /// number of the other slots exceeds 1, fewer requests finish in the same time.
     fn lowers_throughput(self, slots: f32) -> bool {
         slots >= MIN_HARMED_SLOTS && self.cost * (slots - 1.0) > 1.0
     }
 
-    /// Learns from an answer that took a last slot and `times` usual answer times.
+    /// Learns from the answer to a request that took a last slot, after `times` usual answer times.
     pub(crate) fn record(&mut self, times: f32) {
         self.answers = (self.answers + 1.0).min(1.0 / ANSWER_WEIGHT);
         let sample = (times - 1.0).clamp(-1.0, 2.0);
--- a/crates/pulley_core/src/request/cold_rate_limit.rs
+++ b/crates/pulley_core/src/request/cold_rate_limit.rs
@@ -43,7 +43,7 @@
         self.is_cold(now) && !self.has_permit(now, terms)
     }
 
-    /// Whether probing the upstream would be useless.
+    /// Whether not to probe the upstream, because this entry could not send to it anyway.
     pub(crate) fn skips_probes(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
         !self.is_suspected && self.is_blocked(now, terms)
     }
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -72,7 +72,7 @@
     pub(crate) entries: f32,
 }
 
-/// Factor by which unrequested room is given out in excess.
+/// Factor by which room without demand is given out in excess.
 const SPARE_FACTOR: f32 = 2.0;
 
 impl KindShares {
@@ -148,19 +148,20 @@
         self.recalculate_sums();
     }
 
-    /// Divides room for `slots` requests among the kinds, and gives this entry its part of each
-    /// kind's lease by its own demand. Leases are not enforced while there is room for every
-    /// request.
+    /// Divides room for `slots` requests among the kinds, and gives this entry a part of each
+    /// kind's lease in proportion to its own demand. Leases are not enforced while there is room
+    /// for every request.
     ///
     /// While the pool has room for all requests, none is held back, whatever its share. When it has
     /// not, each entry keeps to its part of each service's share. All entries derive their parts
-    /// from the same sum, so a share holds over all entries together, and a lent share returns with
-    /// the next sum. Kinds of the first priority are not held back: an urgent read must not wait
-    /// because counts are old. What they use is subtracted from the room of the others.
+    /// from the same published sum of counts, so a share holds over all entries together, and a
+    /// lent share returns with the next sum. Kinds of the first priority are not held back: an
+    /// urgent read must not wait because counts are old. What they use is subtracted from the room
+    /// of the others.
     ///
-    /// Room without demand is split evenly and given out twice over, because only some entries will
-    /// need their part before the next sum. Without any bound, requests that arrive between two
-    /// sums would all be sent at once when a pool has just stopped being tight.
+    /// Room without demand is split evenly among the entries and given out twice over, because only
+    /// some entries will need their part before the next sum. Without any bound, requests that
+    /// arrive between two sums would all be sent at once when a pool has just stopped being tight.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
     pub(crate) fn lease(&mut self, terms: &LeaseTerms, queued: impl Fn(usize) -> usize) {
         // Most rows of a large sheet have no request at any one time and take no part in the
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Limits this entry to an even part of the pool while there are no sums.
+    /// Limits this entry to `room` outstanding requests over all kinds, while no sums of counts
+    /// arrive.
     pub(crate) fn lease_without_counts(&mut self, room: f32) {
         self.is_tight = false;
         self.room = room;
@@ -282,7 +284,8 @@
         self.change_own(kind_index, |own| own.saturating_sub(1));
     }
 
-    /// Changes one kind's count and, by the same amount, the sums that contain it.
+    /// Changes one kind's outstanding requests, and the totals that depend on them: of this entry,
+    /// of the kind's service and of unused reserved slots.
     fn change_own(&mut self, kind_index: usize, change: impl FnOnce(u32) -> u32) {
         let kind = &mut self.kinds[kind_index];
         let service = &mut self.services[kind.service];
@@ -295,7 +298,8 @@
         self.unused_reserves += kind.unused_reserve();
     }
 
-    /// Recalculates the sums, after the counts of many kinds have changed.
+    /// Recalculates the totals of [`Self::change_own`], after the counts of many kinds have
+    /// changed.
     fn recalculate_sums(&mut self) {
         self.services.iter_mut().for_each(|service| service.used = 0);
         for kind in &self.kinds {
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -28,11 +28,11 @@
 ///
 /// Each entry keeps to its part of this while the demand exceeds it. A request that queues at an
 /// upstream can no longer be overtaken by an urgent one. But with a lower limit, an upstream that
-/// stale counts have passed over would stand idle.
+/// stale counts wrongly show as busy would stand idle.
 const OVERCOMMIT: f32 = 1.5;
 
-/// Increase of that limit for each usual answer time between two rounds, and its maximum. The rarer
-/// the rounds, the more requests end unseen between them.
+/// Increase of `OVERCOMMIT` per usual answer time in the interval between two rounds, and the
+/// largest limit. The rarer the rounds, the more requests have ended that the counts still include.
 const OVERCOMMIT_PER_ANSWER: f32 = 0.6;
 const MAX_OVERCOMMIT: f32 = 10.0;
 
@@ -42,12 +42,12 @@
 const UPSTREAM_BASE: f32 = 2.0;
 const UPSTREAM_FACTOR: f32 = 1.0;
 
-/// One entry's own outstanding requests per usable slot of an upstream. Requests beyond the slots
-/// only queue there. The extra half hides the network round trip to the upstream. For long work
-/// that is not worth a place in front of shorter work.
+/// Most outstanding requests of one entry per usable slot of an upstream; 1 for long work. Requests
+/// beyond the slots only queue there. The extra half hides the network round trip to the upstream.
+/// For long work that gain is not worth making shorter work queue behind it.
 const OWN_OVERCOMMIT: f32 = 1.5;
 
-/// Long requests outstanding per usable slot, over the pool.
+/// Most outstanding long requests per usable slot, over the pool.
 const LONG_OVERCOMMIT: f32 = 1.5;
 
 /// The largest part of its remaining time that a request may be expected to wait.
@@ -56,10 +56,12 @@
 /// time is almost over. A third of the answers then come too late, and the slots' work is wasted.
 pub(super) const MAX_WAIT_PART: f32 = 0.25;
 
-/// Usual answer times that must be left when a request starts; 1 answer in 30 takes longer.
+/// Time that must be left when a request starts, in usual answer times. One answer in 30 takes
+/// longer.
 const MIN_TIMES_LEFT: f32 = 3.0;
 
-/// Finished requests between two recalculations of the sums over the pool.
+/// Number of finished requests after which the pool's sums (usable slots, outstanding requests,
+/// usual answer time) are recalculated.
 const REFRESH_FINISHES: u32 = 32;
 
 /// Weight of one start in the smoothed time between starts.
@@ -251,7 +253,8 @@
             }
         }
         self.finishes = self.finishes.wrapping_add(1);
-        // A failure may remove the last usable upstream, and then the floor must apply at once.
+        // A failure may remove the last usable upstream. The floor under the usable slots must then
+        // apply at once.
         let is_due = self.finishes.is_multiple_of(REFRESH_FINISHES) || self.upstreams.is_stale(now);
         if outcome.is_failure() || is_due {
             self.upstreams.refresh(now);
@@ -278,7 +281,7 @@
         effects
     }
 
-    /// Returns when [`Self::tick`] is next needed, if ever.
+    /// Returns when [`Self::tick`] is next needed, or `None` if no request waits.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Moment> {
         let refuse_at = self.queue.earliest()? - self.usual();
@@ -341,7 +344,7 @@
 
     /// Returns how long a request would wait, from the number of its kind ahead of it and the
     /// recent start rate of the kind. That rate already reflects what priorities and shares leave
-    /// it.
+    /// to the kind.
     fn expected_wait(&self, kind_index: usize, deadline: Moment) -> Duration {
         self.wait_behind(kind_index, self.queue.ahead_of(kind_index, deadline))
     }
@@ -393,8 +396,8 @@
             .find_map(|kind_index| Some((kind_index, self.find_upstream(now, kind_index)?)))
     }
 
-    /// Moves the longest-waiting request of the lower kinds to the front when it is the floor's
-    /// turn.
+    /// Moves the kind with the longest-waiting request among the lower ones to the front, on every
+    /// `FLOOR_INTERVAL`th call.
     fn promote_oldest(&mut self, order: &mut Vec<usize>) {
         if !self.shares.advance_floor() {
             return;
@@ -455,7 +458,7 @@
                 <= self.upstreams.usable_slots() * self.overcommit
     }
 
-    /// Recalculates how many requests this entry may start until the next sum.
+    /// Recalculates how many requests this entry may start until the next sum of counts arrives.
     pub(crate) fn grant_leases(&mut self, entries: u16, interval: Duration) {
         let slots = self.upstreams.usable_slots();
         let median_latency_ms = self.upstreams.median_latency_ms().max(1.0);
@@ -502,10 +505,11 @@
     }
 
     // -----------------------------------------------------------------------------------------
-    // Growing old
+    // Late requests and smoothed times
 
-    /// Refuses waiting requests that can no longer be answered in time. Their callers learn it
-    /// while they can still act, and no slot is spent on an answer that no caller waits for.
+    /// Refuses waiting requests that can no longer be answered in time. Their callers are refused
+    /// while there is still time to act, and no slot is spent on an answer that no caller waits
+    /// for.
     fn refuse_late(&mut self, now: Moment, effects: &mut SchedulerEffects) {
         let usual = self.usual();
         for kind_index in self.queue.waiting().to_vec() {
@@ -536,7 +540,7 @@
         kind.start_gap_ms += GAP_WEIGHT * (gap_ms - kind.start_gap_ms);
     }
 
-    /// Returns the usual answer time.
+    /// Returns the usual answer time: the median over the pool's upstreams, or zero if unknown.
     pub(super) fn usual(&self) -> Duration {
         Duration::from_secs_f32(self.upstreams.median_latency_ms() / 1_000.0)
     }
--- a/crates/pulley_core/src/request/pool_scheduler_counts.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_counts.rs
@@ -9,14 +9,14 @@
 };
 use crate::request::SchedulerEffects;
 
-/// Number of rounds whose own counts are kept, so that they can be subtracted from the sum that
-/// contains them.
+/// Number of rounds for which this entry keeps the counts that it reported, so that they can be
+/// subtracted from the sum that contains them.
 const KEPT_ROUNDS: usize = 8;
 
-/// Requests per usable slot that all entries together may have outstanding without counts.
+/// Requests per usable slot that all entries together may have outstanding while no counts arrive.
 const UNCOUNTED_OVERCOMMIT: f32 = 4.0;
 
-/// Least number of requests that one entry may have outstanding without counts.
+/// Least number of requests that one entry may have outstanding while no counts arrive.
 const UNCOUNTED_MIN: f32 = 4.0;
 
 /// The entry's own counts as sent in the report of one round.
@@ -106,7 +106,8 @@
         reports
     }
 
-    /// Returns when [`Self::take_reports`] next has a report, if ever.
+    /// Returns when [`Self::take_reports`] next has a report, or `None` if this entry has joined no
+    /// exchange of counts.
     #[must_use]
     pub fn next_report_at(&self) -> Option<Moment> {
         self.link.as_ref().map(CountLink::next_at)
@@ -127,8 +128,8 @@
         if link.age(now).is_none() && self.counted_at.take().is_some() {
             self.upstreams.discard_others();
             self.shares.discard_others();
-            // This entry may use its part of the pool and as much again. Other entries may do the
-            // same while nobody counts. The upstreams' queues take the excess.
+            // Without counts, all entries share `UNCOUNTED_OVERCOMMIT` requests per usable slot
+            // evenly. The upstreams' queues take what exceeds the slots.
             let largest_known = f32::from(link.largest_known().max(1));
             let room = self.upstreams.usable_slots() * UNCOUNTED_OVERCOMMIT / largest_known;
             self.shares.lease_without_counts(room.max(UNCOUNTED_MIN));
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -20,23 +20,23 @@
 /// one, and bytes between zones cost the operators more than the rest of the request.
 const ZONE_PENALTY: f32 = 0.25;
 
-/// The longest expected time, in usual answer times, that is worth a slot. A free slot beside a
-/// busy one costs 1.6 with two slots. The usual slowdown of a machine by its neighbours is at most
-/// 5.
+/// The longest expected time, in usual answer times, for which a request still starts. At an
+/// upstream of two slots, a free slot beside a busy one costs 1.6. Neighbours usually slow a
+/// machine down by a factor of at most 5.
 const MAX_START_COST: f32 = 2.0;
 
-/// The part of its time for which a request runs beside a full set of others, if it found room and
-/// its upstream was full when it ended.
+/// Assumed part of a request's time during which its upstream was full, if the upstream had more
+/// than its last slot free at the start and was full at the end.
 const FULL_TIME_PART: f32 = 0.5;
 
-/// Other zones are probed as well unless work that is larger than usual by this factor would still
-/// be in time.
+/// If work this many times as large as usual would miss its target, other zones are probed as well.
 const LARGE_WORK_FACTOR: f32 = 1.6;
 
-/// Multiple of its promised time after which a request counts as overdue, and the ranking factor
-/// for its upstream. Work of three times the usual size is rarer than one in a thousand. The factor
-/// causes no refusals. Where answers get lost on the network, every upstream soon has an overdue
-/// request, and with all of them excluded, requests would be refused beside free slots.
+/// Multiple of its expected time after which a request counts as overdue, and the factor by which
+/// that raises the cost of its upstream in the ranking. Work of three times the usual size is rarer
+/// than one in a thousand. The factor causes no refusals. Where answers get lost on the network,
+/// every upstream soon has an overdue request, and with all of them excluded, requests would be
+/// refused beside free slots.
 const OVERDUE_FACTOR: f32 = 3.0;
 const OVERDUE_PENALTY: f32 = 2.0;
 
@@ -67,10 +67,10 @@
 const BASE_WEIGHT: f32 = 0.1;
 const MAX_BASE_RATIO: f32 = 2.0;
 
-/// Where a request looks for an upstream.
+/// The zones in which a request probes upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeReach {
-    /// In its own zone, if that has upstreams of its pool.
+    /// Only the entry's zone, unless no upstream there takes work or the zone is silent.
     OwnZone,
     /// In every zone.
     EveryZone,
@@ -79,11 +79,11 @@
 /// A query for upstreams to probe.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeQuery<'a> {
-    /// Upstreams that were already probed.
+    /// Upstreams that were already probed for the request. They are not returned again.
     pub probed: &'a [UpstreamId],
     /// Most upstreams to probe.
     pub wanted: usize,
-    /// Where to look.
+    /// The zones in which upstreams may be probed.
     pub reach: ProbeReach,
 }
 
@@ -92,7 +92,7 @@
 pub struct ProbeTarget {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// The address to send the probe to.
     pub address: SocketAddr,
 }
 
@@ -138,13 +138,14 @@
     }
 
     /// Orders upstreams for probing. Silent upstreams and those with a recent bad report go last.
-    /// The remaining ones alternate between the own zone and the others.
+    /// Apart from that, upstreams of this entry's zone alternate with those of other zones.
     ///
     /// One zone's callers may ask more of its upstreams than those of other zones, in a rush or all
-    /// day. When all of the own zone were probed first, requests never left a zone of eighty busy
-    /// upstreams, and were refused while upstreams of other zones stood idle. A request only looks
-    /// in other zones once some upstreams of its own zone were probed without success. Half of its
-    /// probes still go to its own zone, because bytes to other zones are expensive.
+    /// day. When all upstreams of this entry's zone were probed first, requests never left a zone
+    /// of eighty busy upstreams, and were refused while upstreams of other zones stood idle. A
+    /// request only looks in other zones once some upstreams of its own zone were probed without
+    /// success. Half of its probes still go to its own zone, because bytes to other zones are
+    /// expensive.
     fn alternate_zones(&self, now: Moment, candidates: Vec<ProbeCandidate>) -> Vec<ProbeCandidate> {
         let class = |upstream: &ProbeCandidate| {
             let has_bad_report = self.has_bad_report(now, upstream.index);
@@ -167,8 +168,9 @@
     ///
     /// A zone's upstreams may vanish without notice while their leases are still valid for seconds.
     /// Requests of the zone would probe them one after the other, wait for each, and come late
-    /// while upstreams of other zones stand idle. An upstream that is only slow is probed again a
-    /// second later. So is a silent zone, by requests that find no other.
+    /// while upstreams of other zones stand idle. So a silent upstream is probed last, and so are
+    /// all upstreams of a silent zone. After a second without a further timeout an upstream that is
+    /// only slow is probed as before.
     pub fn record_probe_timeout(&mut self, now: Moment, upstream: &UpstreamId) {
         if let Some(index) = self.upstreams.index_of(upstream) {
             self.upstreams.at_mut(index).record_probe_timeout(now);
@@ -186,7 +188,7 @@
         })
     }
 
-    /// Whether the own zone has upstreams and is not silent.
+    /// Whether this entry's zone has upstreams that take work and is not silent.
     fn own_zone_responds(&self, now: Moment) -> bool {
         if self.upstreams.silent_zones(now).contains(&&self.zone) {
             return false;
@@ -194,16 +196,17 @@
         self.upstreams.available().any(|state| state.record.announcement.zone == self.zone)
     }
 
-    /// Returns how long a request would take at the best of the probed upstreams, in usual answer
-    /// times.
+    /// Returns the cost of a request at the best of the probed upstreams, in usual answer times:
+    /// its own time plus the delay that it causes for others. `None` if no probed upstream can take
+    /// it.
     #[must_use]
     pub fn best_cost(&self, now: Moment, readings: &[ProbeReading]) -> Option<f32> {
         let costs = readings.iter().filter_map(|reading| self.reading_cost(now, reading));
         costs.map(|found| found.cost + found.delay_to_others).min_by(f32::total_cmp)
     }
 
-    /// Takes a new request whose upstreams have been probed. It starts at the one that should
-    /// answer first, if any can answer in time.
+    /// Takes a new request whose upstreams have been probed. It starts at the upstream with the
+    /// best rank, unless it has to be held back or cannot be answered in time.
     pub fn arrive_probed(
         &mut self,
         now: Moment,
@@ -257,8 +260,9 @@
     /// Takes a request for which no upstream could be probed, because the budget is used up.
     ///
     /// It uses the load reports of the last second: an upstream that had a free slot is likely to
-    /// have one still. If no upstream had one, a request that is placed blindly would only queue,
-    /// just when the pool can least afford it. Its caller should retry a little later instead.
+    /// have one still. If no upstream had one, a request that is placed without a report would only
+    /// queue, at a time when the pool has no slots to spare. Its caller should retry a little later
+    /// instead.
     fn arrive_unprobed(
         &mut self,
         now: Moment,
@@ -291,7 +295,8 @@
         acceptable.min_by(|a, b| a.rank().total_cmp(&b.rank())).map(|found| found.index)
     }
 
-    /// Whether one of the probed upstreams should answer a request by its target.
+    /// Whether one of the probed upstreams is expected to answer a request by its target, or by its
+    /// deadline if it has no target.
     #[must_use]
     pub fn meets_target(
         &self,
@@ -305,7 +310,7 @@
     /// Whether a request would start at the best of the probed upstreams, but its answer would come
     /// late if its work were somewhat larger than usual.
     ///
-    /// In pools whose upstreams have few slots, the free slot of the own zone is mostly beside a
+    /// In pools whose upstreams have few slots, a free slot in the entry's zone is mostly beside a
     /// busy one. Work takes longer there, and answers miss targets of a few usual answer times
     /// while upstreams of other zones stand idle. Work much larger than usual is rare. A request
     /// that would meet its target even then needs no other probe, and bytes from another zone are
@@ -323,7 +328,8 @@
         may_ask && !self.meets_target_at_size(now, ticket, readings, LARGE_WORK_FACTOR)
     }
 
-    /// Whether work of `size` times the usual size should be answered by its target.
+    /// Whether work of `size` times the usual size is expected to be answered by its target, or by
+    /// its deadline if it has no target.
     fn meets_target_at_size(
         &self,
         now: Moment,
@@ -345,9 +351,9 @@
     /// Many of a pool's upstreams may be slowed down or full at the same moment. Work that starts
     /// on a slowed upstream keeps its slot that many times as long. Work that queues comes late and
     /// makes the requests behind it late. After a rush of seconds, a pool that could handle more
-    /// than its load would then be unable to recover for many times as long. A free slot, even
-    /// beside a busy one, is below the limit. A slow period or a queue is above it, and both are
-    /// over sooner than the work would be.
+    /// than its load would then need many times as long to recover. The cost of a free slot, even
+    /// beside a busy one, is below `MAX_START_COST`. The cost during a slow period or behind a
+    /// queue is above it. Both are over sooner than work that is sent into them.
     fn should_hold(
         &self,
         now: Moment,
@@ -364,8 +370,8 @@
         queueing > ticket.deadline.since(now).mul_f32(MAX_WAIT_PART)
     }
 
-    /// Returns until when a request may look for an upstream. After that its answer would miss its
-    /// target, and its caller should be refused.
+    /// Returns the time until which a request may go on probing upstreams. After that its answer
+    /// would miss its target, so the request is to be refused. Without a target the time is `now`.
     #[must_use]
     pub fn placement_deadline(&self, now: Moment, ticket: &RequestTicket) -> Moment {
         let (Some(kind_index), Some(target)) = (self.shares.index_of(ticket.kind), ticket.target)
@@ -375,7 +381,7 @@
         (target - self.base_time(kind_index)).min(ticket.deadline)
     }
 
-    /// Returns the most recent load reports, so that these upstreams need not be probed again.
+    /// Returns the load reports that are recent enough to replace a new probe of their upstreams.
     #[must_use]
     pub fn fresh_readings(&self, now: Moment, ticket: &RequestTicket) -> Vec<ProbeReading> {
         self.readings_since(now, FRESH_SPAN, ticket)
@@ -432,7 +438,8 @@
             // stored.
             let report = LoadReport { cold_left: None, ..reading.report };
             let state = self.upstreams.at_mut(index);
-            // A load report that was returned from this store is no newer than the stored one.
+            // The reading may be a copy of `last_report`, which must not be stored again as if it
+            // were new.
             if state.last_report.is_none_or(|(_, known)| known != report) {
                 state.last_report = Some((now, report));
             }
@@ -449,8 +456,8 @@
         })
     }
 
-    /// Returns a request's cost at an upstream by its load report, if the upstream still takes
-    /// work.
+    /// Returns a request's cost at an upstream by its load report. `None` if the upstream no longer
+    /// takes work, or is cold and this entry may not send to it now.
     ///
     /// Recently observed failures and answer times count as well, because an upstream may fail or
     /// take long while its own report is good.
@@ -487,7 +494,8 @@
         }
     }
 
-    /// Whether an upstream was full when a request ended. The report no longer counts that request.
+    /// Whether an upstream was full until a request ended, by a report that no longer counts that
+    /// request.
     fn was_filled(&self, index: usize, report: Option<LoadReport>) -> bool {
         let slots = self.upstreams.at(index).slots();
         report.is_some_and(|report| SlotRoom::of(slots, &report) != SlotRoom::Free)
@@ -507,11 +515,12 @@
         let expected = self.base_time(kind_index).as_secs_f32() * cost;
         let state = self.upstreams.at_mut(running.upstream);
         state.record_latency_ratio(now, took.as_secs_f32() / expected);
-        // The two estimates are learned from different answers. Learned from the same answers, one
-        // would compensate for the error of the other.
+        // The base time and the cost of the last slot are learned from different answers. If both
+        // were learned from the same ones, either estimate would compensate for the error of the
+        // other.
         match running.room {
-            // The cost of a last slot can be learned without taking one, from other requests that
-            // do by chance.
+            // The cost of a last slot can be learned without taking one: another request has taken
+            // the last slot while this one was running.
             Some(SlotRoom::Free)
                 if running.was_nearly_full && self.was_filled(running.upstream, report) =>
             {
--- a/crates/pulley_core/src/request/share_leases.rs
+++ b/crates/pulley_core/src/request/share_leases.rs
@@ -1,6 +1,6 @@
 //! Divides a pool's capacity among kinds while the demand exceeds it.
 
-/// The demand of one kind.
+/// What one kind asks of its pool, as input to [`divide_slots`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KindDemand {
     /// Index of the kind's service within the pool.
--- a/crates/pulley_core/src/request/start_wait.rs
+++ b/crates/pulley_core/src/request/start_wait.rs
@@ -21,8 +21,8 @@
 ///
 /// When all hosts restart together, every caller comes back to them within the third of a second in
 /// which none is ready. If they were refused at once, callers with one retry would spend it there,
-/// and most would be refused for good. The wait is short compared with the work. After the start
-/// there is none, so a host that is cut off refuses at once.
+/// and most would be refused for good. The wait is short compared with the work. After
+/// `START_TIMEOUT` no request waits, so a host that is cut off refuses at once.
 #[must_use]
 pub fn start_wait(uptime: Duration, left: Option<Duration>) -> Option<Duration> {
     let until_ready = START_TIMEOUT.checked_sub(uptime).filter(|wait| !wait.is_zero())?;
--- a/crates/pulley_core/src/request/subset_ranking.rs
+++ b/crates/pulley_core/src/request/subset_ranking.rs
@@ -6,8 +6,8 @@
 /// can keep connections to. When upstreams were picked among all, nearly every probe opened a
 /// connection. That takes an upstream a millisecond, costs the entry more processor time than the
 /// request, and takes longer than an answer on an open connection. At an upstream's connection
-/// limit the probe was refused. Eight upstreams are enough for two rounds of three probes, with two
-/// to spare that rest or fail.
+/// limit the probe was refused. Eight upstreams are enough for two rounds of three probes, and two
+/// of them may be paused or fail.
 const SUBSET_SIZE: usize = 8;
 
 /// The change of the subset caused by a change of the ranking.
--- a/crates/pulley_core/src/request/upstream_table.rs
+++ b/crates/pulley_core/src/request/upstream_table.rs
@@ -14,16 +14,16 @@
 };
 use crate::version::WarmUpTerms;
 
-/// Most upstreams compared, however fresh the counts are. Beyond that a choice costs more than it
-/// gains.
+/// Most upstreams compared in one choice, however fresh the counts are. Comparing more costs more
+/// than it gains.
 const MAX_CANDIDATES: usize = 3;
 
 /// Upstreams compared when the counts are too old to be useful.
 const MIN_CANDIDATES: usize = 2;
 
-/// Least number of silent upstreams for a zone to count as silent, if none of its upstreams has
-/// reported within the given time. One in six may have crashed on a bad day, so three in a row by
-/// chance are rare.
+/// A zone counts as silent if at least this many of its upstreams are silent and none has reported
+/// its load within `HEARD_WINDOW`. On a bad day one upstream in six may have crashed, so it is rare
+/// to probe three crashed ones in a row by chance.
 const MIN_SILENT_UPSTREAMS: usize = 3;
 const HEARD_WINDOW: Duration = Duration::from_millis(300);
 
@@ -40,10 +40,11 @@
 /// would make it worse.
 const USABLE_FLOOR: f32 = 0.5;
 
-/// Maximum age of the sums over the pool while requests end.
+/// Age of the pool's sums (usable slots, outstanding requests, usual answer time) from which the
+/// end of a request recalculates them.
 ///
-/// Otherwise an entry with a few requests a second would use the usual answer time and the usable
-/// slots of seconds ago.
+/// With older sums an entry with a few requests a second would use the usual answer time and the
+/// usable slots of seconds ago.
 const MAX_SUM_AGE: Duration = Duration::from_secs(1);
 
 /// The upstreams of one pool.
@@ -128,8 +129,8 @@
     /// announced ones or removed. A removed upstream is kept until its last request ends, so that
     /// the end can be recorded.
     ///
-    /// The cost is that of the changes and of two sums over the pool, because a host receives
-    /// several changes a second among hundreds of upstreams.
+    /// A host receives several changes a second among hundreds of upstreams. So a call handles only
+    /// the changed ones, apart from two passes over the pool.
     pub(crate) fn apply(&mut self, now: Moment, changes: &[UpstreamChange]) -> bool {
         let mut layout_changed = false;
         for change in changes {
@@ -176,8 +177,8 @@
     }
 
     /// Updates from an upstream's record whether it is cold. An upstream that gets work again
-    /// without a restart, because its zone is back in use, may have turned cold in the meantime.
-    /// Its own report decides.
+    /// without a restart, because its zone is back in use, may have turned cold in the meantime. It
+    /// is suspected to be cold until its own report decides or the warm-up time has passed.
     fn record_phase(&mut self, now: Moment, index: usize, is_known: bool) {
         let Some(terms) = self.warm_up else { return };
         let state = &mut self.states[index];
@@ -220,7 +221,7 @@
         self.warm_up
     }
 
-    /// Sets the live entries.
+    /// Sets the live entries, from which this entry derives the cold upstreams that it sends to.
     pub(crate) fn set_entries(&mut self, now: Moment, entries: &Arc<EntryZones>) {
         if Arc::ptr_eq(&self.entries, entries) {
             return;
@@ -330,7 +331,7 @@
     }
 
     /// Returns the silent zones: several of their upstreams recently left probes unanswered, and
-    /// none has reported anything since.
+    /// none has reported its load within `HEARD_WINDOW`.
     pub(crate) fn silent_zones(&self, now: Moment) -> Vec<&ZoneName> {
         let mut zones: FastMap<&ZoneName, (usize, bool)> = FastMap::default();
         for state in self.available() {
@@ -342,7 +343,7 @@
         zones.into_iter().filter(|(_, counts)| is_silent(*counts)).map(|(zone, _)| zone).collect()
     }
 
-    /// Returns the upstreams that may be probed.
+    /// Returns the upstreams that may be probed, without those that `passed` selects.
     pub(crate) fn probe_candidates(
         &self,
         now: Moment,
@@ -383,7 +384,7 @@
         &mut self.states[self.places[place]]
     }
 
-    /// Adds a request that starts or ends to the sums over the pool.
+    /// Changes the pool's outstanding requests: by 1 when a request starts, by -1 when one ends.
     pub(crate) fn add_outstanding(&mut self, change: f32) {
         self.outstanding = (self.outstanding + change).max(0.0);
     }
@@ -419,7 +420,8 @@
         self.median_latency_ms
     }
 
-    /// Discards the other entries' outstanding requests.
+    /// Discards what the newest sum reported: the other entries' outstanding requests, and the
+    /// usable part of each upstream.
     pub(crate) fn discard_others(&mut self) {
         for state in &mut self.states {
             state.others = 0.0;
@@ -430,11 +432,11 @@
     /// Chooses the least loaded upstream for its size among a few candidates, if any is below its
     /// limit.
     ///
-    /// With fresh counts the best of many is the best. With old ones every entry would choose the
-    /// same few upstreams that were idle when the sum was made, and overload them. So the older the
-    /// counts, the fewer upstreams are compared, and the less the counts weigh against the pool's
-    /// mean. If all candidates are full, the remaining upstreams are examined as well, because a
-    /// request that waits beside a free slot is pure loss.
+    /// With fresh counts, comparing more upstreams finds a better one. With old counts every entry
+    /// would choose the same few upstreams that were idle when the sum was made, and overload them.
+    /// So the older the counts, the fewer upstreams are compared, and the less the counts weigh
+    /// against the pool's mean. If all candidates are full, the remaining upstreams are examined as
+    /// well, because a request that waits beside a free slot is pure loss.
     pub(crate) fn choose(&self, rng: &mut SmallRng, choice: &UpstreamChoice<'_>) -> Option<usize> {
         if self.available.is_empty() {
             return None;
@@ -539,7 +541,8 @@
 /// Assumed usual answer time in milliseconds, before any is known.
 const DEFAULT_ANSWER_MS: f32 = 20.0;
 
-/// An upstream whose load per slot exceeds the pool's by this factor is not refilled.
+/// A freed slot is not refilled at once if its upstream's load per slot exceeds the pool's by this
+/// factor.
 const OVERLOAD_FACTOR: f32 = 1.5;
 
 /// The inputs of a choice besides the upstreams.
@@ -552,9 +555,9 @@
     pub(crate) avoid: &'a [UpstreamId],
     /// Age of the counts; `None` without a coordinator.
     pub(crate) age: Option<Duration>,
-    /// All entries' outstanding requests allowed per usable slot of an upstream.
+    /// Most outstanding requests of all entries per usable slot of an upstream.
     pub(crate) overcommit: f32,
-    /// This entry's own outstanding requests allowed per usable slot of an upstream.
+    /// Most outstanding requests of this entry per usable slot of an upstream.
     pub(crate) own_overcommit: f32,
 }
 
--- a/crates/pulley_core/tests/arrival_probes/main.rs
+++ b/crates/pulley_core/tests/arrival_probes/main.rs
@@ -139,9 +139,9 @@
     );
 }
 
-// An upstream of another zone is idle, and one of the own zone has busy slots. The own one answers
-// a little later and saves the bytes between zones. A full own zone must send the request to the
-// other.
+// An upstream of another zone is idle, and one of the entry's zone has busy slots. The one in the
+// entry's zone answers a little later, but saves the bytes between zones. If it is full, the
+// request must go to the other zone.
 #[test]
 fn the_own_zone_goes_first_and_causes_no_refusals() {
     let records = [upstream(0, "a", 6), upstream(1, "b", 6)];
@@ -159,10 +159,10 @@
     assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(3, now), &readings)), Some("u1"));
 }
 
-// Upstreams have two slots, and the free one of the own zone is beside a busy one, while another
-// zone has idle upstreams. The answer would be late if the work were half again as large as usual,
-// so the other zone is probed as well. It is not probed where all upstreams are idle, during a slow
-// period that is over sooner, or once half of the probes are used up.
+// Upstreams have two slots, and the free slot in the entry's zone is beside a busy one, while
+// another zone has idle upstreams. The answer would be late if the work were half again as large as
+// usual, so the other zone is probed as well. It is not probed where all upstreams are idle, during
+// a slow period that is over sooner, or once half of the probes are used up.
 #[test]
 fn other_zones_are_probed_where_the_target_is_at_risk() {
     let records = [upstream(0, "a", 2), upstream(1, "b", 2), upstream(2, "b", 2)];
@@ -184,7 +184,7 @@
     assert_eq!(chosen(&scheduler.arrive_probed(now, &ticket(9, now), &both)), Some("u1"));
 }
 
-// Of two upstreams one reported half a second ago that it is free. No probed upstream answers now,
+// One of two upstreams reported half a second ago that it is free. No probed upstream answers now,
 // because slowed machines answer late. When requests were placed by counts alone, half of them went
 // to the other upstream and took a second. Once no upstream has answered for longer, only the
 // counts are left.
@@ -272,10 +272,10 @@
 
 // 14 upstreams of two slots run on machines whose neighbours slow them down five times in a quarter
 // of all periods. 29 entries get 40 requests a second of 160 ms of work, with answers wanted within
-// 400 ms, and a rush of three seconds. When requests are placed by own counts, a quarter of the
-// work starts in a slow period and keeps its slot for the whole of it. Half of the answers are then
-// late, and the pool does not recover from the rush. Measured by this test: 0.25 of the answers in
-// time by own counts, 0.97 with probes; after the rush 0.32 and 0.97.
+// 400 ms, and a rush of three seconds. When requests are placed by an entry's own counts, a quarter
+// of the work starts in a slow period and keeps its slot for the whole of it. Half of the answers
+// are then late, and the pool does not recover from the rush. Measured by this test: 0.25 of the
+// answers in time by own counts, 0.97 with probes; after the rush 0.32 and 0.97.
 #[test]
 fn arrival_probes_bring_answers_in_time_and_recovery_from_a_rush() {
     let without_probes = NoisyPool::new(PoolShape::SLOWING, false).run(40.0, 1.7);
@@ -305,9 +305,9 @@
 }
 
 // Forty upstreams of two slots are in the callers' zone and forty in another that gets no other
-// load. A rush of three seconds exceeds what the own zone can answer. If a request probed all forty
-// of its own zone before any other, callers would be refused or answered late beside idle
-// upstreams. Measured by this test: 0.435 of the answers of the rush in time before, 0.938 since.
+// load. A rush of three seconds exceeds what that zone can answer. If a request probed all forty of
+// its own zone before any other, callers would be refused or answered late beside idle upstreams.
+// Measured by this test: 0.435 of the answers of the rush in time before, 0.938 since.
 #[test]
 fn a_rush_in_one_zone_is_answered_by_others_too() {
     let shape = PoolShape { upstreams: 40, other_zone: 40, entries: 40, ..PoolShape::SLOWING };
@@ -318,8 +318,8 @@
 }
 
 // Upstreams of three slots take no longer when their last slot is taken. Once answers have shown
-// that, a request must be sent to an upstream that is full and has one request waiting, where it
-// was held back before. Where answers show the opposite, it must still be held back.
+// that, a request must be sent even to an upstream that is full and has one request waiting. If
+// answers show the opposite, the request must still be held back.
 #[test]
 fn what_a_last_slot_costs_is_learned_from_answers() {
     for (took, starts) in [(140 * MS, true), (280 * MS, false)] {
@@ -340,9 +340,9 @@
     }
 }
 
-// A rush has used up the probes, and the only upstream probed last is slowed down. Another reported
-// half a second ago that it has room. The request must go there; it was once refused, because one
-// bad report counted for more than none.
+// A rush has used up the probes, and the only upstream that was still probed is slowed down.
+// Another reported half a second ago that it has room. The request must go there; it was once
+// refused, because a request with one bad report was treated worse than one with no report.
 #[test]
 fn one_bad_report_without_probes_left_does_not_refuse_a_request() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 3)).collect();
--- a/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
+++ b/crates/pulley_core/tests/arrival_probes/noisy_pool.rs
@@ -43,7 +43,7 @@
 
 const QUEUE_LIMIT: usize = 4;
 
-/// A pool, its machines and its callers.
+/// Parameters of a simulated pool, its machines and its callers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolShape {
     pub(crate) upstreams: u16,
@@ -53,7 +53,7 @@
     pub(crate) entries: usize,
     /// The usual duration of the work.
     pub(crate) work: Duration,
-    /// The time within which an answer is in time.
+    /// The time from a request to its answer up to which the answer counts as in time.
     pub(crate) target: Duration,
     /// Slowdown of work that takes an upstream's last slot.
     pub(crate) last_slot_slowdown: f32,
@@ -62,7 +62,8 @@
     pub(crate) slow_span: Duration,
     /// Probes per second of one upstream by all entries together.
     pub(crate) probes: f32,
-    /// Whether answers carry the load report of their upstream, taken after they have ended.
+    /// Whether answers carry the load report of their upstream, taken after the answered request
+    /// has ended.
     pub(crate) reports_load: bool,
 }
 
--- a/crates/pulley_core/tests/arrival_probes/subset_tests.rs
+++ b/crates/pulley_core/tests/arrival_probes/subset_tests.rs
@@ -86,8 +86,8 @@
     assert_eq!(different.len(), probed.len());
 }
 
-// An upstream ends and another takes its place, as on every release. If the subset were chosen anew
-// with each change, an entry would open all its connections again with each change.
+// An upstream shuts down and another takes its place, as on every release. If the subset were
+// chosen anew with each change, an entry would open all its connections again with each change.
 #[test]
 fn one_leaving_upstream_changes_one_place_of_the_subset() {
     let mut records: Vec<_> = (0..UPSTREAMS).map(|index| upstream(index, "a", 2)).collect();
@@ -99,7 +99,7 @@
     assert_eq!(before.difference(&after).collect::<Vec<_>>(), [&gone]);
 }
 
-/// Returns all upstreams of the own zone: the subset, and the rest.
+/// Returns the upstreams of the entry's zone: the subset, and the rest.
 fn ranked(
     scheduler: &mut PoolScheduler,
     now: Moment,
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -220,7 +220,7 @@
 }
 
 // The configuration is applied again with each change of an upstream, many times between two
-// rounds. Reports received since the last round must not be lost by that.
+// rounds. That must not discard the reports received since the last round.
 #[test]
 fn reapplying_the_same_plan_loses_no_report() {
     let (now, plan) = (Moment::ZERO, plan());
@@ -270,9 +270,9 @@
     assert_eq!(interval_of(1_400), interval_of(100));
 }
 
-// Every service wants more than there is. If the parts added up to more than the pool, requests
-// would queue at the upstreams, where they can no longer be overtaken. If they added up to less,
-// slots would stand idle.
+// Every service wants more slots than there are. If the parts added up to more than the pool,
+// requests would queue at the upstreams, where they can no longer be overtaken. If they added up to
+// less, slots would stand idle.
 #[test]
 fn leased_parts_add_up_to_the_room_and_no_more() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
--- a/crates/pulley_core/tests/many_entries/cold_upstreams.rs
+++ b/crates/pulley_core/tests/many_entries/cold_upstreams.rs
@@ -25,8 +25,9 @@
     assert!(pool.in_time() > 0.9, "in time: {}", pool.in_time());
 }
 
-// Upstreams turn cold again without a restart, as those of an evacuated zone may, and it is not
-// announced. Only their probe answers tell, and all entries learn it within moments.
+// Upstreams turn cold again without a restart, as those of an evacuated zone may, and don't
+// announce it. Entries learn it only from probe answers, nearly all at the same moment. Together
+// they must keep to the limit of a cold upstream.
 #[test]
 fn upstreams_that_turn_cold_unannounced_are_not_overloaded() {
     let mut pool = EntryFleet::new(200, 117, Some(warm_up()), 2);
@@ -39,7 +40,7 @@
 
 // Half of the entries have lost contact with the other half. Each half considers the other dead
 // while it still reaches all upstreams. Both halves then assign cold upstreams to their own
-// entries.
+// entries, and together must still keep to the limit of each cold upstream.
 #[test]
 fn two_partitioned_halves_do_not_overload_cold_upstreams() {
     let mut pool = EntryFleet::new(200, 117, Some(warm_up()), 3);
--- a/crates/pulley_core/tests/many_entries/entry_fleet.rs
+++ b/crates/pulley_core/tests/many_entries/entry_fleet.rs
@@ -32,8 +32,8 @@
 /// Rate of requests that a cold upstream can handle according to the sheet, in thousandths of a
 /// request per second.
 const COLD_RATE: u32 = 4_300;
-/// The limit agreed with the upstreams' owners for one second: half as much again as the rate, plus
-/// eight.
+/// The limit agreed with the upstreams' owners for one second: one and a half times that rate, plus
+/// eight requests.
 pub(crate) const COLD_LIMIT: usize = 14;
 
 pub(crate) fn warm_up() -> WarmUpTerms {
--- a/crates/pulley_core/tests/many_entries/returning_callers.rs
+++ b/crates/pulley_core/tests/many_entries/returning_callers.rs
@@ -1,4 +1,4 @@
-//! Answers in time in a rush in which refused callers come back.
+//! Measures the part of requests answered in time around a rush in which refused callers come back.
 
 use std::time::Duration;
 
--- a/crates/pulley_core/tests/many_entries/silent_zone.rs
+++ b/crates/pulley_core/tests/many_entries/silent_zone.rs
@@ -1,4 +1,5 @@
-//! Answers in time while a zone's upstreams are gone without notice.
+//! Measures the part of requests answered in time after a zone's upstreams have vanished without
+//! notice.
 
 use std::time::Duration;
 
--- a/crates/pulley_core/tests/pool_scheduler.rs
+++ b/crates/pulley_core/tests/pool_scheduler.rs
@@ -112,8 +112,8 @@
     }
 }
 
-// Two entries want twice what the pool can do. Each must keep to its part, and an urgent request
-// must still start at once.
+// Two entries together want far more than the pool can do. Each must keep to its part, and an
+// urgent request must still start at once.
 #[test]
 fn tight_pool_holds_back_all_but_first_kinds() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000), row("first", 0, 5_000)], 1, 2);
@@ -158,7 +158,7 @@
 }
 
 // A request waits behind slow ones until it can no longer be answered in time. Its caller must be
-// told while there is time left to act on it.
+// refused while there is time left to act.
 #[test]
 fn request_that_cannot_make_its_deadline_is_refused_by_tick() {
     let mut scheduler = scheduler(vec![row("low", 5, 5_000)], 1, 1);
