--- a/crates/pulley_bench/src/capacity/mod.rs
+++ b/crates/pulley_bench/src/capacity/mod.rs
@@ -16,15 +16,15 @@
     reason = "shared with the tests of pulley_core, which use more of it"
 )]
 mod virtual_hosts {
+    pub(super) mod bulk_change;
     pub(super) mod link_model;
     pub(super) mod network;
     mod route_rows;
-    pub(super) mod wide_change;
 }
 
 use eyre::{Result, bail};
 
-use virtual_hosts::{link_model, network, wide_change};
+use virtual_hosts::{bulk_change, link_model, network};
 
 const USAGE: &str = "usage: pulley_bench capacity gossip [--hosts N] [--upstreams N] [--seconds N]
          [--plan-rows N] [--seed N]
--- a/crates/pulley_bench/src/capacity/spread_cost.rs
+++ b/crates/pulley_bench/src/capacity/spread_cost.rs
@@ -6,8 +6,8 @@
 use eyre::{Result, WrapErr, ensure};
 use getopts::{Matches, Options};
 
+use super::bulk_change::{BulkChange, REPLICAS};
 use super::link_model::LinkRates;
-use super::wide_change::{REPLICAS, WideChange};
 
 /// The wait from which a queue counts as long.
 const LONG_QUEUE: Duration = Duration::from_millis(100);
@@ -45,7 +45,7 @@
             for added_rows in number_list(&matches, "rows", "140,1400,14000")? {
                 let entry_link = LinkRates { rate, callers: rate / 100 * callers_percent };
                 let change =
-                    WideChange { hosts, entry_link, added_rows, long_queue: LONG_QUEUE, seed };
+                    BulkChange { hosts, entry_link, added_rows, long_queue: LONG_QUEUE, seed };
                 report(&change, max_time);
             }
         }
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-fn report(change: &WideChange, max_time: Duration) {
+fn report(change: &BulkChange, max_time: Duration) {
     let stats = change.run(IN_FORCE_LIMIT, max_time);
     let in_force_ms = |fraction: f64| {
         let time = stats.time_for_fraction(fraction);
--- a/crates/pulley_core/src/process/members/entry_zones.rs
+++ b/crates/pulley_core/src/process/members/entry_zones.rs
@@ -4,8 +4,8 @@
 
 /// The live entries of each availability zone.
 ///
-/// Every host derives the assignment of upstreams to entries from the same list, so that the hosts
-/// agree without exchanging messages.
+/// Every host derives the assignment of upstreams to entries from the same list of live entries, so
+/// that the hosts agree without exchanging messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryZones {
     zones: FastMap<ZoneName, Vec<HostId>>,
@@ -20,8 +20,8 @@
 
     /// Whether a host is one of the `count` entries that an upstream is assigned to.
     ///
-    /// These are the entries of the upstream's zone with the highest rendezvous hash for it, or
-    /// those of all zones if its own has no entry.
+    /// These are the entries of the upstream's zone with the highest rendezvous hash for it. If
+    /// that zone has no entry, they are chosen from the entries of all zones.
     #[must_use]
     pub fn is_assigned(
         &self,
--- a/crates/pulley_core/src/process/members/member_message.rs
+++ b/crates/pulley_core/src/process/members/member_message.rs
@@ -16,7 +16,7 @@
 /// The number of parts in the table's digest; each difference costs the transfer of one part.
 pub(crate) const DIGEST_PARTS: usize = 64;
 
-/// A message to send.
+/// An encoded membership message and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberSend {
     /// The destination address.
@@ -45,10 +45,10 @@
     }
 }
 
-/// The purpose of a message.
+/// What a message requests or reports, apart from the updates that it carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum MemberPurpose {
-    /// Requests an `Ack`. Only the target answers, because another host may have its old address.
+    /// Requests an `Ack`. Only the target answers, because another host may now use its address.
     Ping { sequence: u32, target: Option<HostId> },
     /// Answers a ping.
     Ack { sequence: u32 },
@@ -62,7 +62,7 @@
     Updates,
 }
 
-/// A gossip message.
+/// A gossip message: its purpose and as many updates as fit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberMessage {
     pub(crate) purpose: MemberPurpose,
--- a/crates/pulley_core/src/process/members/member_record.rs
+++ b/crates/pulley_core/src/process/members/member_record.rs
@@ -10,8 +10,9 @@
 
 /// Orders the updates about one host: a later start or a refutation has a higher incarnation.
 ///
-/// A host starts with its start time in milliseconds of Unix time. If its clock was set back, it
-/// learns the higher number that other hosts still hold and uses a higher one.
+/// The first incarnation is the host's start time in milliseconds of Unix time. If its clock was
+/// set back, the host learns from others that they hold a higher incarnation and continues after
+/// it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -41,7 +42,7 @@
     }
 }
 
-/// The roles of a host.
+/// What a host does for the installation; it may have both roles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HostRoles {
     /// Whether it serves callers.
@@ -65,7 +66,7 @@
     pub caller_address: SocketAddr,
     /// The address for operators.
     pub operator_address: SocketAddr,
-    /// The host's roles.
+    /// Whether the host is an entry, a replica or both.
     pub roles: HostRoles,
 }
 
--- a/crates/pulley_core/src/process/members/member_ring.rs
+++ b/crates/pulley_core/src/process/members/member_ring.rs
@@ -5,12 +5,12 @@
 
 use super::HostId;
 
-/// The live hosts ordered by name, with the own host's position among them.
+/// The live hosts ordered by name, with this host's position among them.
 ///
-/// In round `r` a host sends to the one `2^r` positions further on, and starts over after `log2(n)`
-/// rounds. Information from one host has then reached all, with one message per host and round.
-/// Random targets would need nearly twice the rounds, because late messages mostly reach hosts that
-/// already have the information.
+/// In round `r` each host sends to the host `2^r` positions after its own, and starts over after
+/// `log2(n)` rounds. By then information from one host has reached all hosts, with one message per
+/// host and round. Random targets would need nearly twice the rounds, because late messages mostly
+/// reach hosts that already have the information.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerRing {
     /// Shared, because otherwise each copy of the ring would copy a thousand hosts.
@@ -19,7 +19,7 @@
 }
 
 impl PeerRing {
-    /// Makes the ring of the other live hosts around the own one.
+    /// Makes the ring of this host (`own`) and the other live hosts.
     #[must_use]
     pub fn new(own: &HostId, mut others: Vec<(HostId, SocketAddr)>) -> Self {
         others.sort();
@@ -27,7 +27,8 @@
         Self { peers: Arc::new(others), own_index: place }
     }
 
-    /// Applies changes of the live hosts: a host's current address, or `None` if it is gone.
+    /// Applies changes of the live hosts: each host's current address, or `None` if it is no longer
+    /// live.
     ///
     /// A host that has just started learns of hundreds of others one by one. Sorting the ring again
     /// for each of them cost more than serving all its requests.
@@ -51,13 +52,13 @@
         self.own_index = peers.partition_point(|(host, _)| host < own);
     }
 
-    /// Returns the number of live hosts, including the own one.
+    /// Returns the number of live hosts, including this one.
     #[must_use]
     pub fn len(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Whether the own host is the only live one.
+    /// Whether this host is the only live one.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
@@ -69,11 +70,11 @@
         usize::BITS - self.peers.len().leading_zeros()
     }
 
-    /// Returns the host to send to in a round, if the own host isn't alone.
+    /// Returns the host to send to in a round; `None` if this host is the only live one.
     #[must_use]
     pub fn target(&self, round: u32) -> Option<&(HostId, SocketAddr)> {
         let step = 1_usize << (round % self.rounds().max(1));
-        // The own host belongs between the indices `own_index - 1` and `own_index` of `peers`.
+        // This host belongs between the indices `own_index - 1` and `own_index` of `peers`.
         let place = (self.own_index + step) % self.len();
         let index = if place > self.own_index { place - 1 } else { place };
         self.peers.get(index)
--- a/crates/pulley_core/src/process/members/member_roster.rs
+++ b/crates/pulley_core/src/process/members/member_roster.rs
@@ -8,11 +8,12 @@
 
 /// The number of updates considered for one message; about 20 fit.
 const UPDATES_PER_MESSAGE: usize = 24;
-/// The number of messages that pass on an update from a sync page. Other hosts compare their tables
-/// too. With more, a thousand hosts that start at once would fill every message for minutes.
+/// The number of messages that pass on an update from a sync page. Few suffice, because other hosts
+/// compare their tables too. With more, a thousand hosts that start at once would fill every
+/// message for minutes.
 pub(crate) const SYNC_TRANSMISSIONS: u32 = 2;
 
-/// One known host.
+/// A known host's latest update, and how often it is still to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberEntry {
     pub(crate) update: MemberUpdate,
@@ -37,13 +38,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct MemberRoster {
     entries: FastMap<HostId, MemberEntry>,
-    /// The hosts with updates to send, the next to send first.
+    /// The hosts whose updates are to be sent; the update of the first is sent next.
     queue: VecDeque<HostId>,
     limit: usize,
     changes: u64,
-    /// The hosts whose changes [`Self::changes`] has counted since they were last taken.
+    /// The hosts changed since the last call of [`Self::take_changed_hosts`].
     changed_hosts: FastSet<HostId>,
-    /// The number of live entries.
+    /// The number of known live hosts that are entries.
     live_entries: usize,
 }
 
@@ -85,8 +86,8 @@
         self.live_entries
     }
 
-    /// Takes the hosts that were added, were removed or changed their description since the last
-    /// call.
+    /// Takes the hosts that were added or removed, or that changed their description, since the
+    /// last call.
     pub(crate) fn take_changed_hosts(&mut self) -> FastSet<HostId> {
         std::mem::take(&mut self.changed_hosts)
     }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Returns one digest for each part of the live hosts, including the own one. Equal parts have
+    /// Returns one digest for each part of the live hosts, including this host. Equal parts have
     /// equal digests.
     pub(crate) fn digests(&self, own: &MemberRecord) -> Vec<u32> {
         let mut digests = vec![0_u32; DIGEST_PARTS];
--- a/crates/pulley_core/src/process/members/member_settings.rs
+++ b/crates/pulley_core/src/process/members/member_settings.rs
@@ -34,14 +34,14 @@
         self
     }
 
-    /// Sets how long an answer may take before other hosts are asked to probe.
+    /// Sets how long an answer may take before other hosts are asked to probe the host too.
     #[must_use]
     pub fn with_ack_timeout(mut self, timeout: Duration) -> Self {
         self.ack_timeout = timeout;
         self
     }
 
-    /// Sets how many other hosts are asked to probe.
+    /// Sets how many other hosts are asked to probe a host that has not answered in time.
     #[must_use]
     pub fn with_relays(mut self, relays: usize) -> Self {
         self.relays = relays;
--- a/crates/pulley_core/src/process/members/member_table.rs
+++ b/crates/pulley_core/src/process/members/member_table.rs
@@ -17,7 +17,7 @@
 /// The number of queued sync pages sent at once, so that a full sync doesn't overflow a socket's
 /// buffer.
 const PAGES_PER_TICK: usize = 8;
-/// The interval between two such bursts.
+/// The interval between two bursts of sync pages.
 const PAGE_INTERVAL: Duration = Duration::from_millis(20);
 /// The largest number of queued sync pages. Dropped pages are sent again after the next comparison.
 const PAGE_LIMIT: usize = 256;
@@ -34,7 +34,7 @@
 /// The largest number of seeds.
 const SEED_LIMIT: usize = 32;
 
-/// The outstanding probe.
+/// This host's unanswered probe of another host.
 #[derive(Clone, Debug)]
 struct OpenProbe {
     host: HostId,
@@ -55,10 +55,10 @@
 /// One host's view of the membership: gossip with suspicion and incarnations, after SWIM (Das,
 /// Gupta and Motivala, 2002).
 ///
-/// In each interval one other host is probed. Without an answer, other hosts are asked to probe it,
-/// so that no host is declared dead because of a single broken path. A host that answers no probe
-/// becomes a suspect and is notified. It is declared dead only if it doesn't refute the suspicion
-/// in time.
+/// In each interval one other host is probed. If it does not answer, other hosts are asked to probe
+/// it, so that no host is declared dead because of a single broken path. A host that answers no
+/// probe becomes a suspect and is notified. It is declared dead only if it doesn't refute the
+/// suspicion in time.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: MemberRecord,
@@ -77,13 +77,13 @@
     next_sweep: Moment,
     left: bool,
     ring: PeerRing,
-    /// The hosts that were added, were removed or changed their description since they were last
-    /// taken.
+    /// The hosts that were added or removed, or that changed their description, since the last call
+    /// of [`Self::take_changed_hosts`].
     changed_hosts: FastSet<HostId>,
 }
 
 impl MemberTable {
-    /// Makes a table that contains only the own host.
+    /// Makes a table that contains only this host (`own`).
     #[must_use]
     pub fn new(own: MemberRecord, settings: MemberSettings, seed: u64) -> Self {
         Self {
@@ -118,19 +118,19 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// Returns the own description.
+    /// Returns this host's description of itself.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Returns the live hosts, including the own one unless it has left.
+    /// Returns the live hosts, including this one unless it has left.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         let own = (!self.left).then_some(&self.own);
         own.into_iter().chain(self.roster.live().map(|entry| &entry.update.record))
     }
 
-    /// Returns the number of live entries, including the own host if it is one and has not left.
+    /// Returns the number of live entries, including this host if it is one and has not left.
     #[must_use]
     pub fn live_entries(&self) -> usize {
         self.roster.live_entries() + usize::from(self.own.roles.entry && !self.left)
@@ -155,7 +155,7 @@
         self.roster.find(host).map(|entry| entry.update.state)
     }
 
-    /// Returns the number of remembered hosts, including dead ones and the own one.
+    /// Returns the number of remembered hosts, including dead ones and this one.
     #[must_use]
     pub fn remembered(&self) -> usize {
         self.roster.len() + 1
@@ -181,8 +181,8 @@
         &self.ring
     }
 
-    /// Takes the hosts that were added, were removed or changed their description since the last
-    /// call.
+    /// Takes the hosts that were added or removed, or that changed their description, since the
+    /// last call.
     pub fn take_changed_hosts(&mut self) -> FastSet<HostId> {
         self.ring();
         std::mem::take(&mut self.changed_hosts)
@@ -234,8 +234,8 @@
         sends
     }
 
-    /// Announces the own departure to some hosts, which tell the others. Afterwards the table sends
-    /// nothing.
+    /// Announces this host's departure to some hosts, which gossip it to the others. Afterwards the
+    /// table sends nothing.
     pub fn leave(&mut self, _now: Moment) -> Vec<MemberSend> {
         const LEAVE_MESSAGES: usize = 8;
         self.left = true;
@@ -315,7 +315,7 @@
         None
     }
 
-    /// Asks other hosts to probe the target once its own answer is overdue.
+    /// Asks other hosts to probe the target once its answer to this host is overdue.
     fn relay_probe(&mut self, now: Moment, sends: &mut Vec<MemberSend>) {
         let Some(probe) = self.probe.as_mut() else {
             return;
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Marks a host as suspect that answered neither directly nor through other hosts.
+    /// Marks the probed host as suspect if it answered neither directly nor through other hosts.
     fn end_probe(&mut self, now: Moment) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -409,7 +409,7 @@
         }
         // Other hosts may differ too, so the next comparison follows soon.
         self.next_sync = self.next_sync.min(now + FAST_SYNC_INTERVAL);
-        // The own description is included, because it may belong to a part that differs.
+        // This host's description is included, because it may belong to a part that differs.
         differing.insert(0, self.own_update());
         let mut rest = differing.as_slice();
         while !rest.is_empty() && self.pages.len() < PAGE_LIMIT {
@@ -505,8 +505,9 @@
         }
     }
 
-    /// Outranks a wrong update about the own host: a suspicion, a death, or the description of an
-    /// earlier start with a higher incarnation because the clock was set back since.
+    /// Raises this host's incarnation so that it outranks a wrong update about the host. Such an
+    /// update reports a suspicion or death, or describes an earlier start. An earlier start can
+    /// have a higher incarnation if the clock was set back since.
     fn refute(&mut self, update: &MemberUpdate) {
         let same = update.state == MemberState::Alive && update.record == self.own;
         if !same && update.record.incarnation >= self.own.incarnation {
@@ -514,7 +515,8 @@
         }
     }
 
-    /// Packs a message: the own description first, then the target's update, then queued updates.
+    /// Packs a message: this host's description first, then the target's update, then queued
+    /// updates.
     fn message(
         &mut self,
         to: SocketAddr,
--- a/crates/pulley_core/src/process/mod.rs
+++ b/crates/pulley_core/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! State with the lifetime of the process.
+//! State that outlives requests: membership, upstreams and counts, with the basic types they use.
 
 mod counts;
 mod fast_map;
--- a/crates/pulley_core/src/process/registry/lease_bucket.rs
+++ b/crates/pulley_core/src/process/registry/lease_bucket.rs
@@ -17,9 +17,9 @@
     pub(crate) record: LeaseRecord,
     /// The epoch in which any host last heard from it.
     pub(crate) renewed: LeaseEpoch,
-    /// The latest sequence number that this host received itself.
+    /// The latest sequence number that this host received directly from the upstream.
     pub(crate) last_sequence: UpstreamSequence,
-    /// Whether it took work at the last check. A difference changes the view.
+    /// Whether it took work at the last check. When this changes, the pool's list is updated.
     pub(crate) took_work: bool,
 }
 
@@ -91,7 +91,7 @@
         removed.into_values().collect()
     }
 
-    /// The age code of each lease in epochs, in the order of the ids.
+    /// The age of each lease in epochs, at most [`CODE_EXPIRED`], in the order of the ids.
     pub(crate) fn codes(&self, at: LeaseEpoch) -> impl Iterator<Item = u8> {
         self.entries.values().map(move |entry| {
             let age = entry.renewed.age(at).min(u32::from(CODE_EXPIRED));
--- a/crates/pulley_core/src/process/registry/lease_table.rs
+++ b/crates/pulley_core/src/process/registry/lease_table.rs
@@ -27,11 +27,11 @@
 pub(crate) struct LeaseTable {
     buckets: Vec<LeaseBucket>,
     count: usize,
-    /// Increases with every change of what traffic may use.
+    /// Increases whenever the result of [`Self::rebuild_pools`] may have changed.
     pub(crate) changes: u64,
-    /// What traffic may use, as of the last call of [`Self::pools`].
+    /// The upstreams of each pool as of the last call of [`Self::pools`].
     pools: FastMap<PoolName, UpstreamList>,
-    /// Upstreams changed since then, each with the pool in which it was last listed.
+    /// Upstreams changed since that call, each with the pool in which it was last listed.
     dirty: FastMap<UpstreamId, PoolName>,
     /// Zones whose upstreams get no work, sorted by name.
     evacuated_zones: Vec<ZoneName>,
@@ -285,8 +285,8 @@
         true
     }
 
-    /// Whether there is room for another upstream. Removes the leases that expired first if need
-    /// be.
+    /// Whether there is room for another upstream. If the table is full, it first removes the
+    /// upstreams whose leases expired earliest, if any has expired.
     fn make_room(&mut self, renewed: LeaseEpoch) -> bool {
         if self.count < UPSTREAM_LIMIT {
             return true;
--- a/crates/pulley_core/src/process/registry/recall_proof.rs
+++ b/crates/pulley_core/src/process/registry/recall_proof.rs
@@ -1,6 +1,6 @@
-//! The condition under which a replica may recall the upstreams stored on its disk.
+//! The condition under which a replica may restore the upstreams stored on its disk.
 
-/// How far a replica is in proving that it knows every departure that was acknowledged before it
+/// A replica's progress in proving that it knows every departure that was acknowledged before it
 /// started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RecallProof {
@@ -9,7 +9,7 @@
     NotAsked,
     /// The leader was asked and has not answered.
     Asked,
-    /// All these departures are known once the log is applied up to this index.
+    /// Every such departure is known once the log is applied up to this index.
     RequiredIndex(u64),
 }
 
@@ -29,8 +29,8 @@
     /// Records that the question was rejected because too many are already waiting.
     ///
     /// If it still counted as asked, the replica would wait for an answer that never comes until it
-    /// is too late to recall. Entries would then know only those upstreams that have announced
-    /// themselves since.
+    /// is too late to restore the upstreams. Entries would then know only those upstreams that have
+    /// announced themselves since.
     pub fn mark_rejected(&mut self) {
         if *self == Self::Asked {
             *self = Self::NotAsked;
@@ -42,7 +42,7 @@
         *self = applied.map_or(Self::NotAsked, Self::RequiredIndex);
     }
 
-    /// Whether a replica that has applied the log up to `applied` may recall.
+    /// Whether a replica that has applied the log up to `applied` may restore the stored upstreams.
     #[must_use]
     pub fn is_complete_at(self, applied: u64) -> bool {
         matches!(self, Self::RequiredIndex(index) if applied >= index)
--- a/crates/pulley_core/src/process/registry/registry_gossip.rs
+++ b/crates/pulley_core/src/process/registry/registry_gossip.rs
@@ -14,8 +14,9 @@
 use super::shared_clock::LeaseEpoch;
 use super::{Moment, PeerRing, RegistrySend, UpstreamRegistry};
 
-/// How many changes a second are sent at once. Further ones wait for the comparison of buckets, so
-/// that a thousand upstreams starting together don't fill the links. Drains are never delayed.
+/// How many changes a second are sent immediately. The others reach hosts when buckets are
+/// compared, so that a thousand upstreams starting together don't fill the links. Drains are never
+/// delayed.
 const UPDATE_RATE: f64 = 200.0;
 /// How many changes may be sent in one burst.
 const UPDATE_BURST: f64 = 400.0;
@@ -26,13 +27,13 @@
 /// For how long a bucket is not compared after a change: the time that an update takes to reach
 /// every host.
 ///
-/// While upstreams come and go all the time, hosts receive a change some hops apart. Without this
-/// pause they would compare whole buckets for it, which costs many times the update itself and
-/// brings no new information.
+/// A change reaches some hosts a few hops later than others. While upstreams come and go all the
+/// time, hosts without this pause would compare whole buckets for each change. That costs many
+/// times the update itself and brings no new information.
 const PROPAGATION_TIME: Duration = Duration::from_millis(700);
 /// The minimum interval between answers to a digest that differs.
 const DIGEST_ANSWER_INTERVAL: Duration = Duration::from_millis(50);
-/// How many record messages may wait. Any beyond that belong to a comparison that will be repeated.
+/// How many record messages may wait. Further ones are dropped; their comparison will be repeated.
 const RECORD_QUEUE_LIMIT: usize = 256;
 
 impl UpstreamRegistry {
@@ -44,13 +45,13 @@
         let first = !self.clock.has_merged_reading();
         let jump = self.clock.merge_reading(now, message.time);
         if first && jump > 0 {
-            // The new time shifts the boundaries of epochs. One epoch less, so that no lease is
-            // extended.
+            // Epochs begin at other moments by the new time. The leases are shifted by one epoch
+            // less than the jump, so that none is extended.
             self.table.shift(jump - 1);
         }
         if jump > 0 {
-            // By the new time leases may have expired without an epoch of this host's own clock
-            // ending.
+            // By the new time leases may have expired before this host's own clock reaches the end
+            // of its epoch.
             self.table.expire(self.clock.epoch(now));
         }
         let sent = self.clock.epoch_of(message.time);
@@ -116,8 +117,8 @@
             }
             is_departure || has_budget
         });
-        // The host `2^step` places further on forwards to those before the next host addressed
-        // here.
+        // The host `2^step` positions ahead gets the update with reach `step`. It forwards the
+        // update to the hosts between itself and the target of the next step.
         for step in 0..ring.rounds() {
             let reach = UpdateReach(u8::try_from(step).unwrap_or(u8::MAX));
             let selected = updates.iter().filter(|update| update.reach > reach);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Sends the ages of all leases to this round's host.
+    /// Sends the ages of all leases to the target of this round.
     pub(crate) fn send_leases(
         &mut self,
         now: Moment,
@@ -148,7 +149,7 @@
         let codes = self.table.buckets().iter().flat_map(|bucket| bucket.codes(epoch));
         let codes: Vec<u8> = codes.collect();
         let digest = self.table.digest();
-        // An empty list still shows that nothing is known here.
+        // An empty list is sent too: it shows that this host knows no upstreams.
         let parts = codes.chunks(LEASES_PER_MESSAGE).chain(codes.is_empty().then_some(&[][..]));
         for (part, codes) in parts.enumerate() {
             let first = u32::try_from(part * LEASES_PER_MESSAGE).unwrap_or(u32::MAX);
@@ -168,7 +169,8 @@
                 codes: PackedCodes::pack(bucket.codes(epoch)),
             })
             .collect();
-        // An empty list still shows that nothing is known here, and others answer it.
+        // An empty list is sent too: it shows that this host knows no upstreams, and the receiver
+        // answers with its records.
         let parts = if buckets.is_empty() { vec![Vec::new()] } else { split_by_size(buckets) };
         parts
             .into_iter()
@@ -322,8 +324,8 @@
         }
     }
 
-    /// Merges one record. Returns whether that changed what is known. A change with a `reach` is
-    /// forwarded that far.
+    /// Merges one record that was last renewed in epoch `renewed`. Returns whether the known record
+    /// changed. If it did and a `reach` is given, the change is forwarded that far.
     pub(crate) fn merge_record(
         &mut self,
         now: Moment,
--- a/crates/pulley_core/src/process/registry/registry_message.rs
+++ b/crates/pulley_core/src/process/registry/registry_message.rs
@@ -11,13 +11,13 @@
 
 /// The largest body of a registry message, in bytes; see `MEMBER_BODY_LIMIT`.
 pub const REGISTRY_BODY_LIMIT: usize = 1_200;
-/// The bytes left for a message's list beside its other fields.
+/// The largest encoded size of a message's list in bytes; the rest is for the other fields.
 pub(crate) const LIST_LIMIT: usize = REGISTRY_BODY_LIMIT - 32;
 
 /// How many leases fit into one message, at three bits each.
 pub(crate) const LEASES_PER_MESSAGE: usize = LIST_LIMIT / 3 * 8;
 
-/// A message to send.
+/// An encoded registry message and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistrySend {
     /// The receiver's address.
@@ -59,7 +59,7 @@
     pub(crate) age: u32,
 }
 
-/// How far an update is forwarded: to the hosts up to `2^n` places further on in the ring.
+/// How far an update is forwarded: to the hosts fewer than `2^n` positions ahead in the ring.
 ///
 /// Each host receives an update from only one other host. If hosts forwarded to a few peers picked
 /// at random, they would spend several times the bytes on repeating known updates; on links of 2
@@ -70,7 +70,8 @@
 impl UpdateReach {
     /// Not forwarded.
     pub(crate) const NONE: Self = Self(0);
-    /// Forwarded to the next host only: a second path where every host is sent the update directly.
+    /// Forwarded to the next host only. Used for updates that every host is sent directly, as a
+    /// second way to receive them.
     pub(crate) const NEXT: Self = Self(1);
     /// Forwarded to all hosts.
     pub(crate) const ALL: Self = Self(u8::MAX);
@@ -91,8 +92,8 @@
     Leases { digest: u32, first: u32, codes: PackedCodes },
     /// Leases by bucket, for a host that may lack a change. Sent while changes spread.
     BucketLeases { buckets: Vec<BucketCodes> },
-    /// Records that have just changed. A host to which they are new forwards them to the hosts
-    /// within `reach`.
+    /// Records that have just changed. A host that did not know such a change forwards it to the
+    /// hosts within `reach`.
     Updates { reach: UpdateReach, records: Vec<AgedRecord> },
     /// Summaries of the buckets in which the sender's records differ from the receiver's.
     Summaries { buckets: Vec<BucketSummary> },
--- a/crates/pulley_core/src/process/registry/shared_clock.rs
+++ b/crates/pulley_core/src/process/registry/shared_clock.rs
@@ -6,8 +6,8 @@
 
 use super::Moment;
 
-/// The default length of an epoch.
-pub(crate) const EPOCH: Duration = Duration::from_millis(500);
+/// The length of an epoch for the default lease of 3 s.
+pub(crate) const EPOCH_LENGTH: Duration = Duration::from_millis(500);
 /// How many epochs a lease lasts, including the one of its renewal: 2.5 to 3 s.
 pub(crate) const LEASE_EPOCHS: u32 = 6;
 
@@ -51,7 +51,7 @@
 
 impl Default for SharedClock {
     fn default() -> Self {
-        Self::with_lease(EPOCH * LEASE_EPOCHS)
+        Self::with_lease(EPOCH_LENGTH * LEASE_EPOCHS)
     }
 }
 
@@ -60,8 +60,8 @@
     pub(crate) fn with_lease(lease: Duration) -> Self {
         let epoch_ms = (lease / LEASE_EPOCHS).as_millis().max(1);
         let epoch_ms = u64::try_from(epoch_ms).unwrap_or(u64::MAX);
-        // Starts one lease after zero, so that a partly elapsed lease can be told from a fresh one
-        // from the beginning.
+        // Starts one lease after zero, so that a partly elapsed lease differs from a fresh one from
+        // the beginning.
         let offset_ms = epoch_ms.saturating_mul(u64::from(LEASE_EPOCHS));
         Self { offset_ms, has_merged: false, epoch_ms }
     }
--- a/crates/pulley_core/src/process/registry/upstream_directory.rs
+++ b/crates/pulley_core/src/process/registry/upstream_directory.rs
@@ -1,4 +1,4 @@
-//! The upstreams that a replica stores on its disk, and their recall after a restart.
+//! The upstreams that a replica stores on its disk, and how they are restored after a restart.
 
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
 /// with long names.
 pub const DIRECTORY_LIMIT: usize = 8 << 20;
 
-/// How many epochs of its lease a recalled upstream has left if it does not announce itself. A
+/// How many epochs of its lease a restored upstream has left if it does not announce itself. A
 /// lease covers four announcements, and these epochs cover two of them: enough for one late
-/// announcement. An upstream that died meanwhile is tried no longer than any other that dies.
-const RECALLED_EPOCHS: u32 = LEASE_EPOCHS / 2;
+/// announcement. An upstream that ended meanwhile is tried no longer than any other that ends.
+const RECOVERED_LEASE_EPOCHS: u32 = LEASE_EPOCHS / 2;
 
 /// How many state transfer messages may wait: enough for all entries of a zone at the planned size.
 const STATE_TRANSFER_LIMIT: usize = 4_096;
@@ -25,12 +25,12 @@
 /// A replica's knowledge of upstreams and hosts at one moment, to be written to its disk.
 ///
 /// It guards against a power loss of all hosts. Their memory is then empty, and upstreams, which do
-/// not notice, keep announcing themselves at their usual interval. During that interval entries
-/// know only some of them: for over a second most requests were refused although every upstream was
-/// idle.
+/// not notice, keep announcing themselves at their usual interval. During that interval, entries
+/// without a directory know only some of them: for over a second most requests were refused
+/// although every upstream was idle.
 ///
-/// Recalled data is a hint. It never overrides an upstream's own announcement, its lease is short,
-/// and no incarnation is recalled whose departure was acknowledged.
+/// Restored data is only a hint. It never overrides an upstream's own announcement, its lease is
+/// short, and an incarnation whose departure was acknowledged is not restored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamDirectory {
     /// The index of the log entry that was applied last when this was written.
@@ -78,7 +78,7 @@
         directory: UpstreamDirectory,
         has_left: impl Fn(&UpstreamStart) -> bool,
     ) -> usize {
-        let renewed = self.clock.epoch(now).minus(LEASE_EPOCHS - RECALLED_EPOCHS);
+        let renewed = self.clock.epoch(now).minus(LEASE_EPOCHS - RECOVERED_LEASE_EPOCHS);
         let mut recalled = 0;
         for record in directory.records {
             let is_known = self.table.find(&record.announcement.id).is_some();
@@ -94,7 +94,7 @@
     ///
     /// This is for a restart of all hosts, or of one host under heavy load. If an entry only
     /// compared tables with one host a round, it would learn of its upstreams after one round or
-    /// several, while its callers wait. State transfers are limited to entries of the own zone
+    /// several, while its callers wait. State transfers are limited to entries of the sender's zone
     /// because each one lists every upstream, and traffic within the zone costs least.
     pub fn transfer_state(&mut self, now: Moment, to: SocketAddr) {
         let epoch = self.clock.epoch(now);
--- a/crates/pulley_core/src/process/registry/upstream_registry.rs
+++ b/crates/pulley_core/src/process/registry/upstream_registry.rs
@@ -17,10 +17,10 @@
     UpstreamList, UpstreamPhase, UpstreamStart, ZoneName,
 };
 
-/// The fraction of a lease within which renewals reach all hosts round the ring. Together with the
-/// announcement interval and one epoch it must stay below the shortest lease, or live upstreams
-/// would lose work now and then. With a lease of 3 s it takes 0.7 s; with one second between
-/// announcements, 0.8 s remain for late messages.
+/// The fraction of a lease within which renewals reach all hosts round the ring. This time, the
+/// announcement interval and one epoch must together stay below the shortest lease. Otherwise live
+/// upstreams would lose work now and then. With a lease of 3 s, renewals take 0.7 s; with one
+/// second between announcements, 0.8 s remain for late messages.
 const CYCLE_FRACTION: f64 = 0.7 / 3.0;
 /// The shortest pause between two rounds. With 1,000 hosts a cycle has ten rounds.
 const MIN_ROUND_PAUSE: Duration = Duration::from_millis(70);
@@ -28,11 +28,11 @@
 pub(crate) const UPDATE_DELAY: Duration = Duration::from_millis(5);
 /// The minimum interval between sends of updates other than departures.
 ///
-/// Every host receives each change from several others and forwards it to as many. A datagram for
-/// each change would cost all hosts together more than anything else they do: after a power loss,
-/// when every upstream is an update, small hosts were too busy with them to serve. In quiet times
-/// an update leaves at once. Updates that follow within the interval are sent together, delayed by
-/// up to that much at each hop.
+/// Every host forwards changes to several others. A datagram for each change would cost all hosts
+/// together more than anything else they do: after a power loss, when every upstream's record is an
+/// update, small hosts were too busy with them to serve. In quiet times an update leaves at once.
+/// Updates that follow within the interval are sent together, delayed by up to that much at each
+/// hop.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 /// The pause between bursts of waiting record messages.
 const RECORD_QUEUE_PAUSE: Duration = Duration::from_millis(20);
@@ -46,7 +46,7 @@
 /// The largest number of connections that an upstream may announce.
 const CONNECTION_LIMIT: u32 = 1_000_000;
 
-/// The result of the registry's methods.
+/// The result of an operation that the registry may refuse.
 pub type RegistryResult<T> = Result<T, RegistryFault>;
 
 /// Why an announcement or a drain was refused.
@@ -94,13 +94,13 @@
     Renewed,
     /// The upstream announced a change.
     Changed,
-    /// A later announcement was received before. This one changes nothing.
+    /// A later announcement has already been received. This one changes nothing.
     Stale,
     /// The upstream drains until its next incarnation, whatever this announcement says.
     Draining,
 }
 
-/// The registry of one host.
+/// One host's registry of upstreams.
 ///
 /// Upstreams announce themselves each second to any host. Instead of forwarding each heartbeat,
 /// hosts share one table of lease ages, with three bits an upstream, and merge it by keeping the
@@ -179,7 +179,8 @@
     // ---------------------------------------------------------------------------------------------
     // Queries
 
-    /// Increases with every change of what [`Self::rebuild_pools`] returns.
+    /// Returns a counter that increases whenever the result of [`Self::rebuild_pools`] may have
+    /// changed.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.table.changes
@@ -198,8 +199,8 @@
         self.table.rebuild_pools(self.clock.epoch(now))
     }
 
-    /// Returns the same lists as of the last [`Self::tick`]. The cost depends only on the changes
-    /// since the last call.
+    /// Returns the same lists as [`Self::rebuild_pools`], except that expired leases show once
+    /// [`Self::tick`] has processed them. The cost depends only on the changes since the last call.
     pub fn pools(&mut self, now: Moment) -> &FastMap<PoolName, UpstreamList> {
         let epoch = self.clock.epoch(now);
         self.table.pools(epoch)
@@ -296,7 +297,7 @@
         outcome
     }
 
-    /// Records the departure that an upstream announced itself. Returns whether the upstream is
+    /// Records a departure that the upstream itself announced. Returns whether the upstream is
     /// known.
     ///
     /// The message may have been delayed while the upstream restarted under the same id. If an
@@ -386,8 +387,8 @@
         }
     }
 
-    /// Returns the round for which the last tick sent leases, if one was due. Others with messages
-    /// for the same host may send them along.
+    /// Returns the round for which the last tick sent leases; `None` if no round was due. Other
+    /// components may send messages to the same target along with the leases.
     #[must_use]
     pub const fn sent_round(&self) -> Option<u32> {
         self.sent_round
--- a/crates/pulley_core/src/process/upstream.rs
+++ b/crates/pulley_core/src/process/upstream.rs
@@ -6,7 +6,7 @@
 
 use super::{PoolName, SlotCount, UpstreamId, ZoneName};
 
-/// Counts an upstream's starts; a later start outranks all announcements of earlier ones.
+/// Orders an upstream's starts: a later start outranks all announcements of earlier ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,10 +18,10 @@
 )]
 pub struct UpstreamSequence(pub u64);
 
-/// One start of an upstream.
+/// Identifies one start of an upstream among all starts under the same id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UpstreamStart {
-    /// The upstream.
+    /// The upstream's id, which later starts may use again.
     pub id: UpstreamId,
     /// The incarnation of this start.
     pub incarnation: Incarnation,
@@ -77,6 +77,7 @@
 pub struct UpstreamRecord {
     /// The current announcement.
     pub announcement: Announcement,
-    /// Whether it may get new work; false once its lease has expired or it is draining.
+    /// Whether it may get new work; false if its lease has expired, it is draining or gone, or its
+    /// zone is evacuated.
     pub takes_work: bool,
 }
--- a/crates/pulley_core/tests/members/wide_change.rs
+++ b/crates/pulley_core/tests/members/bulk_change.rs
@@ -27,7 +27,7 @@
 
 /// The change to simulate, and the hosts and links.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WideChange {
+pub(crate) struct BulkChange {
     pub(crate) hosts: usize,
     pub(crate) entry_link: LinkRates,
     pub(crate) added_rows: usize,
@@ -93,7 +93,7 @@
     }
 }
 
-impl WideChange {
+impl BulkChange {
     /// Makes both changes and runs until the last version is in force everywhere, but at least for
     /// `min_time` and at most for `max_time` after its acceptance.
     pub(crate) fn run(&self, min_time: Duration, max_time: Duration) -> ChangeStats {
--- a/crates/pulley_core/tests/members/wide_change_tests.rs
+++ b/crates/pulley_core/tests/members/bulk_change_tests.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use crate::bulk_change::{BulkChange, ChangeStats, REPLICAS};
 use crate::link_model::LinkRates;
-use crate::wide_change::{ChangeStats, REPLICAS, WideChange};
 
 /// The time after its acceptance within which a change must be in force everywhere.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
@@ -17,7 +17,7 @@
 fn change_of(added_rows: usize) -> ChangeStats {
     let entry_link = LinkRates { rate: 175_000, callers: 87_500 };
     let change =
-        WideChange { hosts: 186, entry_link, added_rows, long_queue: LONG_QUEUE, seed: 51 };
+        BulkChange { hosts: 186, entry_link, added_rows, long_queue: LONG_QUEUE, seed: 51 };
     change.run(IN_FORCE_WITHIN, IN_FORCE_WITHIN)
 }
 
--- a/crates/pulley_core/tests/members/differences_tests.rs
+++ b/crates/pulley_core/tests/members/differences_tests.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// A random duration that ends between two milliseconds, so that everything due by then has been
+/// A random duration with a fraction of a millisecond, so that everything due by its end has been
 /// done.
 fn random_pause(rng: &mut SmallRng) -> Duration {
     Duration::from_millis(rng.random_range(5..900))
@@ -84,8 +84,8 @@
     }
 }
 
-/// The same for the ring of live hosts along which updates are forwarded: a host missing from it
-/// gets no updates, and messages to a host that should not be in it are wasted.
+/// The same for the ring of live hosts along which updates are forwarded. A host missing from it
+/// gets no updates, and messages to a host that is in it by mistake are wasted.
 #[test]
 fn an_incremental_ring_equals_a_rebuilt_ring() {
     for seed in 20..32 {
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -1,4 +1,4 @@
-//! Where evacuations are known, and how they affect the zones' upstreams.
+//! How orders to evacuate zones reach all hosts, and how they affect the zones' upstreams.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/pulley_core/tests/members/link_model.rs
+++ b/crates/pulley_core/tests/members/link_model.rs
@@ -21,7 +21,7 @@
 pub(crate) struct LinkStats {
     /// The longest time that a caller's byte waited.
     pub(crate) longest: Duration,
-    /// For how long the queue counted as long.
+    /// The total time in which the queue was long.
     pub(crate) long_time: Duration,
     pub(crate) passed_bytes: u64,
     pub(crate) dropped: u64,
--- a/crates/pulley_core/tests/members/main.rs
+++ b/crates/pulley_core/tests/members/main.rs
@@ -2,6 +2,8 @@
 
 #![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
+mod bulk_change;
+mod bulk_change_tests;
 mod differences_tests;
 mod evacuation_tests;
 mod link_model;
@@ -15,5 +17,3 @@
 mod schedule_tests;
 mod upstream_directory_tests;
 mod upstream_registry_tests;
-mod wide_change;
-mod wide_change_tests;
--- a/crates/pulley_core/tests/members/member_table_tests.rs
+++ b/crates/pulley_core/tests/members/member_table_tests.rs
@@ -19,7 +19,7 @@
     assert_eq!(live_counts(&network), vec![30; 30]);
 }
 
-/// A host loses power. Until the others notice, its share of everything is not used.
+/// A host loses power. Until the others notice, its share of every limit is not used.
 #[test]
 fn a_dead_host_is_noticed_by_all() {
     let mut network = Network::new(30, 2);
--- a/crates/pulley_core/tests/members/plan_follower_tests.rs
+++ b/crates/pulley_core/tests/members/plan_follower_tests.rs
@@ -36,9 +36,9 @@
     assert_eq!(network.hosts[0].plans.holders().len(), 29);
 }
 
-/// The leader and two replicas are cut off from the rest without a signal. Changes may be accepted
-/// on their side. An entry that kept serving the old version would break the guarantee of accepted
-/// changes.
+/// The leader and two replicas are cut off from the rest without any connection error. Changes may
+/// be accepted on their side. An entry that kept serving the old version would break the guarantee
+/// of accepted changes.
 #[test]
 fn hosts_cut_off_from_a_leader_that_may_have_moved_on_are_not_ready() {
     let mut network = with_leader(12, 22);
@@ -155,8 +155,8 @@
 }
 
 /// All hosts restart together. An entry asks a replica before any replica leads, and that replica
-/// becomes leader a moment later. If it answered only the next question, the entry would refuse its
-/// callers for a tenth of a second with the configuration a millisecond away.
+/// becomes leader a moment later. If the replica answered only the next question, the entry would
+/// refuse its callers for a tenth of a second with the configuration a millisecond away.
 #[test]
 fn a_host_that_asked_before_the_election_is_answered_right_after_it() {
     let mut replica = PlanFollower::new(host_name(0), 1);
@@ -181,9 +181,8 @@
     assert!(replica.tick(at(17), &ring).is_empty(), "the entry is answered only once");
 }
 
-/// Changes follow each other and links are slow. A host began to fetch a version again without
-/// knowing a host that holds it, and chunks requested earlier arrived. The host's follower
-/// panicked.
+/// Changes follow each other and links are slow. When a host began to fetch a version again without
+/// knowing a host that holds it, and chunks requested earlier arrived, its follower panicked.
 #[test]
 fn chunks_that_arrive_before_a_source_is_known_do_not_panic() {
     let [mut leader, mut first, mut second] =
--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -1,5 +1,5 @@
-//! Which hosts are asked for a newer configuration, and which received chunks are kept while they
-//! are busy or change.
+//! Which hosts are asked for a newer configuration, and which received chunks are kept while the
+//! asked hosts are busy or others are asked instead.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -95,7 +95,7 @@
     mine.flat_map(|send| follower.receive(now, from, &send.body)).collect()
 }
 
-// Guards against a host that asks only those that held replicas when it began to fetch.
+// Guards against a host that asks only the hosts that held replicas when it began to fetch.
 #[test]
 fn a_host_asks_the_current_replicas_for_an_awaited_version() {
     let ring = PeerRing::default();
--- a/crates/pulley_core/tests/members/restart_tests.rs
+++ b/crates/pulley_core/tests/members/restart_tests.rs
@@ -74,9 +74,9 @@
     assert_eq!(waiting, 0, "hosts without the configuration 0.1 s after the leader");
 }
 
-/// After a restart every upstream is an update, and every host forwards updates to several others.
-/// With a datagram for each, small hosts are busy with datagrams for seconds. Updates that arrive
-/// together must be sent together, and still reach every host within moments.
+/// After a restart every upstream's record is an update, and every host forwards updates to several
+/// others. With a datagram for each, small hosts are busy with datagrams for seconds. Updates that
+/// arrive together must be sent together, and still reach every host within moments.
 #[test]
 fn updates_of_many_upstreams_are_batched() {
     const HOSTS: usize = 60;
--- a/crates/pulley_core/tests/members/schedule_tests.rs
+++ b/crates/pulley_core/tests/members/schedule_tests.rs
@@ -82,7 +82,7 @@
         model
     }
 
-    /// Reports every entry as stored on every replica. The log itself has tests of its own.
+    /// Reports every log entry as stored on every replica. The log itself has tests of its own.
     fn report_logs(&mut self) {
         let last = ConfigVersion(self.accepted.len() as u64 - 1);
         for replica in 0..5 {
--- a/crates/pulley_core/tests/members/upstream_directory_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_directory_tests.rs
@@ -1,4 +1,4 @@
-//! The recall of upstreams after every host has lost its memory.
+//! How upstreams are restored from a replica's disk after all hosts have lost power.
 
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
 }
 
 /// An upstream announces its departure, which is acknowledged; then all hosts lose power. The
-/// replica that comes back stored the upstream before that. If it recalled the upstream, callers
+/// replica that comes back stored the upstream before that. If it restored the upstream, callers
 /// would be sent to a process that is about to end.
 #[test]
 fn departed_upstreams_are_not_recalled() {
@@ -74,7 +74,7 @@
     let moved = Announcement { address: "10.9.9.9:8000".parse().unwrap(), ..announcement(0, 2, 1) };
     registry.announce(Moment::ZERO, moved.clone()).unwrap();
     assert_eq!(registry.recall(Moment::ZERO, saved_directory(1), |_| false), 0);
-    // The reverse order: a recalled record is replaced by the upstream's first announcement.
+    // The reverse order: a restored record is replaced by the upstream's first announcement.
     let mut other = UpstreamRegistry::new();
     assert_eq!(other.recall(Moment::ZERO, saved_directory(1), |_| false), 1);
     let late = Moment::ZERO + Duration::from_secs(2);
@@ -100,7 +100,7 @@
     assert!(registry.takes_work(late, &alive.id));
 }
 
-/// A recalled upstream announces that it drains, and a copy of its stored record arrives from
+/// A restored upstream announces that it drains, and a copy of its stored record arrives from
 /// another host. The upstream must stay out of use.
 #[test]
 fn a_drain_after_a_recall_holds_everywhere() {
@@ -114,9 +114,9 @@
     assert_eq!(start.incarnation, Incarnation(1));
 }
 
-/// A replica starts while so many questions wait for a leader that its own is rejected. If it
-/// counted as asked, the replica would recall nothing, and callers would be refused until all
-/// upstreams have announced themselves again.
+/// A replica starts while so many questions wait for a leader that its own is rejected. If the
+/// question counted as asked, the replica would restore no upstreams, and callers would be refused
+/// until all upstreams have announced themselves again.
 #[test]
 fn a_recall_question_that_was_not_accepted_is_asked_again() {
     let mut proof = RecallProof::default();
--- a/crates/pulley_core/tests/members/upstream_registry_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_registry_tests.rs
@@ -212,7 +212,8 @@
     for host in &network.hosts {
         assert_eq!(taking(host), upstreams);
         let (_, bytes) = host.sent[&crate::network::MessageKind::Upstream];
-        // Every lease takes three bits a round, and records are no longer compared.
+        // Every lease takes three bits a round. Hosts know the same records by now, so that they
+        // don't compare records any more.
         assert!(bytes / 4 < 16_000, "{} bytes a second", bytes / 4);
     }
 }
