--- a/crates/pulley_core/src/version/audit_archive.rs
+++ b/crates/pulley_core/src/version/audit_archive.rs
@@ -1,4 +1,5 @@
-//! The audit trail's chunks on disk: which are stored here, fetching missing ones, and reading.
+//! Keeps track of which chunks of the audit trail are on this disk, fetches missing ones and reads
+//! stored ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,8 +13,8 @@
 };
 use crate::process::{HostId, Moment};
 
-/// How often a replica requests a missing chunk from another. One 80 KB chunk per interval stays
-/// within the bandwidth budget of control traffic.
+/// The interval at which a replica requests missing chunks from others, one at a time. One 80 KB
+/// chunk per interval stays within the bandwidth budget of control traffic.
 const FETCH_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Maximum number of reads in progress. Each serves a question or another replica's fetch.
@@ -34,7 +35,7 @@
 /// A request to read chunks from the local disk, outside the control thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditRead {
-    /// Number of this read.
+    /// Number of this read, to be returned with its result.
     pub id: u64,
     /// Chunk numbers, in the order in which to read them.
     pub chunks: Vec<u64>,
@@ -175,7 +176,7 @@
         filter: AuditFilter,
         limit: usize,
     ) -> bool {
-        // Load: many questions about old records at once. Each id may scan years of chunks;
+        // Load: many questions about old records at once. Each question may scan years of chunks;
         // reads beyond the limit would only queue for the disk.
         if self.archive.reads.len() >= READ_LIMIT {
             return false;
--- a/crates/pulley_core/src/version/audit_trail.rs
+++ b/crates/pulley_core/src/version/audit_trail.rs
@@ -78,7 +78,7 @@
             .collect()
     }
 
-    /// Whether chunks may hold further matches, given that `found` were in memory.
+    /// Whether chunks may hold further matches, given that `found` matches were in memory.
     #[must_use]
     pub fn needs_chunks(&self, filter: &AuditFilter, found: usize) -> bool {
         let oldest = self.recent.front().map_or(0, |record| record.unix_ms);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether the filter excludes all records from about this time or earlier.
+    /// Whether the filter excludes all records up to this time, even if host clocks differ.
     #[must_use]
     pub fn excludes_up_to(&self, unix_ms: u64) -> bool {
         self.since_unix_ms.is_some_and(|since| since > unix_ms.saturating_add(CLOCK_SLACK_MS))
--- a/crates/pulley_core/src/version/departure_machine.rs
+++ b/crates/pulley_core/src/version/departure_machine.rs
@@ -8,7 +8,8 @@
 use crate::process::{FastSet, UpstreamStart};
 
 /// Number of departures remembered, at about 40 bytes each. They cover some hours when 1,200
-/// upstreams are replaced a few times a day. Evicting one only makes older directories unusable.
+/// upstreams are replaced a few times a day. Evicting a departure only makes directories that were
+/// stored before it unusable.
 pub const DEPARTURES_KEPT: usize = 4_096;
 
 /// The acknowledged departures.
--- a/crates/pulley_core/src/version/evacuation_machine.rs
+++ b/crates/pulley_core/src/version/evacuation_machine.rs
@@ -27,10 +27,10 @@
 /// The zone orders applied from the log.
 ///
 /// Of two orders for a zone, the later one in the log holds. A resend is recognised by its change
-/// id. An order also names the log index that it is based on: the question that carries it may be
-/// retried towards the leader for seconds after its operator has given up, sent the order to
-/// another host and withdrawn it there. Applying the late order would evacuate a zone that is back
-/// in use, although nobody asked for that.
+/// id. An order also names the log index that it is based on, so that a late one is recognised. The
+/// question that carries it may be retried for seconds. Meanwhile its operator may have given up,
+/// sent the order to another host and withdrawn it there. Applying the late order would evacuate a
+/// zone that is back in use, although nobody asked for that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationMachine {
     evacuated: Arc<EvacuatedZones>,
--- a/crates/pulley_core/src/version/follower/plan_delta.rs
+++ b/crates/pulley_core/src/version/follower/plan_delta.rs
@@ -1,5 +1,5 @@
-//! The form in which plans are sent between hosts: the difference from a version that the receiver
-//! holds.
+//! The form in which plans are sent between hosts: as steps from a version that the receiver holds
+//! to a later one. Each step is the difference between two versions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,17 +14,19 @@
 
 /// How many steps are kept for hosts that hold an earlier version.
 const STEP_LIMIT: usize = 64;
-/// The total size of the steps kept, in bytes.
+/// The maximum total size of the steps kept, in bytes.
 const STEP_BYTES_LIMIT: usize = 1024 * 1024;
-/// The maximum number of steps in a path; if no path is this short, the whole plan is sent.
+/// The maximum number of steps sent to lead a host from one version to another. If more would be
+/// needed, the whole plan is sent.
 const PATH_STEP_LIMIT: usize = 32;
-/// How many composed paths are cached for hosts that ask for the rest of one.
+/// How many encoded series of steps are cached, for hosts that have received only a part of one.
 const PATH_CACHE_LIMIT: usize = 8;
-/// How many whole plans are cached; that of an earlier version cannot be built again.
+/// How many encoded whole plans are cached. That of an earlier version could not be encoded again,
+/// because a host holds only its latest plan.
 const WHOLE_CACHE_LIMIT: usize = 4;
 
-/// The versions between which a step or path leads. From version 0, the empty plan, it carries a
-/// whole plan.
+/// The version at which one or more steps start and the version that they lead to. Steps that start
+/// at version 0, the empty plan, carry a whole plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct DeltaSpan {
     pub(crate) from: ConfigVersion,
@@ -32,7 +34,7 @@
 }
 
 impl DeltaSpan {
-    /// Whether it leads a host that holds version `held` to a later version.
+    /// Whether steps with this span lead a host that holds version `held` to a later version.
     pub(crate) fn advances(self, held: ConfigVersion) -> bool {
         self.to > held && (self.from == held || self.from == ConfigVersion::default())
     }
@@ -62,8 +64,9 @@
 
     /// Builds a later plan from this one.
     ///
-    /// `body` holds the steps to it as returned by [`DeltaHistory::path_from`]. Returns `None` if
-    /// they do not apply to this plan or do not lead to the plan with the given digest.
+    /// `body` holds the steps to the later plan, as returned by [`DeltaHistory::path_from`].
+    /// Returns `None` if they do not apply to this plan or do not lead to the plan with the given
+    /// digest.
     pub(crate) fn advance(&self, span: DeltaSpan, digest: PlanDigest, body: &[u8]) -> Option<Self> {
         let is_whole = span.from == ConfigVersion::default();
         let mut plan = if is_whole { Arc::default() } else { Arc::clone(&self.plan) };
@@ -87,20 +90,22 @@
 #[derive(Clone, Debug)]
 pub(crate) struct DeltaPath {
     pub(crate) span: DeltaSpan,
-    /// The digest of the plan that the path leads to.
+    /// The digest of the plan that the steps lead to.
     pub(crate) digest: PlanDigest,
     pub(crate) body: Bytes,
 }
 
 /// The steps between the latest versions.
 ///
-/// A step is created where a change is applied, and forwarded unchanged. Hosts that hold the same
-/// steps build the same bytes from them, so the chunks of one path may come from several hosts.
+/// A step is created on hosts that apply a change from the log; other hosts forward it unchanged.
+/// Hosts with the same steps encode them to the same bytes, so the chunks of one series of steps
+/// may come from several hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DeltaHistory {
     steps: VecDeque<PlanStep>,
     bytes: usize,
-    /// Cached paths of steps and, below, cached whole plans; the most recently used are at the end.
+    /// Cached series of steps; whole plans are cached separately. In both caches, the most recently
+    /// used are at the end.
     paths: VecDeque<DeltaPath>,
     whole_plans: VecDeque<DeltaPath>,
 }
@@ -113,7 +118,7 @@
         self.push_step(PlanStep { span, digest: Some(after.digest), packed });
     }
 
-    /// Records a path that came from another host and was applied here, so that it can be served.
+    /// Records steps that came from another host and were applied here, so that they can be served.
     pub(crate) fn record_received(&mut self, path: DeltaPath) {
         let mut from = path.span.from;
         for (to, packed) in split_steps(&path.body).unwrap_or_default() {
@@ -145,7 +150,8 @@
         }
     }
 
-    /// Returns a cached path. It stays cached for as long as hosts ask for it often.
+    /// Returns the steps with a span if they are cached. They then count as the most recently used,
+    /// so they stay cached for as long as hosts ask for them often.
     fn cached(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
         let (cache, _) = self.cache(span);
         let position = cache.iter().position(|path| path.span == span)?;
@@ -154,7 +160,7 @@
         Some(path)
     }
 
-    /// Returns the path that a host has begun to fetch, if it is cached or can be composed.
+    /// Returns the steps that a host has begun to fetch, if they are cached or still kept.
     pub(crate) fn find(&mut self, span: DeltaSpan) -> Option<DeltaPath> {
         self.cached(span).or_else(|| {
             let path = self.compose(span)?;
@@ -163,7 +169,8 @@
         })
     }
 
-    /// Returns the path to the held plan for a host that holds version `from`.
+    /// Returns the steps from version `from` to the held plan, or the whole plan if those steps are
+    /// not available.
     pub(crate) fn path_from(&mut self, from: ConfigVersion, held: &HeldPlan) -> DeltaPath {
         let known = self.find(DeltaSpan { from, to: held.version });
         known.unwrap_or_else(|| self.whole_path(held))
@@ -214,8 +221,8 @@
     Bytes::from(postcard::to_stdvec(&steps).expect("plain data types always encode"))
 }
 
-/// Splits a path that is no longer than allowed into its steps: the version to which each leads,
-/// and its packed form.
+/// Splits an encoded series into its steps: the version to which each leads, and its packed form.
+/// Returns `None` if it cannot be decoded or has too many steps.
 fn split_steps(body: &[u8]) -> Option<Vec<(ConfigVersion, &[u8])>> {
     let steps: Vec<(ConfigVersion, &[u8])> = postcard::from_bytes(body).ok()?;
     (steps.len() <= PATH_STEP_LIMIT).then_some(steps)
--- a/crates/pulley_core/src/version/follower/plan_difference.rs
+++ b/crates/pulley_core/src/version/follower/plan_difference.rs
@@ -20,9 +20,9 @@
 /// Where rows of the later plan come from.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 enum RowOrigin {
-    /// From the earlier plan.
+    /// `count` rows of the earlier plan, starting at index `from`.
     Copy { from: u32, count: u32 },
-    /// The next of the new rows.
+    /// The next `count` new rows.
     Insert { count: u32 },
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the encoding for transfer. It has the same bytes on every host that packs it.
+    /// Returns the encoding for transfer. Every host packs the same difference to the same bytes.
     ///
     /// # Panics
     ///
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -18,23 +18,24 @@
 
 /// The time in which a lease travels around the ring to all hosts.
 const RING_CYCLE: Duration = Duration::from_secs(1);
-/// The shortest interval between two rounds.
+/// The shortest interval between two rounds. In each round a host sends its lease to one other
+/// host.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// The longest interval between two rounds.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(250);
-/// The interval between questions for a lease on a host that has just started. It serves no caller
-/// until it knows the configuration: when all hosts start together, every caller is refused for
-/// each further tenth of a second.
+/// The interval between questions for a lease on a host that has just started. Such a host serves
+/// no caller until it knows the configuration. When all hosts start together, every caller is
+/// refused until then, and each further tenth of a second prolongs this.
 pub(super) const START_ASK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a replica's answer remains valid. Together with the time an answer is in transit it
-/// stays below the 4 s in which a change must be in force on every host, or the host not ready.
+/// How long a replica's answer remains valid. Together with the answer's transit time it stays
+/// below 4 s. Within that time every host must either have a change in force or no longer be ready.
 pub(super) const ANSWER_VALIDITY: Duration = Duration::from_secs(3);
 /// How many hosts are sent the lease at once when this host learns of a new version or zone order.
 const FLOOD_TARGETS: u32 = 3;
 /// For how many versions the latest confirmation is kept; a host further behind is not ready.
 const CONFIRMATION_LIMIT: usize = 32;
-/// How many hosts that asked too early are remembered: all hosts of an installation of the planned
-/// size.
+/// How many hosts that asked before this host could answer are remembered: as many as an
+/// installation of the planned size has.
 pub(super) const ASKER_LIMIT: usize = 2_048;
 
 /// How current the configuration of a host is.
@@ -73,10 +74,10 @@
     pub(super) rng: SmallRng,
     pub(super) nonce: u64,
     pub(super) asked_at: Option<Moment>,
-    /// Whether any host has answered the last question.
+    /// Whether any host has answered this host's last question for a lease.
     pub(super) is_answered: bool,
-    /// Whether the shared time is known: a host that knows it has answered this process, or this
-    /// host has led.
+    /// Whether the shared time is known: either a host that knows it has answered since this
+    /// process started, or this host has led.
     pub(super) knows_time: bool,
     pub(super) lease: Option<PlanLease>,
     /// When each of the last versions was last confirmed to be the latest, as far as known here.
@@ -98,7 +99,7 @@
     round: u32,
     /// Hosts that announce that they hold a replica.
     pub(super) announced_replicas: Vec<HostId>,
-    /// Those of them in this host's zone.
+    /// Hosts with a replica in this host's zone.
     pub(super) same_zone_replicas: Vec<HostId>,
     /// Whether the next tick sends the lease to several hosts at once.
     pub(super) flood: bool,
@@ -216,7 +217,8 @@
     }
 
     /// Returns the newest accepted version known to this host, if it lacks that version. Until it
-    /// has the version, it cannot answer that something only found there does not exist.
+    /// has that version, it cannot answer that something does not exist, because that version may
+    /// contain it.
     #[must_use]
     pub fn awaited_version(&self) -> Option<ConfigVersion> {
         self.fetch.as_ref().map(PlanFetch::goal)
@@ -246,7 +248,8 @@
             .is_some_and(|lease| self.clock.epoch_of(lease.confirmed).is_valid_at(epoch))
     }
 
-    /// Whether a version, or one before it, was the latest accepted within a lease's validity.
+    /// Whether a version, or one before it, was confirmed as the latest accepted one so recently
+    /// that a lease from then is still valid.
     ///
     /// A fresh lease that names a newer version proves nothing about the one in force here. If it
     /// counted as proof, a host that was frozen for long would wake up, learn of the newer version
@@ -326,8 +329,8 @@
         self.update_fetch_sources();
     }
 
-    /// Sets which of them are in this host's zone. Plans are fetched from these first, because
-    /// links between zones are expensive.
+    /// Sets which hosts with a replica are in this host's zone. Plans are fetched from them first,
+    /// because links between zones are expensive.
     pub fn set_same_zone_replicas(&mut self, hosts: Vec<HostId>) {
         self.same_zone_replicas = hosts;
     }
@@ -353,11 +356,11 @@
     // ---------------------------------------------------------------------------------------------
     // Time
 
-    /// Joins a round of another component: sends the lease to the same target, so that both
-    /// messages go in one datagram. The follower starts its own rounds only if none comes for a
-    /// while.
+    /// Joins a round of another component: sends the lease to the host that this component sends
+    /// to, so that both messages go in one datagram. The follower starts a round of its own only if
+    /// it has not joined one for two intervals.
     ///
-    /// On hosts with few requests, rounds are most of the processor's work: each message wakes two
+    /// On hosts with few requests, rounds take most of the processor time: each message wakes two
     /// hosts, and a wake-up costs more than handling the message.
     pub fn join_round(&mut self, now: Moment, ring: &PeerRing, round: u32) -> Option<PlanSend> {
         self.round = round.wrapping_add(1);
@@ -366,7 +369,8 @@
         self.lease_message(now, to)
     }
 
-    /// Does what is due by now. `ring` holds the live hosts.
+    /// Returns the answers, leases, questions and requests for chunks that are due by now. `ring`
+    /// holds the live hosts.
     pub fn tick(&mut self, now: Moment, ring: &PeerRing) -> Vec<PlanSend> {
         let mut sends = self.answer_pending(now);
         if std::mem::take(&mut self.flood) {
@@ -408,8 +412,9 @@
         let Some(PlanMessage { time, content }) = PlanMessage::decode(body) else {
             return Vec::new();
         };
-        // A message that was in transit for long would set the clock of a host that has just
-        // started to the past and make an old lease look fresh. Only an answer may set it first.
+        // On a host that has just started, a message that was in transit for long would set the
+        // clock to the past and make an old lease look fresh. The first message to set the clock
+        // must therefore be an answer to this host's own question.
         if self.knows_time {
             self.clock.merge_reading(now, time);
         }
--- a/crates/pulley_core/src/version/follower/plan_follower_asking.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_asking.rs
@@ -16,7 +16,8 @@
 const ASKED_PEERS: usize = 2;
 
 impl PlanFollower {
-    /// Whether hosts that asked too early can be answered now.
+    /// Whether there are hosts that asked before this host could answer, and it can answer them
+    /// now.
     pub(super) fn can_answer_pending(&self) -> bool {
         self.knows_time && self.held.is_some() && !self.pending_askers.is_empty()
     }
@@ -24,9 +25,10 @@
     /// Answers the hosts that asked before this host could answer.
     ///
     /// This matters when all hosts restart together and every entry asks the replicas until one of
-    /// them leads. Answered only at their next question, entries would have the configuration later
-    /// than the leader by that delay, and refuse their callers meanwhile. Each host gets one
-    /// answer, to its last question, because it accepts no other.
+    /// them leads. If entries were answered only when they ask again, they would get the
+    /// configuration later than the leader by up to one interval between questions, and refuse
+    /// their callers meanwhile. Each host gets one answer, to its last question, because it accepts
+    /// no other answer.
     pub(super) fn answer_pending(&mut self, now: Moment) -> Vec<PlanSend> {
         if !self.can_answer_pending() {
             return Vec::new();
@@ -35,7 +37,7 @@
         pending_askers.into_iter().map(|(host, nonce)| self.answer(now, &host, nonce)).collect()
     }
 
-    /// Returns the interval between two questions.
+    /// Returns the interval between two of this host's questions for a lease.
     ///
     /// It limits the load when hundreds of entries restart together and all of them ask every
     /// replica until one leads. If each of them asked ten times a second, replicas would be busy
--- a/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches the path to a later plan, in chunks, from hosts that hold the plan.
+//! Fetches the differences that lead to a later plan, in chunks, from hosts that hold the plan.
 
 use std::time::Duration;
 
@@ -9,22 +9,23 @@
 use super::plan_follower_message::{CHUNK_BYTES, PLAN_LIMIT, PlanChunk, PlanContent, PlanDigest};
 use crate::process::{HostId, Moment};
 
-/// The maximum number of chunks in a window: as many as one request can name.
+/// The maximum number of chunks in a window, which is the set of chunks that one request asks for.
+/// A request cannot name more.
 const WINDOW_LIMIT: u32 = 16;
 /// The size of the first window. On a slow link, callers' bytes can wait behind no more than this.
 const WINDOW_START: u32 = 4;
 /// The target time between the first and the last chunk of a window. A window that takes more than
 /// twice as long fills the link and is halved.
 const WINDOW_TARGET: Duration = Duration::from_millis(20);
-/// How long a window may take before its rest is requested again, from another host.
+/// How long a window may take before its missing chunks are requested again, from another host.
 const RETRY_TIMEOUT: Duration = Duration::from_millis(200);
 /// How many windows in a row may bring no chunk before the chunks received are dropped, because
-/// perhaps no host holds the rest of that path any more.
+/// perhaps no host holds the missing ones any more.
 const EMPTY_WINDOW_LIMIT: u32 = 2;
 /// How many hosts that hold the plan are remembered, besides the replicas.
 const HOLDER_LIMIT: usize = 8;
 
-/// The chunks received of the path to a later plan.
+/// The chunks received of the differences that lead to a later plan.
 #[derive(Clone, Debug)]
 struct PartialPath {
     span: DeltaSpan,
@@ -55,13 +56,13 @@
     /// How many chunks of the window have not arrived yet.
     outstanding: u32,
     empty_windows: u32,
-    /// How many hosts in a row had nothing to send.
+    /// How many hosts in a row had nothing useful to send, or no capacity to send it.
     skipped_hosts: usize,
     needs_whole_plan: bool,
     asked_at: Option<Moment>,
-    /// The host asked then; the lists may have changed by the time it answers.
+    /// The host asked at `asked_at`; the lists may have changed by the time it answers.
     asked_host: Option<HostId>,
-    /// Whether no host was asked then, because none had anything to send.
+    /// Whether the fetch has paused since `asked_at`, because no host had anything to send.
     is_paused: bool,
     /// When the first chunk of the window arrived.
     window_begun: Option<Moment>,
@@ -133,14 +134,15 @@
         }
     }
 
-    /// Records that a complete path did not lead to its plan: a whole plan has to be fetched next.
+    /// Records that complete differences did not lead to the expected plan: a whole plan has to be
+    /// fetched next.
     pub(crate) fn reject_path(&mut self, now: Moment) {
         self.needs_whole_plan = true;
         self.asked_at = Some(now);
     }
 
-    /// Records which version is in force here now. Chunks of a path that does not lead on from it
-    /// are dropped.
+    /// Records which version is in force here now. Chunks that do not lead from it to a later
+    /// version are dropped.
     pub(crate) fn record_held(&mut self, held: ConfigVersion) {
         self.needs_whole_plan = false;
         let advances = |path: &PartialPath| path.span.advances(held);
@@ -166,15 +168,15 @@
         }
         self.turn += 1;
         self.skipped_hosts += 1;
-        // A host that answers with chunks sends another path if it does not know the one begun.
+        // A host that answers with chunks sends other differences if it does not hold those begun.
         self.empty_windows = 0;
-        // After a full round without success, the fetch pauses.
+        // After every source was asked without success, the fetch pauses.
         let sources = self.replicas.len() + self.holders.len();
         self.is_paused = self.skipped_hosts.is_multiple_of(sources);
         self.asked_at = self.is_paused.then_some(now);
     }
 
-    /// Takes a received chunk; returns the complete path if it was the last one missing.
+    /// Takes a received chunk; returns the complete differences if it was the last one missing.
     pub(crate) fn take_chunk(
         &mut self,
         now: Moment,
@@ -194,7 +196,7 @@
             path.span == span && path.digest == digest && path.chunks.len() == count
         };
         if !self.path.as_ref().is_some_and(is_same_path) {
-            // The host that was asked no longer holds the path begun, so it sends another one.
+            // The host that was asked no longer holds the differences begun, so it sends others.
             if self.path.is_some() && self.asked_host.as_ref() != Some(from) {
                 return ChunkOutcome::Unwanted;
             }
@@ -262,7 +264,8 @@
         }
     }
 
-    /// Returns the first chunk wanted, and a bit for each chunk wanted from there on.
+    /// Returns the index of the first chunk wanted, and a bit mask of the chunks wanted, whose
+    /// lowest bit stands for that chunk.
     fn wanted(&self) -> (u32, u16) {
         let Some(path) = &self.path else {
             return (0, bits(0..self.window));
@@ -292,7 +295,7 @@
     }
 }
 
-/// Returns a bit for each offset below the width of a request.
+/// Returns a bit mask of the offsets; those that do not fit into a request are left out.
 fn bits(offsets: impl Iterator<Item = u32>) -> u16 {
     offsets.filter(|offset| *offset < WINDOW_LIMIT).fold(0, |bits, offset| bits | 1 << offset)
 }
@@ -313,6 +316,6 @@
     Unwanted,
     /// Other chunks are still missing.
     Taken,
-    /// The path is complete.
+    /// All chunks have arrived.
     Done(DeltaPath),
 }
--- a/crates/pulley_core/src/version/follower/plan_follower_message.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_message.rs
@@ -12,7 +12,8 @@
 
 /// How many bytes of a plan one message carries.
 pub(crate) const CHUNK_BYTES: usize = 1_100;
-/// The maximum size of a path to a plan, packed or not: a whole plan plus the overhead of packing.
+/// The maximum size of the differences that lead to a plan, packed or not: a whole plan plus the
+/// overhead of packing.
 pub(crate) const PLAN_LIMIT: usize = PLAN_BYTES_LIMIT + (128 << 10);
 
 /// A message to send as a datagram.
@@ -68,8 +69,8 @@
 }
 
 impl PlanLease {
-    /// Returns the key that orders leases. The version precedes the time, so that no version is
-    /// ever taken back.
+    /// Returns the key that orders leases. The version is compared before the time, so that no
+    /// version is ever taken back.
     pub(crate) fn rank(&self) -> (u64, ConfigVersion, SharedTime) {
         (self.term, self.version, self.confirmed)
     }
@@ -110,17 +111,17 @@
         report: Option<LogReport>,
         evacuated: Arc<EvacuatedZones>,
     },
-    /// Asks for chunks of the path from the held version to the latest, or of the path already
-    /// begun.
+    /// Asks for chunks of the differences that lead from the held version to the latest, or of
+    /// those already begun.
     Fetch {
         held: ConfigVersion,
         span: Option<DeltaSpan>,
         /// The first chunk wanted.
         first: u32,
-        /// A bit for each chunk wanted, starting with the first.
+        /// A bit mask of the chunks wanted; the lowest bit stands for `first`.
         wanted: u16,
     },
-    /// One chunk of such a path.
+    /// One chunk of such differences.
     Chunk(PlanChunk),
     /// Answers a request for chunks: the sender has none, or its link has no capacity for them now.
     Busy,
@@ -128,11 +129,11 @@
     Held { version: ConfigVersion },
 }
 
-/// One chunk of the path from one version to another.
+/// One chunk of the differences that lead from one version to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PlanChunk {
     pub(crate) span: DeltaSpan,
-    /// The digest of the plan that the path leads to.
+    /// The digest of the plan that the differences lead to.
     pub(crate) digest: PlanDigest,
     pub(crate) index: u32,
     pub(crate) total: u32,
--- a/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_spreading.rs
@@ -23,8 +23,8 @@
         self.fetch_version(lease.version, lease.digest);
     }
 
-    /// Fetches the version that another host has in force. It is always committed, whoever leads
-    /// now.
+    /// Fetches the version that another host has in force. A version in force on any host is
+    /// committed, even if the leader has changed since.
     pub(super) fn fetch_from_holder(
         &mut self,
         now: Moment,
@@ -105,7 +105,8 @@
         self.request_chunks(now).into_iter().collect()
     }
 
-    /// Puts the plan in force to which a path leads, and reports that to the leader.
+    /// Applies complete differences, puts the resulting plan in force and reports that to the
+    /// leader. Differences that do not lead to the expected plan are dropped.
     fn apply_path(&mut self, now: Moment, path: DeltaPath) -> Vec<PlanSend> {
         let empty = HeldPlan::empty;
         let held = self.held.clone().unwrap_or_else(empty);
@@ -128,7 +129,8 @@
     // ---------------------------------------------------------------------------------------------
     // Serving
 
-    /// Answers a request for chunks of the path from the version that the requester holds.
+    /// Answers a request for chunks of the differences that lead from the version that the
+    /// requester holds to the one held here.
     pub(super) fn serve(
         &mut self,
         now: Moment,
@@ -137,7 +139,8 @@
         (first, wanted): (u32, u16),
     ) -> Vec<PlanSend> {
         let Some(held) = self.held.clone().filter(|held| held.version > from) else {
-            // Without an answer the requester would wait for one before it asks another host.
+            // Without an answer the requester would wait for its timeout before it asks another
+            // host.
             let nothing = || self.message(now, to.clone(), PlanContent::Busy);
             return vec![self.lease_message(now, to.clone()).unwrap_or_else(nothing)];
         };
@@ -189,7 +192,8 @@
             Some(fetch) if fetch.goal() > version => fetch.record_held(version),
             _ => self.fetch = None,
         }
-        // A host that sent a lease for this version has already announced that it can be fetched.
+        // A lease for this version was passed on when it arrived, so other hosts already know that
+        // the version can be fetched.
         self.flood |= self.lease.as_ref().is_none_or(|lease| lease.version < version);
     }
 }
--- a/crates/pulley_core/src/version/follower/plan_rows.rs
+++ b/crates/pulley_core/src/version/follower/plan_rows.rs
@@ -21,7 +21,7 @@
 
 /// The compression level: how far the compressor looks for repetitions, from 0 to 10.
 const DEFLATE_LEVEL: i32 = 4;
-/// Marks the next new value of a column.
+/// The reference of a row whose value is the next in the column's list, not used by an earlier row.
 const NEW_VALUE: u32 = 0;
 
 /// Rows by column; the bytes of their kind names and paths are stored separately.
@@ -36,7 +36,7 @@
     methods: ValueColumn<MethodMatch>,
     /// Priority, attempts, and whether running a request twice does no harm.
     handling: ValueColumn<(RequestPriority, u8, bool)>,
-    /// Deadline and target.
+    /// Default deadline and target latency.
     times: ValueColumn<(Duration, Option<Duration>)>,
     sizes: ValueColumn<(WorkLength, AnswerSize)>,
     weights: ValueColumn<u32>,
@@ -157,11 +157,11 @@
 struct NameColumn {
     /// As in [`ValueColumn`].
     references: Vec<u32>,
-    /// How many leading bytes are those of the previous name.
+    /// How many leading bytes each name shares with the previous one.
     prefix_lengths: Vec<u32>,
-    /// How many trailing bytes are those of the previous name.
+    /// How many trailing bytes each name shares with the previous one.
     suffix_lengths: Vec<u32>,
-    /// How many bytes the name has; those in between are among the name bytes.
+    /// How many bytes each name has. Those between prefix and suffix are among the name bytes.
     lengths: Vec<u32>,
 }
 
--- a/crates/pulley_core/src/version/follower/plan_spread_counts.rs
+++ b/crates/pulley_core/src/version/follower/plan_spread_counts.rs
@@ -5,25 +5,27 @@
 /// Counts of a host's part in spreading configurations since its process started.
 ///
 /// A requested chunk that is no longer of use counts as unwanted. A host whose chunks are lost on a
-/// full link shows overdue windows, and the host that overloads the link shows many chunks served.
+/// full link shows overdue windows (late answers to its requests), and the host that overloads the
+/// link shows many chunks served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SpreadCounts {
     /// Fetches of a plan that were started.
     pub fetches: u64,
-    /// Paths to a later plan that arrived complete and did not lead to it.
+    /// Differences that arrived complete but did not lead to the expected plan.
     pub dropped_paths: u64,
-    /// Requests for chunks sent.
+    /// Requests for chunks that this host sent.
     pub windows_asked: u64,
-    /// Of these, those sent because the answer to an earlier one was late.
+    /// Of the requests sent, those sent because the answer to an earlier one was late.
     pub windows_overdue: u64,
     /// Chunks received of the plan that was being fetched.
     pub chunks_taken: u64,
     /// Chunks received that were of no use.
     pub chunks_unwanted: u64,
-    /// Requests for chunks answered.
+    /// Requests of other hosts that were answered with chunks.
     pub windows_served: u64,
-    /// Requests for chunks refused because too many came.
+    /// Requests of other hosts that were refused because this host had used up its budget for
+    /// sending plans.
     pub windows_unserved: u64,
-    /// Chunks sent.
+    /// Chunks sent to other hosts.
     pub chunks_served: u64,
 }
--- a/crates/pulley_core/src/version/question_router.rs
+++ b/crates/pulley_core/src/version/question_router.rs
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Tries the next replica for questions whose attempt has timed out, and gives up on those that
-    /// are out of time.
+    /// Tries the next replica for questions whose attempt has timed out, and gives up on those
+    /// whose total time is up.
     pub fn tick(&mut self, now: Moment) -> Vec<RouterOutput> {
         let mut due: Vec<QuestionNumber> = self
             .pending
@@ -274,8 +274,8 @@
         if pending.give_up_at <= now {
             return self.finish(number, unknown("no answer in time"));
         }
-        // A partitioned leader cannot be told from a slow one. Asking the other replicas in turn
-        // costs one message each and finds a new leader as soon as there is one.
+        // A partitioned leader cannot be distinguished from a slow one. Asking the other replicas
+        // in turn costs one message each and finds a new leader as soon as there is one.
         if pending.asked_host.is_some() && pending.asked_host == self.leader {
             self.leader = None;
         }
@@ -324,7 +324,8 @@
         }
         let asked = pending.asked_host.take();
         match leader {
-            // A reply that names the replica just asked means that it knows no new leader yet.
+            // A reply that names the replica just asked means that the replier knows no new leader
+            // yet.
             Some(named) if Some(named) != asked.as_ref() => {
                 self.leader = Some(named.clone());
                 self.attempt(now, number)
--- a/crates/pulley_core/src/version/sheet/indexed_plan.rs
+++ b/crates/pulley_core/src/version/sheet/indexed_plan.rs
@@ -1,4 +1,4 @@
-//! A plan with indices for the look-ups of its readers.
+//! A plan with indices for fast look-ups.
 
 use std::ops::Deref;
 use std::sync::Arc;
@@ -45,8 +45,9 @@
     }
 
     /// Finds the row for a request. Rows with a host name take precedence over rows for any host,
-    /// then the longest path prefix wins, then a row with a method. Among equally good matches, the
-    /// random number `draw` chooses by weight. `host` may have a port and upper-case letters.
+    /// then the longest path prefix wins, then a row that names a method wins. Among equally good
+    /// matches, the random number `draw` chooses by weight. `host` may have a port and upper-case
+    /// letters.
     ///
     /// The choice is made once per request and holds for all its attempts. If requests moved to
     /// another pool when theirs is full, a 10 % split meant to try out a new release would grow
--- a/crates/pulley_core/src/version/sheet/plan.rs
+++ b/crates/pulley_core/src/version/sheet/plan.rs
@@ -39,7 +39,8 @@
     /// A few kilobytes; the zone that they come from matters little.
     #[default]
     Small,
-    /// Many times larger. Requests stay within the zone as long as they can be answered in time.
+    /// Many times larger than a few kilobytes. Requests stay within the zone as long as they can be
+    /// answered in time.
     Large,
 }
 
@@ -131,7 +132,7 @@
     pub method: MethodMatch,
     /// Which paths match; the longest prefix wins.
     pub path_prefix: SmolStr,
-    /// The priority.
+    /// The priority of its requests.
     pub priority: RequestPriority,
     /// The fraction of the pool's slots that this row adds to its service's share.
     pub share: ShareFraction,
@@ -152,18 +153,18 @@
 /// The content of a whole sheet; rows keep the sheet's order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyPlan {
-    /// The rows.
+    /// One row for each row of the sheet.
     pub kinds: Vec<KindPlan>,
     /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// Settings of whole pools. A pool that no row names is kept ready as well.
+    /// Settings of whole pools. A pool listed here is kept ready even if no row names it.
     pub pools: Vec<PoolTerms>,
 }
 
 /// Settings of a whole pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolTerms {
-    /// The pool.
+    /// The pool that the settings apply to.
     pub pool: PoolName,
     /// The path under which its upstreams report their load.
     pub probe_path: SmolStr,
@@ -176,6 +177,6 @@
 pub struct WarmUpTerms {
     /// How long the upstream is cold.
     pub span: Duration,
-    /// Rate of requests that it can take meanwhile, from all entries together.
+    /// Rate of requests that a cold upstream can take, from all entries together.
     pub rate: StartRate,
 }
--- a/crates/pulley_core/src/version/sheet/pool_summary.rs
+++ b/crates/pulley_core/src/version/sheet/pool_summary.rs
@@ -25,7 +25,7 @@
         self.probe_budget.0 = self.probe_budget.0.saturating_add(kind.probe_budget.0);
     }
 
-    /// Sets the settings of the whole pool; if there are several, the first ones hold.
+    /// Sets the settings of the whole pool; if the plan has several for one pool, the first apply.
     pub(super) fn set_terms(&mut self, terms: &PoolTerms) {
         if self.probe_path.is_none() {
             self.probe_path = Some(terms.probe_path.clone());
--- a/crates/pulley_core/src/version/sheet/route_index.rs
+++ b/crates/pulley_core/src/version/sheet/route_index.rs
@@ -97,8 +97,8 @@
     /// Returns the rows of each prefix of a path, longest prefix first.
     ///
     /// Every text that sorts between a prefix of the path and the path itself begins with that
-    /// prefix too. All prefixes of the path are therefore among the last prefix that does not sort
-    /// after the path and its chain of shorter prefixes.
+    /// prefix too. The search therefore starts at the last prefix that does not sort after the path
+    /// and follows its chain of shorter prefixes: every prefix of the path is on this chain.
     fn matching(&self, path: &str) -> impl Iterator<Item = &[usize]> {
         let after = self.prefixes.partition_point(|prefix| prefix.text.as_str() <= path);
         let last = after.checked_sub(1).map(|index| &self.prefixes[index]);
@@ -109,8 +109,8 @@
     }
 }
 
-/// Returns the index of the longest prefix that a text begins with. The text must sort after all of
-/// them, so the result is the last prefix or one that the last prefix begins with.
+/// Returns the index of the longest prefix that a text begins with. The text must sort after all
+/// prefixes in the list, so the result is the last prefix or one that the last prefix begins with.
 fn longest_prefix(prefixes: &[RoutePrefix], text: &str) -> Option<usize> {
     let last = prefixes.len().checked_sub(1);
     let mut candidates = std::iter::successors(last, |index| prefixes[*index].shorter);
--- a/crates/pulley_core/src/version/sheet/sheet_column.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_column.rs
@@ -16,9 +16,9 @@
     Method,
     /// The path prefix that matches.
     PathPrefix,
-    /// The priority.
+    /// The priority, from 0 (highest) to 9 (lowest).
     Priority,
-    /// The fraction of the pool's slots.
+    /// The fraction of the pool's slots that the row adds to its service's share.
     Share,
     /// Slots reserved for the kind.
     ReservedSlots,
--- a/crates/pulley_core/src/version/sheet/sheet_reader.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_reader.rs
@@ -59,9 +59,9 @@
 /// Reads sheets exported by planners' tools.
 ///
 /// It accepts UTF-8 with or without a byte order mark, CRLF or LF, commas or semicolons, quoted
-/// cells, blank rows and columns in any order. A single fault makes the whole sheet refused,
-/// because a partially applied sheet would give capacity to the wrong service without anyone
-/// noticing.
+/// cells, blank rows and columns in any order. If there is a single fault, the whole sheet is
+/// refused, because a partially applied sheet would give capacity to the wrong service without
+/// anyone noticing.
 #[derive(Debug)]
 pub struct SheetReader {
     faults: SheetFaults,
--- a/crates/pulley_core/src/version/sheet/sheet_upload.rs
+++ b/crates/pulley_core/src/version/sheet/sheet_upload.rs
@@ -15,7 +15,8 @@
     pub actor: ActorName,
     /// The version that the sheet is based on.
     pub expect: ConfigVersion,
-    /// The version number chosen by the operator. The highest then wins, whatever `expect` is.
+    /// The version number chosen by the operator. If it is set, the highest number wins, whatever
+    /// `expect` is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub given: Option<ConfigVersion>,
     /// The sheet as exported by the planners.
--- a/crates/pulley_core/src/version/stored_change.rs
+++ b/crates/pulley_core/src/version/stored_change.rs
@@ -49,11 +49,12 @@
     pub actor: ActorName,
     /// The version that the change is based on.
     pub expect: ConfigVersion,
-    /// The version number chosen by the operator, if the highest is to win.
+    /// The version number chosen by the operator, if any. Of such changes the highest number wins.
     pub assigned_version: Option<ConfigVersion>,
     /// When the first host received the change, in milliseconds of Unix time.
     pub received_unix_ms: u64,
-    /// Identifies what the change asks for, whenever it arrived. It is equal for a resend.
+    /// Identifies what the change asks for, apart from the time of its arrival. A resend has the
+    /// same fingerprint.
     pub fingerprint: u128,
     /// The new sheet and plan.
     pub content: ChangeContent,
@@ -87,8 +88,8 @@
         let is_outdated = request.assigned_version.unwrap_or(request.expect) < current.version;
         let fingerprint = request_fingerprint(&request);
         let content = if is_outdated { ChangeContent::Outdated } else { content(&request) };
-        // A change with a chosen version is based on none; `expect` holds the base of its
-        // difference.
+        // A change with a chosen version is not based on another one. For it, `expect` holds the
+        // base of the stored difference.
         let expect =
             if request.assigned_version.is_some() { current.version } else { request.expect };
         Self {
@@ -207,7 +208,8 @@
 
 fn request_fingerprint(request: &ChangeRequest) -> u128 {
     let mut hasher = Sha256::new();
-    // For a change with a chosen version, the base does not count.
+    // For a change with a chosen version, the version it is based on is not part of the
+    // fingerprint.
     hasher.update(request.assigned_version.unwrap_or(request.expect).0.to_be_bytes());
     hasher.update(request.sheet.as_bytes());
     let digest: [u8; 32] = hasher.finalize().into();
--- a/crates/pulley_core/tests/ledger_machine.rs
+++ b/crates/pulley_core/tests/ledger_machine.rs
@@ -151,9 +151,9 @@
 }
 
 // The leader grants a claim and fails before its answer arrives, so the entry asks the next leader.
-// If the entry were told that the request may have run, its caller would have to investigate a
-// request that was never sent. The grant is repeated only to the same claimant, and only until an
-// outcome is known.
+// If the answer were that the request may have run, the caller would have to investigate a request
+// that was never sent. The grant is repeated only to the same claimant, and only until an outcome
+// is known.
 #[test]
 fn a_claim_sent_again_by_its_claimant_is_granted_under_its_first_token() {
     let mut ledger = TestLedger::default();
--- a/crates/pulley_core/tests/sheet.rs
+++ b/crates/pulley_core/tests/sheet.rs
@@ -109,8 +109,8 @@
     assert!(faults.to_string().contains("unquoted"), "{faults}");
 }
 
-/// After a failed export the file is empty or holds only a header. Applied, such a sheet would take
-/// all capacity from every service at once.
+/// After a failed export the file is empty or holds only a header. If such a sheet were applied, it
+/// would take all capacity from every service at once.
 #[test]
 fn a_sheet_without_rows_is_refused() {
     for text in ["", "\n\n", HEADER] {
@@ -180,7 +180,7 @@
 }
 
 /// A sheet may match requests by host, split them over pools by weight and limit what callers send.
-/// Printed and read again, it must give the same plan.
+/// When the plan is printed and read again, the result must be the same plan.
 #[test]
 fn routes_are_read_and_printed() {
     let text = format!(
@@ -218,7 +218,7 @@
     assert_eq!(kind("b.example", "/q/x"), None);
 }
 
-/// A weight of 10 % tries out a new release. Of any number of requests, 10 % must go there.
+/// A weight of 10 % tries out a new release. It must get 10 % of any number of requests.
 #[test]
 fn a_split_keeps_to_its_weights() {
     let plan = read(&routed(&[
