--- a/crates/pulley_core/src/version/replica/cluster_founding.rs
+++ b/crates/pulley_core/src/version/replica/cluster_founding.rs
@@ -13,7 +13,8 @@
 /// Interval at which a replica without a log contacts other hosts.
 const HELLO_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Maximum age of a founder's last hello when a promise is made.
+/// Maximum age of a founder's last hello. A replica agrees to found a cluster only while the hellos
+/// of all founders are this recent.
 const HELLO_LIFETIME: Duration = Duration::from_secs(2);
 
 /// A founder's last hello.
@@ -32,22 +33,24 @@
     state: RecoveredState,
 }
 
-/// Effects of a founding step.
+/// Effects of a founding step, which the driver carries out.
 #[derive(Debug, Default)]
 pub(crate) struct FoundingEffects {
     pub(crate) sends: Vec<(HostId, FoundingMessage)>,
     pub(crate) batches: Vec<PersistBatch>,
-    /// The replica starts as this member with this state.
+    /// The member id and state with which the replica is to start, once it has founded or joined a
+    /// cluster.
     pub(crate) start: Option<(MemberId, RecoveredState)>,
 }
 
 /// Decides whether a replica with an empty disk founds a cluster or joins one.
 ///
-/// Without it, a host whose disk was lost would restart with the settings of its first start and
-/// vote as its former member, without what that member had acknowledged. An accepted change would
-/// be lost. An empty disk looks the same on the first day and after a loss. The founders therefore
-/// found a cluster only when all of them have an empty disk and have agreed, on disk, on one list
-/// of disks. A host that is not in that list joins as a learner under a new id.
+/// Without this, a host whose disk was lost would restart with the settings of its first start. It
+/// would vote as its former member, but without the entries that this member had acknowledged, and
+/// an accepted change would be lost. An empty disk looks the same on the first day and after a
+/// loss. The founders therefore found a cluster only when all of them have an empty disk and have
+/// agreed, on disk, on one list of disks. A host that is not in that list joins as a learner under
+/// a new id.
 #[derive(Debug)]
 pub(crate) struct ClusterFounding {
     identity: ReplicaIdentity,
--- a/crates/pulley_core/src/version/replica/driver_founding.rs
+++ b/crates/pulley_core/src/version/replica/driver_founding.rs
@@ -27,7 +27,7 @@
 const MEMBER_LIMIT: usize = 9;
 
 impl ReplicaDriver {
-    /// Takes a step while there is no log yet.
+    /// Runs the founding steps that are due while this replica has no log yet.
     pub(crate) fn tick_founding(&mut self, now: Moment) {
         if let Some(founding) = &mut self.founding {
             founding.tick(now);
@@ -70,10 +70,11 @@
 
     /// Records that this replica is no longer a member, if a committed membership says so.
     ///
-    /// A replica that was cut off may have been replaced. It would keep asking for votes that
-    /// nobody grants, its host would lack a replica for good, and the next losses would leave one
-    /// usable disk less than there are. Ids are never reused. A membership that has assigned later
-    /// ids and lacks this one has therefore removed it, and cannot just be an older one.
+    /// A replica may have been replaced while it was cut off. Without this check it would keep
+    /// asking for votes that nobody grants, and its host would lack a replica for good. After
+    /// further losses there would be one usable disk fewer than intact disks. Ids are never reused.
+    /// A membership that has assigned later ids and lacks this one has therefore removed it, and
+    /// cannot just be an older membership.
     fn on_removed(&mut self, now: Moment, members: &ReplicaMembership, leader: Option<HostId>) {
         let me = self.identity.member;
         if !self.settings.grows || members.next_member <= me {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Whether a learner is catching up to become a voter; a silent one does not count.
+    /// Whether a learner is catching up to become a voter. Silent learners do not count.
     fn has_pending_learner(&self) -> bool {
         let mut members = self.node.members().members.iter();
         members.any(|member| !member.voter && !self.node.is_silent(member.member))
@@ -201,8 +202,9 @@
         if last_voter || !self.node.is_silent(known.member) {
             return None;
         }
-        // Otherwise two hosts that lost their disks would leave three voters of five, of which two
-        // could decide. If they are replaced one after the other, a majority stays three.
+        // A cluster that grows replaces one lost disk at a time. Replacing two at once would leave
+        // three voters of five, of which two could decide. If they are replaced one after the
+        // other, a majority stays three.
         if self.settings.grows && self.has_pending_learner() {
             return None;
         }
--- a/crates/pulley_core/src/version/replica/driver_message.rs
+++ b/crates/pulley_core/src/version/replica/driver_message.rs
@@ -19,14 +19,14 @@
     Tick,
     /// A message from another host's replica.
     Peer {
-        /// The host, authenticated by the link.
+        /// The sender's host, authenticated by the link.
         from: HostId,
-        /// The message.
+        /// The encoded message.
         body: Bytes,
     },
     /// A write has ended.
     Persisted {
-        /// The write's ticket.
+        /// The ticket of the batch that was written.
         ticket: PersistTicket,
         /// Whether it is on disk. A failed write is never retried.
         ok: bool,
@@ -54,15 +54,15 @@
 pub enum DriverOutput {
     /// Send this message to another host's replica.
     Send {
-        /// The host.
+        /// The receiver's host.
         to: HostId,
-        /// The message.
+        /// The encoded message.
         body: Bytes,
     },
     /// Write and sync this, then report it with [`DriverInput::Persisted`]; batches are written in
     /// order.
     Persist {
-        /// The batch's ticket.
+        /// The batch's ticket, which is reported when the write ends.
         ticket: PersistTicket,
         /// The batch.
         batch: PersistBatch,
@@ -72,7 +72,7 @@
     ReadAudit(AuditRead),
     /// The answer to a question.
     Answer {
-        /// The question's token.
+        /// The token that came with the question.
         token: u64,
         /// The answer.
         answer: ReplicaAnswer,
@@ -86,29 +86,29 @@
 /// Status of a replica, for `pulleyctl status` and `pulleyctl replica list`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ReplicaStatus {
-    /// Its host.
+    /// The host that the replica runs on.
     pub host: HostId,
-    /// Its member id.
+    /// The replica's member id in the log.
     pub member: MemberId,
     /// `founding`, `leader`, `follower`, `candidate`, `learner`, `outsider` or `failed`.
     pub role: SmolStr,
     /// The host that leads, if it is known.
     pub leader: Option<HostId>,
-    /// The term.
+    /// The latest term that the replica knows.
     pub term: Term,
-    /// The last entry it holds.
+    /// The index of the last entry it holds.
     pub last_index: LogIndex,
-    /// The last entry it knows to be committed.
+    /// The index of the last entry it knows to be committed.
     pub commit_index: LogIndex,
-    /// The version in force here.
+    /// The configuration version in force at this replica.
     pub version: ConfigVersion,
-    /// All replicas.
+    /// All members of the log, as this replica knows them.
     pub members: Vec<ReplicaMember>,
-    /// Claims in the ledger.
+    /// Number of claims in the ledger.
     pub claims: u64,
-    /// Bytes of log entries in memory.
+    /// Estimated size of the log entries in memory, in bytes.
     pub log_bytes: u64,
-    /// Messages from peers that could not be read.
+    /// Number of messages from peers that could not be read.
     pub unreadable_messages: u64,
     /// Why it no longer takes part, if it has failed.
     pub failure: Option<SmolStr>,
--- a/crates/pulley_core/src/version/replica/follower_progress.rs
+++ b/crates/pulley_core/src/version/replica/follower_progress.rs
@@ -42,7 +42,7 @@
     pub(crate) state: ProgressState,
     /// When it last replied.
     pub(crate) last_reply: Moment,
-    /// The latest round it has replied to.
+    /// The highest round among its replies. It confirms the leader's reads up to that round.
     pub(crate) round: u64,
 }
 
--- a/crates/pulley_core/src/version/replica/founding_message.rs
+++ b/crates/pulley_core/src/version/replica/founding_message.rs
@@ -32,7 +32,7 @@
     Founded {
         /// Its members.
         members: ReplicaMembership,
-        /// The host that leads.
+        /// The host that leads, if it is known.
         leader: Option<HostId>,
     },
     /// A replica with an empty disk asks the leader for a new member id.
@@ -42,7 +42,7 @@
     },
     /// The leader has assigned a member id.
     Joined {
-        /// The id.
+        /// The id that the disk has from now on.
         member: MemberId,
     },
 }
--- a/crates/pulley_core/src/version/replica/log_entry.rs
+++ b/crates/pulley_core/src/version/replica/log_entry.rs
@@ -28,7 +28,7 @@
     Change(Box<StoredChange>),
     /// A command to the at-most-once ledger.
     Ledger(LedgerCommand),
-    /// A start of an upstream has left.
+    /// An upstream has left; holds its id and the incarnation that left.
     Departure(UpstreamStart),
     /// An operator's order for a zone.
     Zone(Box<ZoneOrder>),
@@ -37,7 +37,7 @@
 /// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its index.
+    /// Its position in the log; the first entry has 1.
     pub index: LogIndex,
     /// The term of the leader that appended it.
     pub term: Term,
--- a/crates/pulley_core/src/version/replica/persist_batch.rs
+++ b/crates/pulley_core/src/version/replica/persist_batch.rs
@@ -41,26 +41,27 @@
     pub state: Bytes,
 }
 
-/// One write. Its parts become durable together, and writes in the order of their tickets.
+/// One write. All its parts become durable together. Writes become durable in the order of their
+/// tickets.
 ///
 /// Written in this order: the snapshot, the truncation, the vote, the entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistBatch {
-    /// The number of the write.
+    /// The number of the write, which is reported when it ends.
     pub ticket: PersistTicket,
     /// The snapshot that replaces all entries it covers.
     pub snapshot: Option<Arc<ReplicaSnapshot>>,
-    /// Entries from here on are no longer part of the log.
+    /// The first index that is no longer part of the log; entries from there on are dropped.
     pub truncate_from: Option<LogIndex>,
     /// The election state, if it has changed.
     pub vote: Option<VoteRecord>,
-    /// The member id of this disk from now on.
+    /// The member id to record for this disk, if it is new.
     pub member: Option<MemberId>,
     /// The founding membership that this disk has agreed to; it never agrees to another.
     pub promise: Option<ReplicaMembership>,
     /// Old audit records; written before the snapshot, which no longer holds them.
     pub audit: Vec<Arc<AuditChunk>>,
-    /// Entries that follow what is already there.
+    /// Entries to append to the log.
     pub entries: Vec<Arc<LogEntry>>,
 }
 
--- a/crates/pulley_core/src/version/replica/persist_gate.rs
+++ b/crates/pulley_core/src/version/replica/persist_gate.rs
@@ -28,9 +28,10 @@
 
 /// Collects the next write and holds the messages that depend on it.
 ///
-/// A replica that grants a vote or acknowledges an entry and loses power before the write restarts
-/// without it. Two leaders in one term or a lost change follow. A message that depends on a write
-/// is therefore sent only after that write has been synced.
+/// Otherwise a replica that loses power after it has granted a vote or acknowledged an entry, but
+/// before the write, would restart without it. This could lead to two leaders in one term or a lost
+/// change. A message that depends on a write is therefore sent only after that write has been
+/// synced.
 #[derive(Debug, Default)]
 pub(crate) struct PersistGate {
     last_ticket: PersistTicket,
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -18,10 +18,10 @@
 };
 use crate::process::{FastMap, HostId, MemberId, Moment};
 
-/// Maximum number of remembered hosts whose members the membership does not list.
+/// Maximum number of members whose hosts are remembered although the membership does not list them.
 const UNLISTED_LIMIT: usize = 64;
 
-/// Minimum number of voters; silent ones are kept to preserve it.
+/// Minimum number of voters. A silent voter is removed only if at least as many remain.
 const MIN_VOTERS: usize = 3;
 
 /// One replica as the control thread uses it.
@@ -416,10 +416,10 @@
         if !self.node.may_change_members() {
             return;
         }
-        // If there are more voters than the number of disks that may be lost requires, a silent one
-        // only makes majorities larger: of six voters with one dead, two more losses leave no
-        // majority. Three are kept whatever the copies, because a set that shrank with each host
-        // that is down for a while would end on a single disk.
+        // A silent voter beyond the number that the tolerated losses require only makes majorities
+        // larger: of six voters with one dead, two more losses leave no majority. Three voters are
+        // kept whatever `copies` is. Otherwise a set that shrank with each host that is down for a
+        // while would end on a single disk.
         let enough = (2 * self.settings.copies).max(MIN_VOTERS + 1);
         let has_spare = self.node.members().voters().count() >= enough;
         if self.settings.grows && has_spare && self.remove_silent_voter(now) {
@@ -435,15 +435,15 @@
         }
     }
 
-    /// Removes a silent voter, once there is one voter more than the tolerated losses require, that
+    /// Removes a silent voter once there is one voter more than the tolerated losses require, that
     /// is, once its successor votes.
     ///
     /// Otherwise a host that is gone for good would stay a voter forever, and the next two losses
-    /// would leave no majority. One successor replaces one voter. If several are silent, it
-    /// replaces the one silent for longest, because the others may return in a moment. Nobody can
-    /// tell which of them is gone for good. If a host that was only down were removed before its
-    /// successor voted, four voters would remain, and with two of them lost there would be no
-    /// majority although three of five disks were intact.
+    /// would leave no majority. One successor replaces one voter. If several voters are silent, the
+    /// successor replaces the one that has been silent for longest, because the others may return
+    /// in a moment. Nobody can tell which of them is gone for good. If a host that was only down
+    /// were removed before its successor voted, four voters would remain. If two of these were then
+    /// lost, there would be no majority although three of five disks were intact.
     fn remove_silent_voter(&mut self, now: Moment) -> bool {
         let members = self.node.members();
         let voters = members.voters().count();
--- a/crates/pulley_core/src/version/replica/replica_message.rs
+++ b/crates/pulley_core/src/version/replica/replica_message.rs
@@ -82,13 +82,14 @@
 pub struct AppendRequest {
     /// The leader's term.
     pub term: Term,
-    /// The index before the entries.
+    /// The index just before the first of the entries.
     pub prev_index: LogIndex,
     /// The term at that index.
     pub prev_term: Term,
     /// The last entry that the leader knows to be committed.
     pub commit: LogIndex,
-    /// The leader's round, so that a reply proves that the leader was still followed at that time.
+    /// The leader's round, which increases with each read that a quorum is to confirm. The reply
+    /// repeats it, which proves that the sender still followed the leader when that read began.
     pub round: u64,
     /// The entries.
     pub entries: Vec<Arc<LogEntry>>,
@@ -99,7 +100,7 @@
 pub struct AppendReply {
     /// The receiver's term.
     pub term: Term,
-    /// The round that is answered.
+    /// The round of the request that is answered.
     pub round: u64,
     /// The outcome.
     pub outcome: AppendOutcome,
@@ -117,7 +118,7 @@
     Missing {
         /// The index that was checked.
         prev: LogIndex,
-        /// Where the leader should try next.
+        /// The index that the leader is to try next.
         hint: LogIndex,
     },
     /// The sender's term is stale.
@@ -129,13 +130,13 @@
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
-    /// The leader's round.
+    /// The leader's round, which the reply repeats; see [`AppendRequest::round`].
     pub round: u64,
     /// The snapshot's position in the log.
     pub position: SnapshotPosition,
-    /// Offset of this chunk in the snapshot.
+    /// Offset of this chunk in the snapshot, in bytes.
     pub offset: u64,
-    /// Size of the whole snapshot.
+    /// Size of the whole snapshot, in bytes.
     pub total: u64,
     /// The chunk's bytes.
     pub bytes: Bytes,
@@ -146,7 +147,7 @@
 pub struct SnapshotReply {
     /// The receiver's term.
     pub term: Term,
-    /// The round that is answered.
+    /// The round of the chunk that is answered.
     pub round: u64,
     /// The last entry that the snapshot covers.
     pub index: LogIndex,
--- a/crates/pulley_core/src/version/replica/replica_node.rs
+++ b/crates/pulley_core/src/version/replica/replica_node.rs
@@ -53,11 +53,11 @@
 pub struct NodeEffects {
     /// Messages to other replicas, in order.
     pub sends: Vec<ReplicaEnvelope>,
-    /// What to write.
+    /// What to write to disk, if anything.
     pub batch: Option<PersistBatch>,
-    /// Reads that a quorum has confirmed, with the index that must be applied first.
+    /// Tokens of reads that a quorum has confirmed, each with the index that must be applied first.
     pub reads: Vec<(u64, LogIndex)>,
-    /// Reads that will not be confirmed.
+    /// Tokens of reads that will not be confirmed.
     pub failed_reads: Vec<u64>,
     /// A snapshot from the leader that replaces the state machines' state.
     pub installed: Option<Arc<ReplicaSnapshot>>,
--- a/crates/pulley_core/src/version/replica/replica_question.rs
+++ b/crates/pulley_core/src/version/replica/replica_question.rs
@@ -17,8 +17,8 @@
 /// Identifies who claims a key; drawn at random for each request.
 ///
 /// A claim whose answer was lost is sent again, perhaps to another leader. Without this id the
-/// resend would look like a second request with the same key, and be told that the first may have
-/// run.
+/// resend would look like a second request with the same key, and its answer would be that the
+/// first may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimantId(pub u64);
 
@@ -95,8 +95,8 @@
     Audit(AuditFilter),
     /// A change of the membership.
     Change(ReplicaChange),
-    /// An upstream leaves. Answered once the departure is on a quorum's disks; meanwhile the leader
-    /// informs every host.
+    /// An upstream leaves. The answer comes once the departure is on a quorum's disks; meanwhile
+    /// the leader informs every host.
     Departure {
         /// The start of the upstream that leaves.
         start: UpstreamStart,
@@ -143,7 +143,7 @@
         /// The host that leads, if it is known.
         leader: Option<HostId>,
     },
-    /// It is unknown whether it was done.
+    /// It is unknown whether the request was carried out.
     Unknown {
         /// What is known about the cause.
         why: SmolStr,
@@ -152,14 +152,14 @@
     Change(ChangeAnswer),
     /// Outcome of a claim.
     Claim(ClaimAnswer),
-    /// It was done.
+    /// The request was carried out.
     Done,
-    /// It was not done.
+    /// The request was refused; nothing was done.
     Refused(ReplicaRefusal),
     /// The sheet in force.
     Sheet(SheetView),
     /// The last entry applied. A replica that has applied it too knows everything that was
-    /// acknowledged before the question.
+    /// acknowledged before the question was asked.
     Applied(LogIndex),
     /// The audit records asked for.
     Audit(Vec<AuditRecord>),
--- a/crates/pulley_core/tests/replica_promises.rs
+++ b/crates/pulley_core/tests/replica_promises.rs
@@ -67,7 +67,7 @@
     let term = node.term().next();
     let grant = VoteReply { term, granted: true };
     deliver(node, SECOND, ReplicaMessage::PreVoteReply(grant));
-    let batch = node.take_effects().batch.expect("the own vote is written");
+    let batch = node.take_effects().batch.expect("its own vote is written");
     node.persisted(later, batch.ticket, true);
     deliver(node, SECOND, ReplicaMessage::VoteReply(grant));
     assert!(node.is_leader());
@@ -100,9 +100,9 @@
     assert!(!has_grant(&restarted.take_effects().sends));
 }
 
-// A follower loses power after acknowledging an entry and before writing it, when the leader has
+// A follower acknowledges an entry and loses power before writing it. By then the leader has
 // counted it and told the operator "accepted". The acknowledgement must therefore wait for the
-// disk, also the replies to a duplicated message and to a heartbeat.
+// disk, as must the replies to a duplicated message and to a heartbeat.
 #[test]
 fn an_entry_is_acknowledged_only_once_it_is_on_disk() {
     let mut node = node(&RecoveredState::default());
@@ -132,7 +132,7 @@
 }
 
 // The leader's own disk is slow while one follower has the entry. One disk of three is no quorum:
-// if that host were lost, nobody would have what the operator was told is accepted.
+// if that host were lost, nobody would have the change that the operator was told is accepted.
 #[test]
 fn a_leader_counts_itself_only_once_its_disk_has_the_entry() {
     let mut node = node(&RecoveredState::default());
--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -55,7 +55,7 @@
             ),
             Self::Zone(reply) => drop(reply.send(match answer {
                 ReplicaAnswer::Zone(answer) => Ok(answer),
-                // The order may be accepted nevertheless.
+                // The leader may still accept the order.
                 ReplicaAnswer::Unknown { .. } => Err(ControlFault::NoAnswer),
                 other => Err(fault_from_answer(other)),
             })),
@@ -136,8 +136,8 @@
         let is_leaving = !announcement.phase.takes_work();
         let start = UpstreamStart { id, incarnation };
         if !is_leaving && self.has_left(&start) {
-            // The announcement was delayed. If a host that has restarted since, and does not know
-            // this incarnation, took it in, requests would go to an upstream that is gone.
+            // The announcement was delayed. A host that has restarted since, and does not know this
+            // incarnation, would accept it and send requests to an upstream that is gone.
             let _ = reply.send(Ok(()));
             return;
         }
@@ -168,7 +168,8 @@
             return;
         }
         let Some((start, record)) = self.registry.departure(id) else {
-            // A delayed message of an earlier incarnation, or of one that has resumed since.
+            // The message is a delayed one, from an earlier incarnation or from one that has
+            // resumed since.
             let _ = reply.send(Err(ControlFault::Refused(format!("{id} is not leaving"))));
             return;
         };
--- a/crates/pulleyd/src/process/control_core.rs
+++ b/crates/pulleyd/src/process/control_core.rs
@@ -132,8 +132,8 @@
 
 impl ViewInputs {
     /// Whether a view with the inputs `other` may be deferred. This is so if only hosts, upstreams
-    /// or the number of the awaited version differ. That a version is awaited at all must be
-    /// published at once: from then on, callers get no refusal that is final.
+    /// or the number of the awaited version differ. When a version begins to be awaited, this must
+    /// be published at once: from then on, callers get no refusal that is final.
     fn can_defer(&self, other: &Self) -> bool {
         let without = |inputs: &Self| {
             let awaited_version = inputs.awaited_version.map(|_| ConfigVersion::default());
--- a/crates/pulleyd/src/process/control_counts.rs
+++ b/crates/pulleyd/src/process/control_counts.rs
@@ -59,7 +59,7 @@
     coordinators: FastMap<CountScope, PoolCoordinator>,
     assigned: FastMap<CountScope, HostId>,
     earliest_tick: Moment,
-    /// Whether a sum waits to be relayed to further hosts.
+    /// Whether a sum of load counts waits to be relayed to further hosts.
     has_relays: bool,
 }
 
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Passes a report to the pool's coordinators on this host, and to this host's own report.
+    /// Passes a report to the pool's coordinators on this host, and to its schedulers, which add it
+    /// to this host's own report.
     fn take_report(
         &mut self,
         now: Moment,
@@ -257,7 +258,7 @@
     }
 }
 
-/// Returns the bytes per second that counts may cost a host.
+/// Returns the limit of a host's traffic for exchanging counts, in bytes per second.
 ///
 /// The cost of gossip per host grows with the number of hosts (docs/CAPACITY.md). If counts did not
 /// leave room for it, a large installation would exceed its traffic limit. With fewer bytes, rounds
--- a/crates/pulleyd/src/process/control_handle.rs
+++ b/crates/pulleyd/src/process/control_handle.rs
@@ -14,7 +14,7 @@
 /// Result of a request to the control thread.
 pub type Result<T> = std::result::Result<T, ControlFault>;
 
-/// Why the control thread gave no answer.
+/// Why a request to the control thread failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ControlFault {
     /// Its queue is full. Nothing was done.
--- a/crates/pulleyd/src/process/control_replica.rs
+++ b/crates/pulleyd/src/process/control_replica.rs
@@ -138,8 +138,8 @@
         self.follower.issue_lease(term, set, began);
     }
 
-    /// Reports this host's uncommitted log entries to the follower. Hosts without a lease must know
-    /// of them, because they may or may not have been accepted.
+    /// Reports this host's uncommitted log entries to its plan follower. Hosts without a lease must
+    /// know of them, because they may or may not have been accepted.
     fn report_uncommitted(&mut self) {
         let Some(replica) = &self.replica else { return };
         let (last_version, last_order) = latest_in_log(replica);
--- a/crates/pulleyd/src/process/control_status.rs
+++ b/crates/pulleyd/src/process/control_status.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Returns the text of a standing for operators. The status shows the version separately.
+/// Returns the status of the configuration as text for operators. The version is shown separately.
 const fn standing_name(standing: PlanStanding) -> &'static str {
     match standing {
         PlanStanding::Starting => "starting",
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -40,7 +40,7 @@
 const LONGEST_SLEEP: Duration = Duration::from_millis(250);
 
 /// The shortest interval between two log lines on the members. When hundreds of hosts start
-/// together, each host learns of them one by one.
+/// together, each host learns of them one by one, and would otherwise log a line for each.
 const MEMBERS_LOG_INTERVAL: Duration = Duration::from_millis(500);
 /// Bytes in a kilobit.
 const BYTES_PER_KBIT: f64 = 125.0;
@@ -146,7 +146,7 @@
     key_ring: KeyRing,
     prober: UpstreamProber,
     probed: mpsc::Sender<ProbeReport>,
-    /// The change count of the members up to which the links know their addresses.
+    /// The members' change count when the links were last given the members' addresses.
     linked_members: u64,
     /// The change count of the members at the last log line on them, and when the next line is
     /// allowed.
@@ -155,7 +155,7 @@
     logged_spread: SpreadCounts,
     next_spread_log: Moment,
     logged_cluster: Option<ClusterState>,
-    /// The standing of the configuration that was last logged.
+    /// The status of the configuration that was last logged.
     logged_standing: Option<PlanStanding>,
     /// The revision of the evacuated zones that was last logged.
     logged_zones: LogIndex,
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -105,7 +105,7 @@
         Self::start_with_protocol(settings, DaemonProtocol::default(), key_ring, logger)
     }
 
-    /// Starts a daemon like [`Self::start`], with another protocol than its own towards callers,
+    /// Starts a daemon like [`Self::start`], but with a different protocol towards callers,
     /// upstreams and operators.
     ///
     /// # Errors
--- a/crates/pulleyd/src/process/daemon_settings.rs
+++ b/crates/pulleyd/src/process/daemon_settings.rs
@@ -21,7 +21,8 @@
 /// The longest duration that a setting may have: a day.
 const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
-/// The most keys that a ledger may hold. At 138 bytes each they take 69 MB of a node's 128 MB.
+/// The most keys that a ledger may hold. At 138 bytes each they take 69 MB of a host's 128 MB of
+/// memory.
 const LEDGER_CAPACITY_LIMIT: usize = 500_000;
 
 /// The shortest ledger retention. A caller resends a request after a lost answer well within it.
--- a/crates/pulleyd/src/process/host_roles.rs
+++ b/crates/pulleyd/src/process/host_roles.rs
@@ -1,9 +1,9 @@
-//! The roles of a host.
+//! The roles of a host, and their form in settings.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// The roles of a host.
+/// What a host is set up to do. It may have both roles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostRoles {
     /// The host serves callers.
--- a/crates/pulleyd/src/process/process_metrics.rs
+++ b/crates/pulleyd/src/process/process_metrics.rs
@@ -280,8 +280,8 @@
     }
 }
 
-/// Raises a series to a count. [`ProcessMetrics::render`] holds a lock meanwhile, because two
-/// concurrent calls would both add the same difference.
+/// Raises a counter metric to the current value of `count`. [`ProcessMetrics::render`] holds a lock
+/// meanwhile, because two concurrent calls would both add the same difference.
 fn raise_to(series: &IntCounter, count: &AtomicU64) {
     let missing = count.load(Ordering::Relaxed).saturating_sub(series.get());
     series.inc_by(missing);
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -12,16 +12,17 @@
 use super::control_answer::PendingAnswer;
 use super::control_core::ControlCore;
 
-/// The interval between two writes of the directory. It limits the cost to one sync per second. The
-/// upstreams that a loss of power makes the replica forget have announced themselves within the
-/// last second.
+/// The interval between two writes of the directory. It limits the cost to one sync per second.
+/// After a loss of power, the directory lacks only upstreams that have announced themselves within
+/// the last second.
 const DIRECTORY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after its start a replica may recall the directory of its disk. It covers several
-/// elections. Later, the live upstreams have announced themselves, and other hosts pass them on.
+/// How long after its start a replica may restore upstreams from the directory on its disk. It
+/// covers several elections. Later, the live upstreams have announced themselves, and other hosts
+/// pass them on.
 const RECALL_WINDOW: Duration = Duration::from_secs(10);
 
-/// The outcome of recalling the upstreams on a replica's disk.
+/// The outcome of restoring upstreams from the directory on a replica's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecallOutcome {
     /// `taken` of the `written` upstreams are used until they announce themselves.
@@ -38,7 +39,7 @@
     /// The directory on the disk, until it is known which of its upstreams have left since.
     directory: Option<UpstreamDirectory>,
     proof: RecallProof,
-    /// The outcome of the recall, until it is logged.
+    /// The outcome of restoring the upstreams, until it is logged.
     outcome: Option<RecallOutcome>,
     /// Entries that were sent the upstreams, each with its incarnation.
     informed_entries: FastSet<(HostId, MemberIncarnation)>,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Returns the outcome of the recall, once.
+    /// Returns the outcome of restoring the upstreams, once.
     pub(crate) fn take_recall_outcome(&mut self) -> Option<RecallOutcome> {
         self.recovery.outcome.take()
     }
--- a/crates/pulleyd/src/version/record_frame.rs
+++ b/crates/pulleyd/src/version/record_frame.rs
@@ -1,4 +1,5 @@
-//! The framing of records in a file: each has its length, a checksum and its write group's number.
+//! The framing of records in a file. Each record is stored with its length, a checksum and the
+//! number of its write group.
 
 use postcard::Error as EncodingError;
 use serde::Serialize;
--- a/crates/pulleyd/tests/replica/departure_tests.rs
+++ b/crates/pulleyd/tests/replica/departure_tests.rs
@@ -121,7 +121,8 @@
     let mut verified = 0;
     for step in steps {
         let epochs: Vec<u64> = (0..5).map(|host| run.cluster.epoch(host)).collect();
-        // A departure acknowledged in this step may be so before or after a start within it.
+        // A departure that is acknowledged in this step may precede or follow a start in the same
+        // step.
         let left_before = left.clone();
         run.take(step);
         let cluster = &mut run.cluster;
--- a/crates/pulleyd/tests/replica/growth_tests.rs
+++ b/crates/pulleyd/tests/replica/growth_tests.rs
@@ -105,8 +105,7 @@
 
 // An operator lets replicas grow and leaves the number of copies at its default of one. One of
 // three hosts is down for some seconds, and then a second one. If silent voters were removed here,
-// first the one and then the other would no longer count, and one disk would be left to hold
-// everything.
+// both would lose their votes one after the other, and one disk would be left to hold everything.
 #[test]
 fn a_small_set_is_not_emptied_by_hosts_that_are_down() {
     let settings = ReplicaSettings::default().with_growth(true);
@@ -124,9 +123,10 @@
     assert_eq!(cluster.ask_leader(&change("second", 1)), accepted(2));
 }
 
-// A host is cut off for long, a new host replaces it, and it returns with the log and the
-// membership of that time. It asked for votes forever and nobody granted them. After the next two
-// losses no majority was left, although three disks were intact. It must be able to rejoin.
+// A host is cut off for long, and a new host replaces it. It returns with the log and the
+// membership of the time before, and must be able to rejoin. Such a host used to ask forever for
+// votes that nobody granted. After the next two losses no majority was left, although three disks
+// were intact.
 #[test]
 fn a_replaced_replica_that_returns_rejoins() {
     let mut cluster = five_voters(5);
--- a/crates/pulleyd/tests/replica/invariants.rs
+++ b/crates/pulleyd/tests/replica/invariants.rs
@@ -28,7 +28,7 @@
     questions: BTreeMap<u64, ReplicaQuestion>,
     /// The newest version accepted when a read began.
     reads: BTreeMap<u64, ConfigVersion>,
-    /// Two changes are the same if their ids and their bases are equal.
+    /// The answer to each change. Two changes are the same if their ids and their bases are equal.
     outcomes: BTreeMap<(ChangeId, ConfigVersion), ChangeAnswer>,
     grants: BTreeMap<SmolStr, FencingToken>,
     releases: Vec<(SmolStr, FencingToken)>,
--- a/crates/pulleyd/tests/replica/large_configuration_tests.rs
+++ b/crates/pulleyd/tests/replica/large_configuration_tests.rs
@@ -215,7 +215,8 @@
     }
 }
 
-// A configuration too large for a frame was put into the log. It must be refused before.
+// Guards against logging a configuration that is too large for a frame, which happened. It must be
+// refused before it is put into the log.
 #[test]
 fn a_configuration_that_is_too_large_is_refused_and_never_logged() {
     let mut cluster = FakeCluster::new(3, 4);
--- a/crates/pulleyd/tests/replica/schedule_tests.rs
+++ b/crates/pulleyd/tests/replica/schedule_tests.rs
@@ -176,7 +176,8 @@
     }
 
     fn ask(&mut self, host: usize, question: ReplicaQuestion) -> Option<u64> {
-        // Hosts forward to the leader they know; an outdated one is asked now and then.
+        // Most questions go to the leader. A fifth go to the given host, which forwards them to the
+        // leader it knows and may be outdated.
         let host = match self.cluster.leader() {
             Some(leader) if self.cluster.random.random_bool(0.8) => leader,
             _ => host,
--- a/crates/pulleyd/tests/sessions/stand_in_upstream.rs
+++ b/crates/pulleyd/tests/sessions/stand_in_upstream.rs
@@ -48,7 +48,7 @@
     pub(crate) hosts: Vec<SocketAddr>,
 }
 
-/// A running stand-in upstream. Dropping it stops it without announcing that.
+/// A running stand-in upstream. Dropping it stops it without an announcement.
 #[derive(Debug)]
 pub(crate) struct StandInUpstream {
     state: Arc<StandInState>,
