--- a/crates/pulley_bench/src/capacity/change_cost.rs
+++ b/crates/pulley_bench/src/capacity/change_cost.rs
@@ -85,7 +85,7 @@
         for change in 0..CHANGES {
             self.now = self.now + Duration::from_millis(50);
             let index = usize::try_from(change).unwrap_or(0) * 7 % self.upstreams;
-            // A new incarnation each time, in turn draining and ready.
+            // A new incarnation each time, alternately draining and ready.
             let incarnation = 2 + change;
             let phase =
                 if change % 2 == 0 { UpstreamPhase::Draining } else { UpstreamPhase::Ready };
--- a/crates/pulley_bench/src/capacity/gossip_cost.rs
+++ b/crates/pulley_bench/src/capacity/gossip_cost.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Lets each upstream announce itself once within a second, to another host each second.
+/// Lets each upstream announce itself once within a second, to a different host each second.
 fn announce_all(network: &mut Network, upstreams: usize, sequence: u64) {
     let steps = upstreams.clamp(1, 100);
     for step in 0..steps {
--- a/crates/pulley_bench/src/capacity/plan_cost.rs
+++ b/crates/pulley_bench/src/capacity/plan_cost.rs
@@ -23,7 +23,7 @@
 
 /// The number of pools. Rows are assigned to them round-robin.
 const POOLS: usize = 8;
-/// One row in this many matches any host name; all others match the same name.
+/// One row in this many matches any host name. All other rows match the same single name.
 const ANY_HOST_EVERY: usize = 10;
 /// The number of upstreams in the pool that receives the requests.
 const UPSTREAMS: u16 = 100;
@@ -146,8 +146,8 @@
         }
         for offset_ms in [1, 500] {
             let due = now + Duration::from_millis(offset_ms);
-            for (_, delta) in scheduler.take_reports(due) {
-                coordinator.receive(due, &host, &delta);
+            for (_, report) in scheduler.take_reports(due) {
+                coordinator.receive(due, &host, &report);
             }
         }
         round_time += started.elapsed();
--- a/crates/pulley_bench/src/capacity/spread_cost.rs
+++ b/crates/pulley_bench/src/capacity/spread_cost.rs
@@ -9,7 +9,7 @@
 use super::link_model::LinkRates;
 use super::wide_change::{REPLICAS, WideChange};
 
-/// The wait from which a queue counts as long.
+/// A queue counts as long if the wait in it is at least this time.
 const LONG_QUEUE: Duration = Duration::from_millis(100);
 /// The limit for a change to be in force everywhere; each change is observed for at least this long.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
--- a/crates/pulley_bench/src/decisions/decision_cost.rs
+++ b/crates/pulley_bench/src/decisions/decision_cost.rs
@@ -64,21 +64,21 @@
             .with_bytes_per_second(u32::MAX);
     coordinator.apply_plan(Moment::ZERO, Arc::new(plan()?.into()));
     coordinator.apply_upstreams(Moment::ZERO, &records);
-    let mut deltas: Vec<(HostId, CountReport)> = Vec::new();
+    let mut reports: Vec<(HostId, CountReport)> = Vec::new();
     for entry in 0..ENTRIES {
         let host: HostId = format!("h{entry}").parse()?;
         let mut scheduler =
             PoolScheduler::new(host.clone(), zone.clone(), "cover".parse()?, u64::from(entry));
         scheduler.apply_upstreams(Moment::ZERO, &records);
         let mut taken = scheduler.take_reports(Moment::ZERO);
-        deltas.push((host, taken.remove(0).1));
+        reports.push((host, taken.remove(0).1));
     }
     let (mut receiving, mut publishing) = (Duration::ZERO, Duration::ZERO);
     for round in 0..ROUNDS {
         let now = Moment::from_micros(u64::from(round) * 100_000);
         let begin = Instant::now();
-        for (host, delta) in &mut deltas {
-            coordinator.receive(now, host, delta);
+        for (host, report) in &mut reports {
+            coordinator.receive(now, host, report);
         }
         receiving += begin.elapsed();
         let begin = Instant::now();
--- a/crates/pulley_bench/src/decisions/incidents.rs
+++ b/crates/pulley_bench/src/decisions/incidents.rs
@@ -12,7 +12,7 @@
 /// Delay of the incident after the measured time starts.
 const INCIDENT_DELAY: Duration = Duration::from_secs(2);
 
-/// Duration of an incident that ends. It counts from when the hosts have detected the incident.
+/// Duration of an incident that ends. It starts when the hosts have detected the incident.
 const INCIDENT_DURATION: Duration = Duration::from_secs(4);
 
 /// Delay until gossip has told the hosts of a drain or of a restarted upstream.
--- a/crates/pulley_bench/src/decisions/shared_dispatcher.rs
+++ b/crates/pulley_bench/src/decisions/shared_dispatcher.rs
@@ -90,8 +90,8 @@
             return;
         }
         self.planned_reports[entry][pool] = None;
-        for (zone, delta) in self.schedulers[entry][pool].take_reports(world.now) {
-            let host = match &delta.to {
+        for (zone, report) in self.schedulers[entry][pool].take_reports(world.now) {
+            let host = match &report.to {
                 Some(host) => self.host_index(host),
                 None => {
                     let zone = self.zones.iter().position(|known| *known == zone).unwrap_or(0);
@@ -99,7 +99,7 @@
                 }
             };
             if let Some(host) = host {
-                world.send_message(entry, host, MessageBody::Delta(Box::new(delta)));
+                world.send_message(entry, host, MessageBody::Delta(Box::new(report)));
             }
         }
         self.schedule_reports(world, (entry, pool));
@@ -300,14 +300,14 @@
             return;
         }
         match body {
-            MessageBody::Delta(delta) => {
+            MessageBody::Delta(report) => {
                 let from = self.hosts[from].clone();
                 let active = self.coordinators.iter_mut().filter(|c| c.host == to && !c.retired);
                 for placed in active {
-                    placed.coordinator.receive(world.now, &from, &delta);
+                    placed.coordinator.receive(world.now, &from, &report);
                 }
                 for scheduler in &mut self.schedulers[to] {
-                    scheduler.receive_report(&from, &delta);
+                    scheduler.receive_report(&from, &report);
                 }
             }
             MessageBody::Sum(sum) => {
--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -55,7 +55,7 @@
 pub(crate) enum PolicyTimer {
     /// Ticks a scheduler.
     SchedulerTick { entry: usize, pool: usize },
-    /// Sends a scheduler's deltas.
+    /// Sends a scheduler's count reports.
     SendDeltas { entry: usize, pool: usize },
     /// Ticks a coordinator.
     CoordinatorTick { index: usize },
@@ -388,7 +388,7 @@
         }
         let call = &self.calls[number];
         let index = call.entry * self.deployment.pools.len() + call.pool;
-        let question = RetryInputs {
+        let inputs = RetryInputs {
             most_attempts: 3,
             outcome,
             verdict: RequestVerdict::MayHaveRun,
@@ -398,7 +398,7 @@
             time_left: call.deadline.since(self.now),
             min_time: Duration::from_millis(20),
         };
-        let retry = self.retry_budgets[index].decide(&question) == RetryDecision::Retry;
+        let retry = self.retry_budgets[index].decide(&inputs) == RetryDecision::Retry;
         if retry {
             let upstream = call.upstream - self.first_upstreams[call.pool];
             let record = self.deployment.upstream_record(call.pool, upstream);
@@ -433,7 +433,7 @@
 impl MessageBody {
     fn encoded_len(&self) -> usize {
         match self {
-            Self::Delta(delta) => delta.encode().map_or(0, |bytes| bytes.len()),
+            Self::Delta(report) => report.encode().map_or(0, |bytes| bytes.len()),
             Self::Sum(sum) => sum.encode().map_or(0, |bytes| bytes.len()),
             Self::LeaseRequest { .. } => 24,
             Self::LeaseGrant { .. } => 20,
--- a/crates/pulley_bench/src/path/caller_load.rs
+++ b/crates/pulley_bench/src/path/caller_load.rs
@@ -14,7 +14,8 @@
 use pulleyd::process::{ProcessClock, TimerService};
 use tokio::net::TcpStream;
 
-/// The longest latency that is recorded: a minute. The shortest is 1 µs, with three digits each.
+/// The longest latency that is recorded: a minute. Latencies are recorded from 1 µs on, with three
+/// significant digits.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
 /// The number of calls that warm up each connection before a run. They are not counted.
--- a/crates/pulley_bench/src/path/full_forwarder.rs
+++ b/crates/pulley_bench/src/path/full_forwarder.rs
@@ -19,7 +19,8 @@
 };
 use pulleyd::request::{SchedulerSet, TrafficContext, TrafficLimits};
 
-/// The slots of each stand-in upstream: more than callers, because queueing is not measured here.
+/// The slots of each stand-in upstream. There are more slots than callers, because queueing is not
+/// measured here.
 const SLOTS: u32 = 256;
 
 /// The running forwarder.
--- a/crates/pulley_bench/src/path/mod.rs
+++ b/crates/pulley_bench/src/path/mod.rs
@@ -29,7 +29,8 @@
 /// The number of upstreams over which the forwarders distribute the load.
 const UPSTREAMS: usize = 4;
 
-/// The threads of the stand-in upstreams and of the callers, enough not to be the bottleneck.
+/// The number of threads of the stand-in upstreams and of the callers, enough not to be the
+/// bottleneck.
 const LOAD_THREADS: usize = 3;
 
 /// The options of the subcommand.
--- a/crates/pulley_bench/src/recovery/memory_bench.rs
+++ b/crates/pulley_bench/src/recovery/memory_bench.rs
@@ -67,7 +67,7 @@
     Some(machines)
 }
 
-/// Returns a plan of one row whose share differs from those of consecutive numbers.
+/// Returns a plan of one row. The plans of consecutive numbers differ in their share.
 fn small_plan(number: u64) -> Option<PolicyPlan> {
     let share = u16::try_from(number % 10_000).ok()?;
     Some(PolicyPlan { kinds: vec![row_plan(1, share).ok()?], ..PolicyPlan::default() })
--- a/crates/pulley_bench/src/recovery/replica_cluster.rs
+++ b/crates/pulley_bench/src/recovery/replica_cluster.rs
@@ -27,7 +27,7 @@
     Stop,
 }
 
-/// The token of a question with its answer.
+/// The token of a question, and the answer to that question.
 pub(crate) type TokenAnswer = (u64, ReplicaAnswer);
 
 /// A cluster of replicas on threads, with real storage and in-memory links.
--- a/crates/pulley_bench/src/recovery/start_bench.rs
+++ b/crates/pulley_bench/src/recovery/start_bench.rs
@@ -25,8 +25,8 @@
 fn measure_start(folder: &Path, changes: u64, snapshots: bool) -> Result<()> {
     let folder = tempfile::tempdir_in(folder)?;
     let defaults = ReplicaSettings::default();
-    let weight = if snapshots { defaults.snapshot_bytes } else { usize::MAX };
-    let settings = defaults.with_snapshot_bytes(weight);
+    let snapshot_bytes = if snapshots { defaults.snapshot_bytes } else { usize::MAX };
+    let settings = defaults.with_snapshot_bytes(snapshot_bytes);
     let cluster = ReplicaCluster::start(1, folder.path(), &settings)?;
     for number in 0..changes {
         cluster.ask(number, change(number, SHEET_BYTES)?);
@@ -56,7 +56,8 @@
     Ok(())
 }
 
-/// Returns the milliseconds to open the folder and make the driver, without the election.
+/// Returns the milliseconds that it takes to open the folder and create the driver, without the
+/// election.
 fn recovery_ms(folder: &Path) -> Result<f64> {
     let identity =
         ReplicaIdentity { host: "host-0".parse()?, member: MemberId(1), cluster: "bench".parse()? };
--- a/crates/pulley_bench/src/recovery/stream_bench.rs
+++ b/crates/pulley_bench/src/recovery/stream_bench.rs
@@ -19,12 +19,12 @@
 /// The bytes of a sheet with about 1,200 rows.
 pub(crate) const SHEET_BYTES: usize = 100_000;
 
-/// The bytes of a sheet of the present size, about 30 rows.
+/// The bytes of a sheet of today's usual size, about 30 rows.
 const SMALL_SHEET_BYTES: usize = 3_000;
 
 const REPLICAS: usize = 3;
 
-/// Measures changes a second, for several numbers in flight.
+/// Measures changes a second, for several numbers of changes in flight.
 pub(crate) fn measure_changes(folder: &Path) -> Result<()> {
     for bytes in [SHEET_BYTES, SMALL_SHEET_BYTES] {
         for (in_flight, count) in [(1, 500), (16, 2_000), (64, 2_000)] {
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// Measures claims a second, for several numbers in flight.
+/// Measures claims a second, for several numbers of claims in flight.
 pub(crate) fn measure_claims(folder: &Path) -> Result<()> {
     for (in_flight, count) in [(1, 1_000), (16, 10_000), (256, 100_000), (2_048, 200_000)] {
         let stream = QuestionStream { in_flight, count };
--- a/crates/pulley_soak/src/daemon_process.rs
+++ b/crates/pulley_soak/src/daemon_process.rs
@@ -31,7 +31,8 @@
     flags: Vec<String>,
     child: Option<Child>,
     starts: u32,
-    /// Whether it was told to end since its last start, so that its end is no failure.
+    /// Whether the daemon was signalled or killed since its last start, so that its end is no
+    /// failure.
     end_expected: bool,
 }
 
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Signals the daemon to shut down. Returns whether it had already been told to end.
+    /// Signals the daemon to shut down. Returns whether it had already been signalled to do so.
     pub fn stop(&mut self) -> bool {
         let was_told = std::mem::replace(&mut self.end_expected, true);
         self.signal(Signal::SIGTERM);
         was_told
     }
 
-    /// Whether the daemon has ended without being told to.
+    /// Whether the daemon has ended without having been signalled or killed.
     pub fn has_failed(&mut self) -> bool {
         !self.end_expected && !self.is_running()
     }
--- a/crates/pulley_soak/src/request_history.rs
+++ b/crates/pulley_soak/src/request_history.rs
@@ -47,8 +47,8 @@
     runs: Vec<(SmolStr, Instant)>,
 }
 
-/// A span of time in which an entry was disturbed. Guarantees with time limits do not apply to it
-/// then.
+/// A span of time in which an entry was disturbed. Guarantees with time limits do not apply to the
+/// entry during this span.
 #[derive(Clone, Copy, Debug)]
 struct Disturbance {
     entry: usize,
@@ -67,8 +67,8 @@
     requests: FastMap<SmolStr, RequestRecord>,
     drained: FastMap<SmolStr, Instant>,
     disturbances: Vec<Disturbance>,
-    /// When each entry was told to shut down. A second signal, which ends the drain early, is not
-    /// recorded.
+    /// When each entry got its first shutdown signal. A second signal, which ends the drain early,
+    /// is not recorded.
     stops: Vec<(usize, Instant)>,
     /// Spans of time with faults in upstreams or in the connections to them.
     upstream_faults: Vec<(Instant, Instant)>,
@@ -119,7 +119,7 @@
         self.state.lock().upstream_faults.push((from, until));
     }
 
-    /// Records that an entry is told to shut down.
+    /// Records that an entry gets its first shutdown signal.
     pub fn record_stop(&self, entry: usize) {
         self.state.lock().stops.push((entry, Instant::now()));
     }
--- a/crates/pulley_soak/src/soak_operator.rs
+++ b/crates/pulley_soak/src/soak_operator.rs
@@ -28,7 +28,7 @@
 /// How often each entry is checked for the version that it serves.
 const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// Timeout for an answer before the change is sent again, and the delay before that.
+/// Timeout for an answer to a change, and the delay after which the change is then sent again.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 const RESEND_DELAY: Duration = Duration::from_millis(100);
 
--- a/crates/pulley_soak/src/soak_run.rs
+++ b/crates/pulley_soak/src/soak_run.rs
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Records that a daemon is disturbed. If it is a replica, all daemons may be.
+    /// Records that a daemon is disturbed. If it is a replica, all daemons may be disturbed by
+    /// that.
     fn record_disturbance(&self, host: usize, span: Duration) {
         let now = Instant::now();
         let until = now + span + RECOVERY_SPAN;
--- a/crates/pulley_soak/tests/checks.rs
+++ b/crates/pulley_soak/tests/checks.rs
@@ -65,7 +65,7 @@
     assert_eq!(violated_guarantees(&history), ["asked for"]);
 }
 
-// An entry is told to shut down and closes a connection before it has sent a pending answer. This
+// An entry gets a shutdown signal and closes a connection before it has sent a pending answer. This
 // is no finding if the entry was also disturbed, such as by a kill, or the connection to its
 // upstream had a fault.
 #[test]
--- a/crates/pulleyctl/src/command_line.rs
+++ b/crates/pulleyctl/src/command_line.rs
@@ -65,12 +65,12 @@
     /// Evacuates or restores a zone.
     ZoneOrder(ZoneUpload),
     ZoneList,
-    /// Prints what became of a request, from hosts' log files.
+    /// Prints the log lines of a request from the log files of several hosts.
     Explain {
         id: String,
         files: Vec<PathBuf>,
     },
-    /// Summarizes late and refused requests from hosts' log files.
+    /// Summarizes late and refused requests from the log files of several hosts.
     Summarize {
         late: Duration,
         as_csv: bool,
--- a/crates/pulleyctl/src/log_summary.rs
+++ b/crates/pulleyctl/src/log_summary.rs
@@ -8,15 +8,15 @@
 
 use crate::request_trace::{field_value, without_collector_prefix};
 
-/// Most rows to keep; requests that would need another row are only counted. Causes and kinds are
-/// few, so that this is enough for an afternoon of any installation and takes a few megabytes.
+/// Maximum number of rows to keep; requests that would need another row are only counted. Causes
+/// and kinds are few, so this is enough for an afternoon of any installation. It takes a few
+/// megabytes.
 const ROW_LIMIT: usize = 100_000;
 
 /// Number of files between progress messages.
 const PROGRESS_INTERVAL: usize = 50;
 
-/// Slowdown from which an upstream counts as slowed down: work takes this many times its usual
-/// time.
+/// An upstream counts as slowed down if its work takes at least this many times the usual time.
 const SLOWDOWN_THRESHOLD: f64 = 1.5;
 
 /// Identifies a row: requests of one kind in one second with the same outcome and cause.
@@ -59,7 +59,7 @@
     lines: u64,
     unreadable: u64,
     answered: u64,
-    /// Requests that needed another row when `ROW_LIMIT` was reached.
+    /// Number of requests without a row, because `ROW_LIMIT` had been reached.
     left_out: u64,
 }
 
--- a/crates/pulleyctl/src/request_trace.rs
+++ b/crates/pulleyctl/src/request_trace.rs
@@ -20,7 +20,8 @@
     text: String,
 }
 
-/// The log lines of one request from all hosts, with those hosts' own events around the same time.
+/// The log lines of one request from all hosts, with other events of those hosts from around the
+/// same time.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTrace {
     lines: Vec<LogLine>,
--- a/crates/pulleyd/src/connection/mod.rs
+++ b/crates/pulleyd/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! Connections to callers, upstreams and other hosts, and the state that lives as long as one.
+//! Connections to callers, upstreams and other hosts, and the state that belongs to each
+//! connection.
 
 mod peer_datagrams;
 mod peer_frame;
--- a/crates/pulleyd/src/connection/peer_datagrams.rs
+++ b/crates/pulleyd/src/connection/peer_datagrams.rs
@@ -64,8 +64,9 @@
 
 /// The UDP socket of one host.
 ///
-/// Gossip and counts use datagrams. The latest message replaces earlier ones, so retransmitting a
-/// lost one over a connection that has gone silent would gain nothing.
+/// Gossip and counts of requests in progress are sent in datagrams. The latest message replaces
+/// earlier ones, so retransmitting a lost one over a connection that has gone silent would gain
+/// nothing.
 #[derive(Debug)]
 pub struct PeerDatagrams {
     socket: Arc<UdpSocket>,
--- a/crates/pulleyd/src/connection/peer_key_ring.rs
+++ b/crates/pulleyd/src/connection/peer_key_ring.rs
@@ -16,7 +16,7 @@
 /// Minimum length of a tag, in bytes: half of a SHA-256 tag, as RFC 2104 section 5 allows.
 const MIN_TAG_LENGTH: usize = 16;
 
-/// The result of the key ring's methods.
+/// The result of loading keys or reading them again.
 pub type KeyResult<T> = Result<T, KeyFault>;
 
 /// Why a secret file can't be used. The message never contains a key.
@@ -25,9 +25,9 @@
     /// The file can't be read.
     #[error("can't read the secret file {}: {source}", path.display())]
     Unreadable {
-        /// The path of the file.
+        /// The path from which the keys were to be read.
         path: PathBuf,
-        /// The underlying error.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The file contains no key.
--- a/crates/pulleyd/src/connection/peer_link_queue.rs
+++ b/crates/pulleyd/src/connection/peer_link_queue.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of frames in one call.
 const BATCH_FRAMES: usize = 64;
-/// Maximum number of bytes in one call before its last frame.
+/// Number of bytes from which no further frame is added to a call. The last frame may exceed it.
 pub(crate) const BATCH_BYTES: usize = 128 * 1024;
 
 /// A frame that waits to be sent.
--- a/crates/pulleyd/src/connection/peer_links.rs
+++ b/crates/pulleyd/src/connection/peer_links.rs
@@ -26,9 +26,9 @@
 const MAX_ACCEPTED_CONNECTIONS: usize = 2_048;
 /// Timeout for the authentication of a peer that connects.
 const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Number of heartbeat intervals without a call after which an accepted connection is closed. The
-/// peer that opened it gives up sooner. This frees the connections of hosts that vanished without
-/// closing them.
+/// Number of heartbeat intervals without a call after which an accepted connection is closed. This
+/// frees the connections of hosts that vanished without closing them. A live peer that opened a
+/// silent connection gives up sooner.
 const SILENCE_INTERVALS: u32 = 10;
 
 /// Counters of the links of one host.
--- a/crates/pulleyd/src/connection/peer_outbound_link.rs
+++ b/crates/pulleyd/src/connection/peer_outbound_link.rs
@@ -38,7 +38,8 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay after the first failure to connect. It doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Maximum delay, so that a host that is back is reached within a second.
+/// Maximum delay between attempts to connect, so that a host that is back is reached within a
+/// second.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Why a link ended.
@@ -76,7 +77,7 @@
     pub(crate) dropped: Cell<u64>,
 }
 
-/// Adds to a counter.
+/// Adds to one of the [`LinkCounters`], which all links of the control thread share.
 pub(crate) fn add(counter: &Cell<u64>, count: usize) {
     counter.set(counter.get() + count as u64);
 }
@@ -285,7 +286,7 @@
     }
 }
 
-/// Returns the number of heartbeats that the bytes in flight may delay.
+/// Returns how many more heartbeats may stay unanswered because bytes in flight delay them.
 fn delayed_heartbeats(bytes: usize, heartbeat: Duration) -> u32 {
     let wait =
         Duration::from_secs_f64(bytes as f64 / SLOWEST_LINK_RATE as f64).min(MAX_HEARTBEAT_DELAY);
--- a/crates/pulleyd/src/connection/upstream_links.rs
+++ b/crates/pulleyd/src/connection/upstream_links.rs
@@ -52,8 +52,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Bytes read at once, which is also the maximum size of an answer's head. Common servers send
-/// heads of up to 8 KiB. Each read frees space for as many bytes to arrive at the link's full rate,
-/// ahead of any rate limit, so the buffer is not larger.
+/// heads of up to 8 KiB. After each read, as many bytes can arrive at the link's full rate before
+/// any rate limit takes effect, so the buffer is not larger.
 const READ_BUFFER: usize = 16 * 1_024;
 
 /// The connections of this process to one upstream.
--- a/crates/pulleyd/src/request/answer_body.rs
+++ b/crates/pulleyd/src/request/answer_body.rs
@@ -91,7 +91,7 @@
 /// A body on its way to the caller, streamed with back-pressure.
 ///
 /// A body that the upstream cuts short ends in an error, never in a clean end; otherwise a caller
-/// would take half a loss file for the whole. The error makes the server abort the caller's
+/// would mistake half a loss file for all of it. The error makes the server abort the caller's
 /// connection (HTTP/1.1) or reset the stream (HTTP/2).
 #[derive(Debug)]
 pub struct AnswerBody {
--- a/crates/pulleyd/src/request/answer_metadata.rs
+++ b/crates/pulleyd/src/request/answer_metadata.rs
@@ -27,14 +27,14 @@
 pub(super) struct AnswerMetadata {
     /// Whether the upstream shed the request without running it.
     pub(super) is_shed: bool,
-    /// Whether the upstream passes on a response of this system: another layer has already given
-    /// up.
+    /// Whether the upstream only passes on a response that this system made for one of the
+    /// upstream's own calls. Another layer has then already given up.
     pub(super) retried_downstream: bool,
-    /// Whether it takes no new work from now on.
+    /// Whether the upstream takes no new work from now on.
     pub(super) is_draining: bool,
-    /// Its load, if reported.
+    /// The upstream's load, if reported.
     pub(super) report: Option<LoadReport>,
-    /// When it may receive requests again, if it shed this one.
+    /// How long to send it no requests, if it shed this one.
     pub(super) retry_after: Duration,
     /// Whether the status says that the request was not run and no header confirms it.
     pub(super) is_unconfirmed_not_run: bool,
@@ -43,9 +43,9 @@
 impl AnswerMetadata {
     /// Reads the metadata and removes the headers that belong to the upstream's connection.
     ///
-    /// Only status 429 or 503 together with the verdict `not-run` counts as shed: a bare 503 may
-    /// come from an upstream that failed half-way. A 421 response comes from an upstream that has
-    /// taken over another's address.
+    /// If the dialect has no header of its own for this, only status 429 or 503 together with the
+    /// verdict `not-run` counts as shed: a bare 503 may come from an upstream that failed half-way.
+    /// A 421 response comes from an upstream that has taken over another's address.
     pub(super) fn take(
         response: &mut Response<Incoming>,
         dialect: &HeaderDialect,
--- a/crates/pulleyd/src/request/arrival_probing.rs
+++ b/crates/pulleyd/src/request/arrival_probing.rs
@@ -17,8 +17,8 @@
 use super::{RequestBody, TrafficContext};
 use crate::connection::{LinkRequest, Unused, UpstreamLink};
 
-/// How long an arriving request waits for probe answers. A probe usually takes about 6 ms; an
-/// upstream that takes several times as long is not the best choice, or its connection has gone
+/// How long an arriving request waits for probe answers. A probe usually takes about 6 ms. If an
+/// upstream takes several times as long, it is not the best choice or its connection has gone
 /// silent.
 const PROBE_WAIT: Duration = Duration::from_millis(40);
 
@@ -27,12 +27,12 @@
 /// for all of them loses most of that time only to learn which upstreams not to choose.
 const EXTRA_WAIT: Duration = Duration::from_millis(10);
 
-/// When a probe is abandoned and its connection closed. It is longer than any request waits: the
-/// connection of a slowed-down upstream is still usable, and opening another costs that upstream
-/// more than the probe.
+/// Timeout of a probe, after which its connection is closed. It is longer than any request waits,
+/// because the connection of a slowed-down upstream is still usable, and opening another costs that
+/// upstream more than the probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Divides the time left until the deadline; probes may take the resulting part.
+/// Probes may take the time left until the deadline, divided by this number.
 const DEADLINE_DIVISOR: u32 = 8;
 
 /// The factor by which an upstream that reports itself unhealthy is assumed to be slower. Some
@@ -40,7 +40,8 @@
 /// upstreams do so would serve no requests.
 const UNHEALTHY_FACTOR: f32 = 1.6;
 
-/// The maximum number of probe rounds within the same reach.
+/// The maximum number of probe rounds within the reach given for the request. Another zone may be
+/// probed after them.
 const PROBE_ROUNDS: u32 = 2;
 
 /// No upstream is probed if the best expected time, in multiples of the usual response time, is
@@ -108,11 +109,14 @@
         probing
     }
 
-    /// Returns the readings to place the request by; `None` if probing is off or no upstream of the
-    /// pool answers.
+    /// Returns the load reports by which the request is placed. The list is empty if no probed
+    /// upstream has answered but others of the pool have done so recently. Returns `None` if
+    /// probing is off or no upstream of the pool answers; the request is then placed by counts of
+    /// requests in progress.
     ///
     /// If other upstreams of the pool have answered within the last second, those probed now are
-    /// slow. Placed by counts alone, requests went to exactly those upstreams and took a second.
+    /// slow. If the request were placed by counts alone, it would go to exactly those upstreams and
+    /// take a second.
     pub(super) fn placement_readings(&self) -> Option<&[ProbeReading]> {
         let is_unprobed = !self.is_on || (self.readings.is_empty() && self.is_pool_silent);
         (!is_unprobed).then_some(&self.readings)
--- a/crates/pulleyd/src/request/attempt_guard.rs
+++ b/crates/pulleyd/src/request/attempt_guard.rs
@@ -9,7 +9,7 @@
 
 /// Holds an upstream's slot for one attempt and reports how the attempt ended.
 ///
-/// A guard dropped without a report means that the caller has left. The drop releases the slot;
+/// If a guard is dropped without a report, the caller has left. Dropping it releases the slot;
 /// otherwise it would stay counted and the pool would seem full permanently.
 #[derive(Debug)]
 pub struct AttemptGuard {
--- a/crates/pulleyd/src/request/call_terms.rs
+++ b/crates/pulleyd/src/request/call_terms.rs
@@ -18,8 +18,8 @@
 /// The callers whose attempt and priority headers are trusted.
 ///
 /// Upstreams call other services through the system, up to 7 levels deep, and forward the headers
-/// they received. Without this list an outside caller could raise its own priority, so these
-/// headers of other callers are dropped.
+/// they received. Without this list an outside caller could raise its own priority. If a caller is
+/// not on the list, these headers are dropped from its requests.
 #[derive(Clone, Debug, Default)]
 pub struct TrustedCallers {
     /// The addresses of trusted callers.
--- a/crates/pulleyd/src/request/header_dialect.rs
+++ b/crates/pulleyd/src/request/header_dialect.rs
@@ -31,7 +31,8 @@
     pub upstream_id: Option<HeaderName>,
     /// On an upstream's responses: its presence means that the request was not run.
     pub not_run: Option<HeaderName>,
-    /// On an upstream's responses: without it, a success does not come from the upstream itself.
+    /// On an upstream's responses: proof that the upstream itself produced them. A success without
+    /// it is not passed on.
     pub answer_signature: Option<HeaderName>,
     /// On an upstream's probe answers: milliseconds for which it is still cold. If the header is
     /// missing, the upstream has warmed up.
@@ -40,8 +41,9 @@
     pub load: HeaderName,
     /// Parses the load header.
     pub read_load: LoadReader,
-    /// Whether the load on a response still counts that request, which has ended once the response
-    /// is here. The load on a probe answer never counts the probe.
+    /// Whether the load on a response still includes the request that it answers, although that
+    /// request has ended when the response arrives. The load on a probe answer never includes the
+    /// probe.
     pub load_includes_answered: bool,
     /// Whether the system's own headers (verdict, cause, attempt, priority) are used. Without them
     /// the status alone has to say whether a request has run.
@@ -49,8 +51,8 @@
 }
 
 impl HeaderDialect {
-    /// Reads from a probe answer how long the upstream is still cold; `None` if the dialect has no
-    /// such header or its value is malformed.
+    /// Reads from a probe answer how long the upstream will still be cold; `None` if the dialect
+    /// has no such header or its value is malformed.
     pub(super) fn cold_left(&self, headers: &HeaderMap) -> Option<Duration> {
         let name = self.cold_left.as_ref()?;
         let Some(value) = headers.get(name) else { return Some(Duration::ZERO) };
--- a/crates/pulleyd/src/request/keyed_run.rs
+++ b/crates/pulleyd/src/request/keyed_run.rs
@@ -30,9 +30,9 @@
 /// Claims a request's key and runs the request to completion, even if its caller leaves.
 ///
 /// A caller that gives up waiting resends the same key. If its leaving cancelled the attempt,
-/// nobody would ever know whether the refund was recorded. Run to completion, the request has a
-/// recorded outcome for the resend. It also ensures that a claim granted after the caller has left
-/// is not leaked.
+/// nobody would ever know whether the refund was recorded. Because the request runs to completion,
+/// its outcome is recorded for the resend. This also ensures that a claim granted after the caller
+/// has left is not leaked.
 pub(super) async fn run_keyed(
     run: RequestRun,
     request: ClaimRequest,
--- a/crates/pulleyd/src/request/ledger_claim.rs
+++ b/crates/pulleyd/src/request/ledger_claim.rs
@@ -151,8 +151,8 @@
     if is_valid { Ok(Some(key)) } else { Err(RefusalCause::BadRequest) }
 }
 
-/// Builds the ledger's claim request; the digest distinguishes a resend from another use of its
-/// key.
+/// Builds the ledger's claim request; the digest distinguishes a resend from another request with
+/// the same key.
 pub(super) fn claim_request(
     row: &KindPlan,
     key: &str,
--- a/crates/pulleyd/src/request/request_attempt.rs
+++ b/crates/pulleyd/src/request/request_attempt.rs
@@ -32,14 +32,14 @@
 /// How long a request waits before it probes again if all probed upstreams were slowed down or
 /// full.
 ///
-/// The load is a burst of requests or a brief slowdown, after which the next slot is free, or the
-/// next upstream fast again, within a part of a response time. The reason for the limit: with a
-/// shorter delay upstreams would give the same answer, with a longer one free slots would stay idle
-/// for longer.
+/// The load is a burst of requests or a brief slowdown. Within a fraction of a response time,
+/// another slot is then free or another upstream fast again. The reason for the limit: with a
+/// shorter delay the upstreams would report the same load again, and with a longer one free slots
+/// would stay idle for longer.
 const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// Divides the time in which a request can still meet its target. For that part of it a request
-/// with a large response looks in its own zone only.
+/// Divides the time in which a request can still meet its target. During the resulting part, a
+/// request with a large response probes upstreams of its own zone only.
 const LARGE_OWN_ZONE_DIVISOR: u32 = 2;
 
 /// The upstream chosen for a request.
@@ -68,8 +68,8 @@
                 Err(_) => {}
             }
             let _ = self.context.timer.after(PLACEMENT_RETRY_DELAY).await;
-            // The request's number was released with the refusal. It is still the same request and
-            // earns the retry budget nothing more.
+            // The request's number was released with the refusal. It is still the same request, so
+            // it adds nothing more to the retry budget.
             ticket.number = self.context.next_number();
             ticket.attempt = ticket.attempt.max(1);
         };
@@ -86,11 +86,12 @@
         self.send_placed(&ticket, placed).await
     }
 
-    /// Returns how far a request looks for an upstream at this moment.
+    /// Returns whether a request may now probe upstreams of other zones.
     ///
     /// A slowdown in the request's own zone has mostly ended when it probes again, and waiting
-    /// costs nothing while the target can be met; another zone costs bytes at once. Large responses
-    /// stay in their zone for longer, because their bytes cost many times the rest of the request.
+    /// costs nothing while the target can be met. Using another zone costs bytes between zones at
+    /// once. Large responses stay in their zone for longer, because their bytes cost many times the
+    /// rest of the request.
     fn reach(&self, started: Moment, placement_deadline: Moment) -> ProbeReach {
         let waited = self.context.clock.now().since(started);
         let is_large = self.row().route.answers == AnswerSize::Large;
@@ -238,7 +239,8 @@
         }
     }
 
-    /// Whether the response is the upstream's response to this request, as far as its head tells.
+    /// Whether the response is the upstream's response to this request, as far as its status and
+    /// headers show.
     ///
     /// A faulty upstream may send one response too many, and the next request on the connection
     /// would receive it: a caller would see another caller's policy. The request id that the
--- a/crates/pulleyd/src/request/request_body.rs
+++ b/crates/pulleyd/src/request/request_body.rs
@@ -24,7 +24,7 @@
     /// A later attempt has taken over the body.
     #[error("a later attempt has taken over the body")]
     Superseded,
-    /// The body is larger than a request with an idempotency key may have.
+    /// The body is larger than allowed for a request with an idempotency key.
     #[error("the body is too large for a request with an idempotency key")]
     TooLarge,
 }
@@ -47,8 +47,8 @@
     /// Whether all frames read so far were kept.
     is_complete: bool,
     caller_aborted: bool,
-    /// The attempt that may read; earlier ones get `Superseded`, otherwise they would take frames
-    /// away.
+    /// The attempt that may read; earlier ones get `Superseded`. Otherwise they would consume
+    /// frames that this attempt needs.
     attempt: u32,
 }
 
@@ -105,8 +105,8 @@
         Ok((Self { state: Some(Arc::new(Mutex::new(state))) }, data))
     }
 
-    /// Returns the body for a new attempt, from the beginning; earlier attempts can read no
-    /// further.
+    /// Returns the body for a new attempt, from the beginning; earlier attempts cannot read any
+    /// more of it.
     #[must_use]
     pub fn restart(&self) -> RequestBody {
         let Some(state) = &self.state else { return RequestBody::Empty };
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -40,7 +40,7 @@
 const HOST_FULL_RETRY: Duration = Duration::from_secs(1);
 
 /// `Retry-After` of a host that lacks the newest configuration. The configuration is on its way,
-/// and a caller with a second left waits no longer than a third of it.
+/// and a caller that has one second left spends at most a third of it waiting.
 const BEHIND_RETRY: Duration = Duration::from_millis(200);
 
 /// The interval at which a request that waits for its host to become ready checks again.
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sets the caller whose connection it serves.
+    /// Sets the caller whose connection this forwarder serves.
     #[must_use]
     pub const fn with_caller(mut self, caller: IpAddr) -> Self {
         self.caller = Some(caller);
@@ -131,8 +131,8 @@
         })
     }
 
-    /// Returns how long a request waits for this host to become ready; `None` if the host can
-    /// decide or its start time has passed.
+    /// Returns how long a request waits for this host to become ready; `None` if it need not wait,
+    /// because the host can decide about it or no longer counts as starting.
     fn start_wait(&self, request: &Request<Incoming>) -> Option<Duration> {
         let uptime = self.context.clock.now().since(Moment::ZERO);
         let dialect = &self.context.dialect;
@@ -140,7 +140,7 @@
         start_wait(uptime, left).filter(|_| !self.refuses_all && !self.can_decide(request))
     }
 
-    /// Waits until the request can be placed here or its wait has ended. It holds a permit
+    /// Waits until the request can be placed here or its wait has ended. The request holds a permit
     /// meanwhile, so that waiting requests count against the limit of the process.
     async fn wait_until_ready(&self, request: &Request<Incoming>, wait: Duration) {
         let Ok(permit) = self.acquire_permit() else { return };
@@ -165,8 +165,8 @@
         upstreams.is_some_and(|records| records.iter().any(|record| record.takes_work))
     }
 
-    /// Forwards one request by the present state of the host; the request may have waited since it
-    /// arrived.
+    /// Forwards one request according to the host's current state. The request may have waited
+    /// since it arrived.
     ///
     /// Refusals that need no waiting are decided before a future is created.
     fn forward_now(&self, request: Request<Incoming>, arrived: Moment) -> ForwardFuture {
@@ -278,11 +278,11 @@
 
 /// Returns the answer to a request that the configuration in force denies.
 ///
-/// The load is a change that reaches hundreds of hosts over seconds, while callers of what it adds
-/// reach all of them at once. The harm is that a caller denied permanently never comes back,
-/// although the accepted configuration allows its request. The reason for the limit: callers are
-/// told to come back only while a newer version is known to be on its way, so that what no version
-/// allows is soon denied.
+/// The load is a change that takes seconds to reach hundreds of hosts, while callers of a route
+/// that it adds reach all of them at once. The harm is that a caller whose request is denied
+/// permanently does not retry, although the accepted configuration allows the request. The reason
+/// for the limit: callers are asked to retry only while a newer version is known to be on its way,
+/// so that a request that no version allows is soon denied.
 fn deny_by_plan(view: &RunningView, denial: SystemAnswer) -> SystemAnswer {
     match view.awaited_version {
         Some(_) => SystemAnswer::refused(RefusalCause::ConfigurationBehind, Some(BEHIND_RETRY)),
@@ -327,7 +327,7 @@
     key: &str,
 ) -> Result<Response<AnswerBody>> {
     let AdmittedRequest { parts, body, kind, terms, arrived } = admitted;
-    let gathering = BodySource::gather(body, context.limits.keyed_bytes);
+    let gathering = BodySource::gather(body, context.limits.keyed_body_limit);
     let gathered = context.timer.run_until(terms.deadline, gathering).await;
     let (body, data) = match gathered {
         Some(Ok(gathered)) => gathered,
--- a/crates/pulleyd/src/request/request_headers.rs
+++ b/crates/pulleyd/src/request/request_headers.rs
@@ -23,8 +23,8 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the headers of the connection that a message came over: the standard ones and those that
-/// its own `Connection` header lists.
+/// Removes the hop-by-hop headers of a message: the standard ones and those that its `Connection`
+/// header lists.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(CONNECTION) {
         for name in connection_options(headers) {
@@ -51,7 +51,8 @@
     values.flat_map(|value| value.split(',')).any(|coding| coding.trim() == "trailers")
 }
 
-/// Returns the bytes of all header names and values, as HTTP/2 counts them without its overhead.
+/// Returns the bytes of all header names and values, as HTTP/2 counts them, but without the
+/// overhead that HTTP/2 adds for each header.
 pub(super) fn header_bytes(headers: &HeaderMap) -> usize {
     headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum()
 }
@@ -64,8 +65,8 @@
 /// Whether the upstream could interpret a request differently than this process did.
 ///
 /// Two `Host` headers, a path that an upstream may normalize to one of another kind, or a method
-/// that turns the connection into a tunnel would let a caller bypass the plan: a refund taken for
-/// an idempotent lookup would be sent twice. Such requests are refused before anything is sent.
+/// that turns the connection into a tunnel would let a caller bypass the plan: a refund mistaken
+/// for an idempotent lookup would be sent twice. Such requests are refused before anything is sent.
 pub(super) fn is_ambiguous(parts: &Parts) -> bool {
     let hosts = parts.headers.get_all(HOST).iter().count();
     let lacks_host = parts.version == Version::HTTP_11 && hosts != 1;
@@ -85,7 +86,7 @@
     value.to_str().ok()?.trim().parse().ok().map(Duration::from_millis)
 }
 
-/// Parses a small number.
+/// Parses a number from 0 to 255, such as a priority or a number of attempts.
 pub(super) fn read_number(value: &HeaderValue) -> Option<u8> {
     value.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/pulleyd/src/request/request_run.rs
+++ b/crates/pulleyd/src/request/request_run.rs
@@ -34,7 +34,8 @@
 /// The least time the first attempt of an idempotent request gets before another is made.
 const MIN_FIRST_ATTEMPT: Duration = Duration::from_millis(50);
 
-/// Divides the time left; a second attempt is considered after the resulting part.
+/// Divides the time left until the deadline. A second attempt is considered after the resulting
+/// part.
 const FIRST_ATTEMPT_DIVISOR: u32 = 2;
 
 /// A request's kind in the plan that was in force when the request arrived.
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Sets when the request arrived; its target and the time it is held count from then on.
+    /// Sets when the request arrived; its target and the time for which it is held count from that
+    /// moment.
     pub(super) const fn arrived_at(mut self, arrived: Moment) -> Self {
         self.arrived = arrived;
         self
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Makes a second attempt if an upstream should answer it soon and the retry budget allows it;
-    /// returns `None` otherwise.
+    /// Makes a second attempt if an upstream is expected to answer it soon and the retry budget
+    /// allows it; returns `None` otherwise.
     async fn second_attempt(&self) -> Option<Result<Response<UpstreamAnswer>>> {
         let ticket = self.ticket(0).ok()?;
         let probed =
@@ -229,7 +231,7 @@
         Some(self.attempt_probed(ticket, probed).await)
     }
 
-    /// Creates a ticket for a placement and adds to the number of attempts.
+    /// Creates a ticket for a placement and adds `attempts` to the number of attempts made.
     fn ticket(&self, attempts: u8) -> Result<RequestTicket> {
         let schedulers = &self.context.schedulers;
         let kind = schedulers.current_row(&self.kind.plan, self.kind.index);
@@ -279,8 +281,8 @@
     // ---------------------------------------------------------------------------------------------
     // Outcomes
 
-    /// Records a response. All time except the upstream's own counts as added here, time in the
-    /// queue included.
+    /// Records a response. All time except the upstream's own counts as added by this entry,
+    /// including time in the queue.
     fn record_answer(&self, status: StatusCode) {
         let now = self.context.clock.now();
         let progress = self.progress.lock();
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -38,7 +38,7 @@
     Refuse {
         /// The cause of the refusal.
         cause: RefusalCause,
-        /// When the caller may usefully come back.
+        /// How long the caller is asked to wait before it retries.
         retry_after: Duration,
     },
 }
@@ -139,8 +139,8 @@
     /// Dropping the future removes the request from the queue and releases a slot that was granted
     /// meanwhile.
     ///
-    /// `readings` holds the load reports of the upstreams probed for this request; `None` places it
-    /// by counts.
+    /// `readings` holds the load reports of the upstreams probed for this request; with `None` it
+    /// is placed by counts of requests in progress.
     pub async fn place(
         &self,
         pool: &PoolName,
@@ -208,7 +208,7 @@
     ///
     /// The announcement that says the same may take a heartbeat to arrive; until then each request
     /// sent there could be cut off. A later incarnation of the upstream takes work again. Returns
-    /// whether the drain is news.
+    /// whether the drain was not known before.
     pub fn observe_drain(&self, pool: &PoolName, upstream: &UpstreamId) -> bool {
         let Some(cell) = self.cell(pool) else { return false };
         let Some(effects) = cell.observe_drain(self.clock.now(), upstream) else { return false };
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Returns this entry's part of a pool's probe rate. It uses four fifths of its due part,
+    /// Returns this entry's part of a pool's probe rate. It is four fifths of an equal part,
     /// because other entries may not know yet how many entries there are.
     #[expect(clippy::cast_precision_loss, reason = "hosts and upstreams are few")]
     fn probe_share(&self, upstreams: usize, entries: u32) -> f32 {
--- a/crates/pulleyd/src/request/scheduler_set_counts.rs
+++ b/crates/pulleyd/src/request/scheduler_set_counts.rs
@@ -1,4 +1,4 @@
-//! The counts that the schedulers share with other entries.
+//! The counts of requests in progress that the schedulers share with other entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,8 @@
 use super::scheduler_set::PoolCell;
 
 impl SchedulerSet {
-    /// Takes the counts that are due to coordinators: the pool, the upstreams' zone, the message.
+    /// Takes the count reports that are due, each with its pool and the zone of the upstreams it
+    /// counts.
     pub fn take_reports(&self, now: Moment) -> Vec<(PoolName, ZoneName, CountReport)> {
         let cells: Vec<_> = FastMap::clone(&self.pools.load()).into_iter().collect();
         let due = |(pool, cell): (PoolName, Arc<PoolCell>)| {
@@ -27,7 +28,7 @@
         pools.values().filter_map(|cell| cell.state.lock().scheduler.next_report_at()).min()
     }
 
-    /// Applies the sum of the entries' counts from a coordinator.
+    /// Applies the sum of the entries' counts, as received from a coordinator.
     pub fn receive_sum(&self, now: Moment, sum: &CountSum) {
         let Some(cell) = self.cell(&sum.pool) else { return };
         let effects = cell.state.lock().scheduler.receive_sum(now, sum);
@@ -40,7 +41,7 @@
         cells.iter().flat_map(|cell| cell.state.lock().scheduler.take_relays()).collect()
     }
 
-    /// Adds another entry's report to this host's own.
+    /// Keeps another entry's count report, to be added to this host's own.
     pub fn receive_report(&self, from: &HostId, report: &CountReport) {
         if let Some(cell) = self.cell(&report.pool) {
             cell.state.lock().scheduler.receive_report(from, report);
--- a/crates/pulleyd/src/request/scheduler_set_probes.rs
+++ b/crates/pulleyd/src/request/scheduler_set_probes.rs
@@ -1,4 +1,4 @@
-//! What the schedulers tell arriving requests before they are placed.
+//! Queries of the schedulers that arriving requests make before they are placed.
 
 use pulley_core::request::{PoolScheduler, ProbeQuery, ProbeReading, ProbeTarget, RequestTicket};
 use pulley_core::{Moment, PoolName, UpstreamId};
@@ -46,14 +46,15 @@
         });
     }
 
-    /// Returns until when a request may look for an upstream that is worth starting at.
+    /// Returns until when a request may wait to be placed. If it were placed later, it would be
+    /// expected to miss its target.
     #[must_use]
     pub fn placement_deadline(&self, pool: &PoolName, ticket: &RequestTicket) -> Moment {
         self.with_scheduler(pool, |scheduler, now| scheduler.placement_deadline(now, ticket))
             .unwrap_or_else(|| self.clock.now())
     }
 
-    /// Whether one of the probed upstreams should answer a request by its target.
+    /// Whether one of the probed upstreams is expected to answer a request by the request's target.
     #[must_use]
     pub fn meets_target(
         &self,
@@ -65,7 +66,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether a request would start at one of the probed upstreams but may well be answered late.
+    /// Whether a request would start at one of the probed upstreams but may well miss its target.
     #[must_use]
     pub fn may_miss_target(
         &self,
--- a/crates/pulleyd/src/request/system_answer.rs
+++ b/crates/pulleyd/src/request/system_answer.rs
@@ -18,7 +18,7 @@
     pub verdict: RequestVerdict,
     /// The cause in one word, for headers and logs.
     pub cause: &'static str,
-    /// When the caller may usefully come back, if waiting helps.
+    /// How long the caller is asked to wait before it retries; `None` if waiting does not help.
     pub retry_after: Option<Duration>,
 }
 
--- a/crates/pulleyd/src/request/traffic_context.rs
+++ b/crates/pulleyd/src/request/traffic_context.rs
@@ -17,8 +17,8 @@
 /// Limits of the traffic side, each against one kind of overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficLimits {
-    /// Requests in this process at once. Beyond it new ones are refused as not run, because a
-    /// process short of memory would slow down or lose all of them.
+    /// Requests in this process at once. Beyond this limit new ones are refused as not run, because
+    /// a process short of memory would slow down or lose all of them.
     pub requests: usize,
     /// Caller connections at once; beyond it a connection's first request is refused.
     pub caller_connections: usize,
@@ -33,7 +33,7 @@
     pub replay_bytes: usize,
     /// Bytes of the body of a request with an idempotency key. Its digest is needed before it is
     /// sent, so the whole body is held in memory.
-    pub keyed_bytes: usize,
+    pub keyed_body_limit: usize,
     /// Bytes of a response body that the ledger stores.
     pub recorded_bytes: usize,
 }
@@ -47,7 +47,7 @@
             header_timeout: Duration::from_secs(60),
             arrival_probes: 0,
             replay_bytes: 64 * 1024,
-            keyed_bytes: 1024 * 1024,
+            keyed_body_limit: 1024 * 1024,
             recorded_bytes: 16 * 1024,
         }
     }
--- a/crates/pulleyd/tests/path_support/fake_upstream.rs
+++ b/crates/pulleyd/tests/path_support/fake_upstream.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What all connections of a fake upstream have received.
+/// The numbers of connections opened and ended at a fake upstream, and the requests received.
 #[derive(Default)]
 pub(crate) struct UpstreamLog {
     pub(crate) connections: AtomicUsize,
--- a/crates/pulleyd/tests/path_support/mod.rs
+++ b/crates/pulleyd/tests/path_support/mod.rs
@@ -1,4 +1,4 @@
-//! Small test doubles around the forwarder: scripted upstreams, an entry, callers, a ledger.
+//! Test doubles around the forwarder: scripted upstreams, an entry, callers and a ledger.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
--- a/crates/pulleyd/tests/path_support/test_entry.rs
+++ b/crates/pulleyd/tests/path_support/test_entry.rs
@@ -1,4 +1,4 @@
-//! A forwarder behind a listener, and callers of it.
+//! A forwarder behind a listener, and callers that send requests to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
         Self { deadline, slots: 64, limits, ledger, connections: 300, trusted, dialect, target }
     }
 
-    /// Sets the header names, by which a status alone may say whether a request has run.
+    /// Sets the header names. In some dialects the status alone says whether a request has run.
     pub(crate) fn dialect(mut self, dialect: HeaderDialect) -> Self {
         self.dialect = dialect;
         self
--- a/crates/pulleyd/tests/peer_links.rs
+++ b/crates/pulleyd/tests/peer_links.rs
@@ -77,7 +77,7 @@
         loop {
             let (near, _) = listener.accept().await.unwrap();
             let far = TcpStream::connect(to).await.unwrap();
-            // Connections opened after the stop work, as they do with a real network device.
+            // Connections that are opened after the stop do work, as with a real network device.
             let can_stall = Rc::new(Cell::new(!stalled.get()));
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
@@ -174,7 +174,7 @@
 }
 
 /// A frame can take longer on a slow link than heartbeats may stay unanswered. The link must not be
-/// taken for silent and replaced, which would drop all frames queued behind that frame.
+/// treated as silent and replaced, because that would drop all frames queued behind that frame.
 #[tokio::test]
 async fn a_large_frame_gets_through_a_slow_link() {
     LocalSet::new()
--- a/crates/pulleyd/tests/request_behind.rs
+++ b/crates/pulleyd/tests/request_behind.rs
@@ -12,7 +12,7 @@
 use pulleyd::request::HeaderDialect;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Less than a host's own limit of 32 KiB.
+/// Limit on header bytes in the plan. It is lower than a host's own limit of 32 KiB.
 const PLAN_HEADER_BYTES: u64 = 1_024;
 const PLAN_BODY_BYTES: u64 = 16;
 
@@ -125,7 +125,7 @@
     assert!(entry.raw_answer(ambiguous).await.starts_with("HTTP/1.1 400 "));
 }
 
-// Guards against a host that has just started refusing a path that it knows a moment later.
+// Guards against refusals by a newly started host for a path that it will know a moment later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_waits_for_the_version_that_a_starting_host_awaits() {
     let upstream = FakeUpstream::healthy("done").await;
@@ -162,7 +162,8 @@
     }
 }
 
-// Guards against a 431 for the rest of a connection, from limits that a later version has raised.
+// Guards against 431 answers for the rest of a connection because of limits that a later version
+// has raised.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_is_held_to_the_limits_in_force_and_not_to_those_it_began_with() {
     let upstream = FakeUpstream::healthy("done").await;
--- a/crates/pulleyd/tests/request_dialect.rs
+++ b/crates/pulleyd/tests/request_dialect.rs
@@ -125,8 +125,8 @@
     for _ in 0..5 {
         let answer = entry.post_with("/refund", "x", &ID).await;
         assert_eq!((answer.status, answer.body.as_deref()), (200, Some("run")));
-        // Waits until the last reading is stale, so that the next request probes again, and does so
-        // without a spare connection, which a growing load would get.
+        // Waits until the last reading is stale, so that the next request probes again. After this
+        // pause, no spare connection is opened, as it would be under growing load.
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     let runs = |upstream: &FakeUpstream| {
@@ -137,9 +137,9 @@
     assert_eq!(fast.connections(), 1);
 }
 
-// One of two upstreams reports at once that it is idle; the other does not answer probes, as a
-// slowed-down machine answers them late. Each request used to wait for the later of both, 40 ms in
-// all, for the reading of an upstream that it would not choose. The quickest of several requests
+// One of two upstreams reports at once that it is idle; the other does not answer probes, like a
+// slowed-down machine that answers them late. If each request waited for both, it would lose 40 ms
+// for the load report of an upstream that it would not choose. The quickest of several requests
 // counts, because a busy machine may slow down any one of them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_good_reading_is_enough() {
--- a/crates/pulleyd/tests/request_failures.rs
+++ b/crates/pulleyd/tests/request_failures.rs
@@ -95,8 +95,8 @@
     }
 }
 
-// An upstream dies in the middle of a loss file. A caller that took the part for the whole would
-// settle a claim on half a file, so its connection must end in an error.
+// An upstream dies in the middle of a loss file. A caller that mistook this part for the whole
+// would settle a claim on half a file, so its connection must end in an error.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_body_cut_short_is_never_passed_on_as_whole() {
     let heads = [
--- a/crates/pulleyd/tests/request_framing.rs
+++ b/crates/pulleyd/tests/request_framing.rs
@@ -97,8 +97,8 @@
         assert!(got.starts_with("HTTP/1.1 400 "), "{request}\n{got}");
     }
     assert_eq!(upstream.runs(), 0);
-    // With both a length and chunks, the chunks count. What follows them on that connection is not
-    // run.
+    // If a request has both a length and chunks, the chunks determine where it ends. Bytes that
+    // follow them on that connection are not run as a request.
     let both = "POST /refund HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\
         Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /refund?hidden HTTP/1.1\r\nHost: a\r\n\r\n";
     entry.raw_answer(both).await;
--- a/crates/pulleyd/tests/request_keys.rs
+++ b/crates/pulleyd/tests/request_keys.rs
@@ -30,8 +30,9 @@
     assert_eq!(upstream.runs(), 1);
 }
 
-// An upstream dies after it has read a refund, so nobody knows whether it ran. A resend must be
-// told exactly that. If the refund was never sent, the key is free and a resend runs.
+// An upstream dies after it has read a refund, so nobody knows whether it ran. The caller that
+// resends it must be told exactly that. If the refund was never sent, the key is free and a resend
+// runs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_key_stays_claimed_exactly_if_its_request_may_have_run() {
     let breaking = FakeUpstream::breaking_after("").await;
--- a/crates/pulleyd/tests/request_start.rs
+++ b/crates/pulleyd/tests/request_start.rs
@@ -13,7 +13,7 @@
 
 // All hosts restart together. A request reaches a host that has no configuration yet and gets it a
 // tenth of a second later. If it were refused at once, the caller would spend its only retry while
-// no host is ready; held, it is answered.
+// no host is ready. If it is held, it is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_waits_until_a_starting_host_is_ready() {
     let upstream = FakeUpstream::healthy("done").await;
@@ -49,8 +49,8 @@
 }
 
 // A caller allows its request a second and spends more than a tenth of it at a starting host. The
-// upstream must be told the remaining time: given the whole second, it would work on after the
-// caller has gone.
+// upstream must be told the remaining time. If it were given the whole second, it would work on
+// after the caller has gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn time_at_a_starting_host_is_taken_off_the_deadline() {
     let upstream = FakeUpstream::healthy("done").await;
