--- a/crates/pulley_core/src/request/arrival_probes.rs
+++ b/crates/pulley_core/src/request/arrival_probes.rs
@@ -5,8 +5,8 @@
 use super::LoadReport;
 use crate::process::{Moment, UpstreamId};
 
-/// Most probes that may be saved up, in seconds of the probe rate. A burst within a tenth of a
-/// second may use up to that many probes, and no more.
+/// Maximum number of probes that may be saved up, in seconds of the probe rate. A burst within a
+/// tenth of a second may use up to that many probes, and no more.
 const SAVED_SECONDS: f32 = 0.5;
 
 /// Least number of probes that may be saved up. With fewer, no request could ever probe two
@@ -35,10 +35,10 @@
 
 /// Least number of slots from which filling the last one is assumed to lower an upstream's
 /// throughput, until answers have shown otherwise. With fewer slots the last one is too large a
-/// part of the capacity to be left free on a guess.
+/// fraction of the capacity to be left free on a guess.
 const MIN_HARMED_SLOTS: f32 = 4.0;
 
-/// Part of its slots in use from which an upstream counts as nearly full.
+/// Fraction of its slots in use from which an upstream counts as nearly full.
 const NEARLY_FULL: f32 = 0.75;
 
 /// An upstream that was probed when a request arrived, and its load report.
@@ -113,11 +113,11 @@
 /// Learned slowdown of work that takes the last slot of one of a pool's upstreams, in usual answer
 /// times.
 ///
-/// In a rush most free slots are last ones. Some upstreams slow down when they are full and others
-/// don't. When all were assumed to slow down, upstreams of three slots that did not were passed
-/// over as if they had a queue. Requests that would have been answered in time after queueing for
-/// one busy slot were then refused. The weight averages some thirty answers, as the size of the
-/// work varies by a third.
+/// Under peak load most free slots are last ones. Some upstreams slow down when they are full and
+/// others don't. When all were assumed to slow down, upstreams of three slots that did not were
+/// passed over as if they had a queue. Requests that would have been answered in time after
+/// queueing for one busy slot were then refused. The weight averages some thirty answers, as the
+/// size of the work varies by a third.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastSlotCost {
     cost: f32,
@@ -180,10 +180,10 @@
 /// requests running there, in usual answer times. It is zero where the upstream's throughput is
 /// higher with that slot filled.
 ///
-/// In a rush most free slots are last ones. Upstreams of four slots that slow down by two thirds
-/// when they are full have a quarter less throughput with four requests than with three. Filling
-/// them turns a rush that a pool could handle into one that it cannot. The gain of one request is
-/// therefore weighed against the loss of the others.
+/// Under peak load most free slots are last ones. Upstreams of four slots that slow down by two
+/// thirds when they are full have a quarter less throughput with four requests than with three.
+/// Filling them turns a burst that a pool could handle into one that it cannot. The gain of one
+/// request is therefore weighed against the loss of the others.
 #[expect(clippy::cast_precision_loss, reason = "slots and requests are few")]
 pub(crate) fn expected_delay_to_others(
     slots: f32,
--- a/crates/pulley_core/src/request/busy_period.rs
+++ b/crates/pulley_core/src/request/busy_period.rs
@@ -10,16 +10,17 @@
 const QUIET_SPAN: Duration = Duration::from_secs(1);
 
 /// Longest retry delay because of a busy period. A longer period may be a lasting lack of capacity
-/// instead of a rush, and some of these callers must be served nevertheless.
+/// instead of a burst, and some of these callers must be served nevertheless.
 const MAX_DELAY: Duration = Duration::from_millis(2_500);
 
 /// How long a pool has been full.
 ///
-/// In a rush of seconds a refused request is already late. If its caller is asked to come back
-/// soon, it returns while the rush goes on. It then takes the slot of a request that could still be
-/// answered in time, and both are late. A rush that has lasted for some time is as likely as not to
-/// last as long again, so the retry delay follows the time it has lasted. The delays are spread
-/// over half of that time, because callers that come back together would cause the next rush.
+/// In a burst of seconds a refused request is already late. If its caller is asked to come back
+/// soon, it returns while the burst goes on. It then takes the slot of a request that could still
+/// be answered in time, and both are late. A burst that has lasted for some time is as likely as
+/// not to last as long again, so the retry delay follows the time it has lasted. The delays are
+/// spread over half of that time, because callers that come back together would cause the next
+/// burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BusyPeriod {
     /// When the period began, and the last refusal in it.
--- a/crates/pulley_core/src/request/cold_rate_limit.rs
+++ b/crates/pulley_core/src/request/cold_rate_limit.rs
@@ -5,21 +5,21 @@
 use crate::process::Moment;
 use crate::version::WarmUpTerms;
 
-/// Number of entries that send to one cold upstream, each at an equal part of its rate.
+/// Number of entries that send to one cold upstream, each at an equal fraction of its rate.
 pub(crate) const COLD_ENTRIES: usize = 3;
 
-/// Most requests an entry may save up for a cold upstream (token bucket size).
+/// Maximum number of requests that an entry may save up for a cold upstream (token bucket size).
 const MAX_TOKENS: f32 = 1.0;
 
 /// Rate limit of one entry for one upstream while the upstream is cold.
 ///
 /// A zone's upstreams may come back together, or may all have turned cold again, while hundreds of
 /// entries look for free slots. A cold upstream handles a few requests a second and crashes under
-/// more. If every entry sent its own small part, the sum could be many times what the upstream
-/// handles, depending on chance. So only a few entries send to it, and they share the rate set by
-/// the operators. All entries derive the same assignment from the list of live entries. An entry
-/// may save up only one request, so it can send two within a second. That keeps the sum bounded
-/// even while entries hold two different lists of live entries.
+/// more. If every entry sent its own small fraction of the rate, the sum could be many times what
+/// the upstream handles, depending on chance. So only a few entries send to it, and they share the
+/// rate set by the operators. All entries derive the same assignment from the list of live entries.
+/// An entry may save up only one request, so it can send two within a second. That keeps the sum
+/// bounded even while entries hold two different lists of live entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ColdRateLimit {
     /// The end of the cold period, as far as is known.
@@ -48,8 +48,9 @@
         !self.is_suspected && self.is_blocked(now, terms)
     }
 
-    /// Whether this entry may send a request even if the upstream is cold. Without warm-up terms
-    /// there is no limit, because what a cold upstream handles is unknown.
+    /// Whether the rate limit for cold upstreams allows this entry to send a request now. It does
+    /// not check that the upstream is cold. Without warm-up terms there is no limit, because the
+    /// rate that a cold upstream handles is unknown.
     pub(crate) fn has_permit(&self, now: Moment, terms: Option<WarmUpTerms>) -> bool {
         terms.is_none_or(|terms| self.is_assigned && self.tokens_at(now, terms) >= 1.0)
     }
--- a/crates/pulley_core/src/request/kind_shares.rs
+++ b/crates/pulley_core/src/request/kind_shares.rs
@@ -148,19 +148,19 @@
         self.recalculate_sums();
     }
 
-    /// Divides room for `slots` requests among the kinds, and gives this entry a part of each
+    /// Divides room for `slots` requests among the kinds, and gives this entry a fraction of each
     /// kind's lease in proportion to its own demand. Leases are not enforced while there is room
     /// for every request.
     ///
     /// While the pool has room for all requests, none is held back, whatever its share. When it has
-    /// not, each entry keeps to its part of each service's share. All entries derive their parts
-    /// from the same published sum of counts, so a share holds over all entries together, and a
-    /// lent share returns with the next sum. Kinds of the first priority are not held back: an
-    /// urgent read must not wait because counts are old. What they use is subtracted from the room
-    /// of the others.
+    /// not, each entry keeps to its fraction of each service's share. All entries derive their
+    /// fractions from the same published sum of counts, so a share holds over all entries together,
+    /// and a lent share returns with the next sum. Kinds of the first priority are not held back:
+    /// an urgent read must not wait because counts are old. What they use is subtracted from the
+    /// room of the others.
     ///
     /// Room without demand is split evenly among the entries and given out twice over, because only
-    /// some entries will need their part before the next sum. Without any bound, requests that
+    /// some entries will need their portion before the next sum. Without any bound, requests that
     /// arrive between two sums would all be sent at once when a pool has just stopped being tight.
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^24")]
     pub(crate) fn lease(&mut self, terms: &LeaseTerms, queued: impl Fn(usize) -> usize) {
@@ -184,7 +184,7 @@
         self.room = own.iter().sum::<f32>() + spare + 1.0;
         let given = divide_slots(terms.slots, &demands);
         // Long work does not queue at upstreams: a short request that queues behind a long one
-        // waits ten times its own duration. So a long kind gets a part of the slots themselves.
+        // waits ten times its own duration. So a long kind gets a fraction of the slots themselves.
         let given_long = divide_slots(terms.long_slots, &demands);
         for kind in &mut self.kinds {
             kind.leased = 0.0;
@@ -242,7 +242,7 @@
         (self.own as f32) < self.room
     }
 
-    /// Discards the other entries' running and waiting requests.
+    /// Discards the counts of the other entries' running and waiting requests.
     pub(crate) fn discard_others(&mut self) {
         for kind in &mut self.kinds {
             kind.others = 0;
--- a/crates/pulley_core/src/request/pool_scheduler.rs
+++ b/crates/pulley_core/src/request/pool_scheduler.rs
@@ -20,15 +20,15 @@
 };
 use crate::version::{IndexedPlan, WorkLength};
 
-/// Most requests that one entry lets wait for one pool. Normally the expected wait leads to
-/// refusals long before this. The bound keeps memory finite when deadlines are hours.
+/// Maximum number of requests that one entry lets wait for one pool. Normally the expected wait
+/// leads to refusals long before this. The bound keeps memory finite when deadlines are hours.
 const QUEUE_LIMIT: usize = 4_096;
 
 /// Outstanding requests per usable slot, over the pool, while counts are fresh.
 ///
-/// Each entry keeps to its part of this while the demand exceeds it. A request that queues at an
-/// upstream can no longer be overtaken by an urgent one. But with a lower limit, an upstream that
-/// stale counts wrongly show as busy would stand idle.
+/// Each entry keeps to its fraction of this while the demand exceeds it. A request that queues at
+/// an upstream can no longer be overtaken by an urgent one. But with a lower limit, an upstream
+/// that stale counts wrongly show as busy would stand idle.
 const OVERCOMMIT: f32 = 1.5;
 
 /// Increase of `OVERCOMMIT` per usual answer time in the interval between two rounds, and the
@@ -36,21 +36,23 @@
 const OVERCOMMIT_PER_ANSWER: f32 = 0.6;
 const MAX_OVERCOMMIT: f32 = 10.0;
 
-/// Most outstanding requests per usable slot of one upstream: a constant, plus a multiple of the
-/// limit over the pool. The limit is for an upstream that stale counts make look idle to every
-/// entry at once. Requests that queue there cannot be moved elsewhere when it slows down.
+/// Maximum number of outstanding requests per usable slot of one upstream: `UPSTREAM_BASE` plus
+/// `UPSTREAM_FACTOR` times the limit over the pool (`OVERCOMMIT` with its increase). When counts
+/// are stale, an upstream may look idle to every entry at the same moment. Without this maximum all
+/// entries would send to that upstream, and requests that queue there cannot be moved elsewhere
+/// when it slows down.
 const UPSTREAM_BASE: f32 = 2.0;
 const UPSTREAM_FACTOR: f32 = 1.0;
 
-/// Most outstanding requests of one entry per usable slot of an upstream; 1 for long work. Requests
-/// beyond the slots only queue there. The extra half hides the network round trip to the upstream.
-/// For long work that gain is not worth making shorter work queue behind it.
+/// Maximum number of outstanding requests of one entry per usable slot of an upstream; 1 for long
+/// work. Requests beyond the slots only queue there. The extra half hides the network round trip to
+/// the upstream. For long work that gain is not worth making shorter work queue behind it.
 const OWN_OVERCOMMIT: f32 = 1.5;
 
-/// Most outstanding long requests per usable slot, over the pool.
+/// Maximum number of outstanding long requests per usable slot, over the pool.
 const LONG_OVERCOMMIT: f32 = 1.5;
 
-/// The largest part of its remaining time that a request may be expected to wait.
+/// The largest fraction of its remaining time that a request may be expected to wait.
 ///
 /// If a queue is filled completely under overload, it holds only requests that start when their
 /// time is almost over. A third of the answers then come too late, and the slots' work is wasted.
@@ -349,7 +351,8 @@
         self.wait_behind(kind_index, self.queue.ahead_of(kind_index, deadline))
     }
 
-    /// Returns when a refused caller may come back: once the requests that wait now have started.
+    /// Returns the time until a refused caller may come back: the expected time until the requests
+    /// that wait now have started.
     fn retry_after(&self, kind_index: usize) -> Duration {
         self.wait_behind(kind_index, self.queue.len_of(kind_index))
             .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
--- a/crates/pulley_core/src/request/pool_scheduler_counts.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_counts.rs
@@ -120,8 +120,8 @@
         Some(now.since(self.counted_at?))
     }
 
-    /// Discards the other entries' counts once the coordinator is lost. If they were kept, slots
-    /// that were freed long ago would still count as occupied.
+    /// Discards the other entries' counts if the coordinator is lost. If they were kept, slots that
+    /// were freed long ago would still count as occupied.
     pub(crate) fn expire_counts(&mut self, now: Moment) {
         let Some(link) = self.link.as_mut() else { return };
         link.expire(now);
--- a/crates/pulley_core/src/request/pool_scheduler_probes.rs
+++ b/crates/pulley_core/src/request/pool_scheduler_probes.rs
@@ -25,8 +25,8 @@
 /// machine down by a factor of at most 5.
 const MAX_START_COST: f32 = 2.0;
 
-/// Assumed part of a request's time during which its upstream was full, if the upstream had more
-/// than its last slot free at the start and was full at the end.
+/// Assumed fraction of a request's time during which its upstream was full, if the upstream had
+/// more than its last slot free at the start and was full at the end.
 const FULL_TIME_PART: f32 = 0.5;
 
 /// If work this many times as large as usual would miss its target, other zones are probed as well.
@@ -40,7 +40,8 @@
 const OVERDUE_FACTOR: f32 = 3.0;
 const OVERDUE_PENALTY: f32 = 2.0;
 
-/// Lower bound of an upstream's usable part in its cost.
+/// Lower bound of an upstream's usable fraction of slots, relative to a typical upstream, when it
+/// divides the upstream's cost.
 const MIN_USABLE_PART: f32 = 0.2;
 
 /// How long a load report is used in place of a new probe. Neighbours change an upstream's speed
@@ -51,15 +52,16 @@
 /// periods and most queues last at least this long.
 const BAD_REPORT_SPAN: Duration = Duration::from_millis(150);
 
-/// Upstreams that a request probes at a time once half of the probes are used up. In a rush there
-/// are two and a half probes per request. With three at a time, every third request could probe no
-/// upstream.
+/// Number of upstreams that a request probes at a time when at most half of the probes that may be
+/// saved up are left. Under peak load the budget gives two and a half probes per request. When
+/// requests probed three at a time, every third request found no probes left. With two at a time,
+/// half a probe per request is left for requests that probe again.
 const SCARCE_PROBES: usize = 2;
 
 /// How long a report of a free slot is used for requests that cannot probe any upstream.
 const RECENT_SPAN: Duration = Duration::from_secs(1);
 
-/// The part of a kind's target that its work is assumed to need before answers have shown it.
+/// The fraction of a kind's target that its work is assumed to need before answers have shown it.
 const TARGET_PART: f32 = 0.35;
 
 /// Weight of one answer in a kind's smoothed time, and the largest multiple of that time that one
@@ -81,7 +83,7 @@
 pub struct ProbeQuery<'a> {
     /// Upstreams that were already probed for the request. They are not returned again.
     pub probed: &'a [UpstreamId],
-    /// Most upstreams to probe.
+    /// Maximum number of upstreams to probe.
     pub wanted: usize,
     /// The zones in which upstreams may be probed.
     pub reach: ProbeReach,
@@ -140,10 +142,10 @@
     /// Orders upstreams for probing. Silent upstreams and those with a recent bad report go last.
     /// Apart from that, upstreams of this entry's zone alternate with those of other zones.
     ///
-    /// One zone's callers may ask more of its upstreams than those of other zones, in a rush or all
-    /// day. When all upstreams of this entry's zone were probed first, requests never left a zone
-    /// of eighty busy upstreams, and were refused while upstreams of other zones stood idle. A
-    /// request only looks in other zones once some upstreams of its own zone were probed without
+    /// One zone's callers may ask more of its upstreams than those of other zones, under peak load
+    /// or all day. When all upstreams of this entry's zone were probed first, requests never left a
+    /// zone of eighty busy upstreams, and were refused while upstreams of other zones stood idle. A
+    /// request only looks in other zones after some upstreams of its own zone were probed without
     /// success. Half of its probes still go to its own zone, because bytes to other zones are
     /// expensive.
     fn alternate_zones(&self, now: Moment, candidates: Vec<ProbeCandidate>) -> Vec<ProbeCandidate> {
@@ -314,7 +316,7 @@
     /// busy one. Work takes longer there, and answers miss targets of a few usual answer times
     /// while upstreams of other zones stand idle. Work much larger than usual is rare. A request
     /// that would meet its target even then needs no other probe, and bytes from another zone are
-    /// expensive. Once half of the probes are used up, the rest is kept for requests that would
+    /// expensive. When half of the probes are used up, the rest is kept for requests that would
     /// otherwise find no upstream at all.
     #[must_use]
     pub fn may_miss_target(
@@ -350,7 +352,7 @@
     ///
     /// Many of a pool's upstreams may be slowed down or full at the same moment. Work that starts
     /// on a slowed upstream keeps its slot that many times as long. Work that queues comes late and
-    /// makes the requests behind it late. After a rush of seconds, a pool that could handle more
+    /// makes the requests behind it late. After a burst of seconds, a pool that could handle more
     /// than its load would then need many times as long to recover. The cost of a free slot, even
     /// beside a busy one, is below `MAX_START_COST`. The cost during a slow period or behind a
     /// queue is above it. Both are over sooner than work that is sent into them.
--- a/crates/pulley_core/src/request/retry_budget.rs
+++ b/crates/pulley_core/src/request/retry_budget.rs
@@ -13,14 +13,15 @@
 /// The cost of one retry, in the same unit.
 const RETRY_COST: u32 = 1_000;
 
-/// Most retries that may be saved up, in the same unit.
+/// Maximum number of retries that may be saved up, in the same unit.
 const MAX_SAVED: u32 = 10 * RETRY_COST;
 
 /// Retries saved at the start, in the same unit.
 const INITIAL_SAVED: u32 = 3 * RETRY_COST;
 
-/// Divisor of an allowance over all entries that gives the part which may be saved up: one in two.
-/// The other half is for entries that restart, or that do not know yet how many entries there are.
+/// Divisor of an allowance over all entries that gives the fraction which may be saved up: one in
+/// two. The other half is for entries that restart, or that do not know yet how many entries there
+/// are.
 const ALLOWANCE_DIVISOR: u32 = 2;
 
 /// Limits one entry's retries in one pool in proportion to its first attempts.
@@ -54,7 +55,7 @@
     pub idempotent: bool,
     /// Number of the attempt as in the ticket: 0 for the first.
     pub attempt: u8,
-    /// Most attempts at the request, including the first.
+    /// Maximum number of attempts at the request, including the first.
     pub most_attempts: u8,
     /// Whether the answer says that another layer of this system has already given up on the
     /// request.
@@ -100,11 +101,11 @@
         Self { saved: INITIAL_SAVED, max_saved: MAX_SAVED, deposit: DEPOSIT }
     }
 
-    /// Creates a budget for one entry's part of an allowance. In any window all entries together
+    /// Creates a budget for one entry's share of an allowance. In any window all entries together
     /// make no more retries than the allowance permits.
     ///
     /// It starts with one retry saved. Entries restart many at a time, and otherwise each would
-    /// begin with its whole part once more.
+    /// begin with its whole share again.
     #[must_use]
     pub fn within(allowance: RetryAllowance, entries: u32) -> Self {
         let deposit = allowance.percent.saturating_mul(RETRY_COST / 100);
@@ -113,7 +114,7 @@
         budget
     }
 
-    /// Limits the saved retries to this entry's part of an allowance shared by `entries` entries.
+    /// Limits the saved retries to this entry's share of an allowance shared by `entries` entries.
     pub fn share(&mut self, allowance: RetryAllowance, entries: u32) {
         let saved = allowance.extra.saturating_mul(RETRY_COST) / ALLOWANCE_DIVISOR / entries.max(1);
         self.max_saved = saved.clamp(RETRY_COST, MAX_SAVED);
--- a/crates/pulley_core/src/request/ticket.rs
+++ b/crates/pulley_core/src/request/ticket.rs
@@ -90,7 +90,8 @@
 /// An upstream's own load report, as read from a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Busy part of the upstream, from 0 to 1. It may exceed 1 when the upstream queues requests.
+    /// Busy fraction of the upstream's slots, from 0 to 1. It may exceed 1 when the upstream queues
+    /// requests.
     pub utilization: f32,
     /// Requests running at the upstream, if reported.
     pub in_flight: Option<u32>,
--- a/crates/pulley_core/src/request/upstream_state.rs
+++ b/crates/pulley_core/src/request/upstream_state.rs
@@ -7,14 +7,15 @@
     CountKey, Moment, UpstreamHealth, UpstreamOutcomes, UpstreamPhase, UpstreamRecord,
 };
 
-/// Part of its slots that a warming upstream starts with, and the time until all of them are used.
+/// Fraction of its slots that a warming upstream starts with, and the time until all of them are
+/// used.
 ///
-/// A cold upstream answers its first requests many times slower. If all its slots were used at
-/// once, it would collect a queue that outlasts the warm-up.
+/// A cold upstream answers its first requests many times slower. If all its slots were used
+/// immediately, the upstream would collect a queue that outlasts the warm-up.
 const INITIAL_PART: f32 = 0.25;
 const WARM_UP_RAMP: Duration = Duration::from_secs(4);
 
-/// Usable part of the slots below which an upstream gets only a trickle of requests.
+/// Usable fraction of the slots below which an upstream gets only a trickle of requests.
 const IMPAIRED_PART: f32 = 0.3;
 
 /// Interval between the requests that one entry sends to an impaired upstream. Each of them may
@@ -46,7 +47,7 @@
     /// Answers and failures since the last report.
     pub(crate) outcomes: UpstreamOutcomes,
     health: UpstreamHealth,
-    /// The usable part according to all entries together.
+    /// The usable fraction of its slots according to all entries together.
     pub(crate) shared_usable: f32,
     /// The upstream's last load report and when it arrived.
     pub(crate) last_report: Option<(Moment, LoadReport)>,
@@ -114,7 +115,7 @@
         self.listed && self.record.takes_work
     }
 
-    /// Returns the part of its slots that is considered usable.
+    /// Returns the fraction of its slots that is considered usable.
     pub(crate) fn usable_part(&self, now: Moment) -> f32 {
         let part = self.health.usable(now).min(self.shared_usable);
         match self.warming_since {
--- a/crates/pulley_core/src/request/upstream_table.rs
+++ b/crates/pulley_core/src/request/upstream_table.rs
@@ -14,8 +14,8 @@
 };
 use crate::version::WarmUpTerms;
 
-/// Most upstreams compared in one choice, however fresh the counts are. Comparing more costs more
-/// than it gains.
+/// Maximum number of upstreams compared in one choice, however fresh the counts are. Comparing more
+/// costs more than it gains.
 const MAX_CANDIDATES: usize = 3;
 
 /// Upstreams compared when the counts are too old to be useful.
@@ -34,7 +34,7 @@
 /// Ranking penalty of another zone, in outstanding requests at one slot.
 const ZONE_PENALTY: f32 = 0.05;
 
-/// The least part of the pool's slots that stays usable, whatever is measured.
+/// The smallest fraction of the pool's slots that stays usable, whatever is measured.
 ///
 /// When all upstreams slow down at once, the cause is load or the network, and taking slots away
 /// would make it worse.
@@ -399,8 +399,9 @@
         self.available.is_empty()
     }
 
-    /// Returns the usable part of a typical upstream. Where all upstreams fail or are slow, the
-    /// cause is load or the network, and none is worse than another because of it.
+    /// Returns the fraction of announced slots that is usable over the pool. An upstream's own
+    /// fraction is divided by it for ranking. When all upstreams fail or are slow, the cause is
+    /// load or the network, and no upstream ranks lower because of it.
     pub(crate) fn usual_part(&self) -> f32 {
         if self.announced_slots > 0.0 { self.usable_slots / self.announced_slots } else { 1.0 }
     }
@@ -421,7 +422,7 @@
     }
 
     /// Discards what the newest sum reported: the other entries' outstanding requests, and the
-    /// usable part of each upstream.
+    /// usable fraction of each upstream's slots.
     pub(crate) fn discard_others(&mut self) {
         for state in &mut self.states {
             state.others = 0.0;
@@ -555,9 +556,9 @@
     pub(crate) avoid: &'a [UpstreamId],
     /// Age of the counts; `None` without a coordinator.
     pub(crate) age: Option<Duration>,
-    /// Most outstanding requests of all entries per usable slot of an upstream.
+    /// Maximum number of outstanding requests of all entries per usable slot of an upstream.
     pub(crate) overcommit: f32,
-    /// Most outstanding requests of this entry per usable slot of an upstream.
+    /// Maximum number of outstanding requests of this entry per usable slot of an upstream.
     pub(crate) own_overcommit: f32,
 }
 
--- a/crates/pulley_core/tests/arrival_probes/main.rs
+++ b/crates/pulley_core/tests/arrival_probes/main.rs
@@ -120,8 +120,8 @@
 }
 
 // Every probed upstream is slowed down or full. The request is held back, because slow periods and
-// queues are over sooner than work that is sent into them. Once its target can no longer be met,
-// its caller must be refused at once, with a retry delay.
+// queues are over sooner than work that is sent into them. As soon as its target can no longer be
+// met, its caller must be refused at once, with a retry delay.
 #[test]
 fn a_request_is_held_back_while_all_are_slow_or_full() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 2)).collect();
@@ -162,7 +162,7 @@
 // Upstreams have two slots, and the free slot in the entry's zone is beside a busy one, while
 // another zone has idle upstreams. The answer would be late if the work were half again as large as
 // usual, so the other zone is probed as well. It is not probed where all upstreams are idle, during
-// a slow period that is over sooner, or once half of the probes are used up.
+// a slow period that is over sooner, or when half of the probes are used up.
 #[test]
 fn other_zones_are_probed_where_the_target_is_at_risk() {
     let records = [upstream(0, "a", 2), upstream(1, "b", 2), upstream(2, "b", 2)];
@@ -186,7 +186,7 @@
 
 // One of two upstreams reported half a second ago that it is free. No probed upstream answers now,
 // because slowed machines answer late. When requests were placed by counts alone, half of them went
-// to the other upstream and took a second. Once no upstream has answered for longer, only the
+// to the other upstream and took a second. When no upstream has answered for longer, only the
 // counts are left.
 #[test]
 fn recent_reports_decide_while_no_probe_is_answered() {
@@ -205,7 +205,7 @@
 }
 
 // A burst comes when upstreams have the least time to answer probes. No entry may send more than
-// its part of the probe budget in any second, whatever arrives.
+// its fraction of the probe budget in any second, whatever arrives.
 #[test]
 fn probes_stay_within_the_budget_through_a_burst() {
     let records: Vec<_> = (0..14).map(|index| upstream(index, "a", 2)).collect();
@@ -225,7 +225,8 @@
 
 // Answers get lost on the network, so that every upstream has a request that is long overdue,
 // although all of them have free slots. An upstream without overdue requests goes first. Where
-// there is none, the request must start all the same; it was once refused beside idle upstreams.
+// there is none, the request must start all the same; it used to be refused while upstreams were
+// idle.
 #[test]
 fn overdue_requests_rank_upstreams_and_refuse_nobody() {
     let records: Vec<_> = (0..2).map(|index| upstream(index, "a", 6)).collect();
@@ -272,10 +273,10 @@
 
 // 14 upstreams of two slots run on machines whose neighbours slow them down five times in a quarter
 // of all periods. 29 entries get 40 requests a second of 160 ms of work, with answers wanted within
-// 400 ms, and a rush of three seconds. When requests are placed by an entry's own counts, a quarter
-// of the work starts in a slow period and keeps its slot for the whole of it. Half of the answers
-// are then late, and the pool does not recover from the rush. Measured by this test: 0.25 of the
-// answers in time by own counts, 0.97 with probes; after the rush 0.32 and 0.97.
+// 400 ms, and a burst of three seconds. When requests are placed by an entry's own counts, a
+// quarter of the work starts in a slow period and keeps its slot for the whole of it. Half of the
+// answers are then late, and the pool does not recover from the burst. Measured by this test: 0.25
+// of the answers in time by own counts, 0.97 with probes; after the burst 0.32 and 0.97.
 #[test]
 fn arrival_probes_bring_answers_in_time_and_recovery_from_a_rush() {
     let without_probes = NoisyPool::new(PoolShape::SLOWING, false).run(40.0, 1.7);
@@ -291,11 +292,11 @@
 
 // Twelve upstreams of three slots do not slow down when they are full. They run on machines whose
 // neighbours slow them down seven times in a quarter of all periods. 22 entries get requests of 88
-// ms of work, with answers wanted within 250 ms, and a rush of three seconds at nine tenths of what
-// the fast upstreams can do. Nearly every free slot is a last one then. The upstreams were once
-// assumed to slow down, and the load reported with an answer counted that answer's own request.
-// They were then passed over, and callers were refused beside them. Measured by this test: 0.862 of
-// the answers of the rush in time before, 0.954 since.
+// ms of work, with answers wanted within 250 ms, and a burst of three seconds at nine tenths of
+// what the fast upstreams can do. Nearly every free slot is a last one then. The upstreams used to
+// be assumed to slow down, and the load reported with an answer counted that answer's own request.
+// The upstreams were then passed over, and callers were refused while these had free slots.
+// Measured by this test: 0.862 of the answers of the burst in time before, 0.954 since.
 #[test]
 fn a_rush_that_upstreams_can_handle_is_answered_in_time() {
     let counts = NoisyPool::new(PoolShape::STEADY, true).run(105.0, 2.6);
@@ -305,9 +306,10 @@
 }
 
 // Forty upstreams of two slots are in the callers' zone and forty in another that gets no other
-// load. A rush of three seconds exceeds what that zone can answer. If a request probed all forty of
-// its own zone before any other, callers would be refused or answered late beside idle upstreams.
-// Measured by this test: 0.435 of the answers of the rush in time before, 0.938 since.
+// load. A burst of three seconds exceeds what the callers' zone can answer. If a request probed all
+// forty upstreams of its own zone before any other, callers would be refused or answered late while
+// upstreams of the other zone were idle. Measured by this test: 0.435 of the answers of the burst
+// in time before, 0.938 since.
 #[test]
 fn a_rush_in_one_zone_is_answered_by_others_too() {
     let shape = PoolShape { upstreams: 40, other_zone: 40, entries: 40, ..PoolShape::SLOWING };
@@ -317,7 +319,7 @@
     assert!(after >= 0.90, "{after:.3} in time after the rush");
 }
 
-// Upstreams of three slots take no longer when their last slot is taken. Once answers have shown
+// Upstreams of three slots take no longer when their last slot is taken. After answers have shown
 // that, a request must be sent even to an upstream that is full and has one request waiting. If
 // answers show the opposite, the request must still be held back.
 #[test]
@@ -340,8 +342,8 @@
     }
 }
 
-// A rush has used up the probes, and the only upstream that was still probed is slowed down.
-// Another reported half a second ago that it has room. The request must go there; it was once
+// A burst has used up the probes, and the only upstream that was still probed is slowed down.
+// Another reported half a second ago that it has room. The request must go there; it used to be
 // refused, because a request with one bad report was treated worse than one with no report.
 #[test]
 fn one_bad_report_without_probes_left_does_not_refuse_a_request() {
@@ -362,7 +364,7 @@
 
 // Half of the probes are used up, and one of three upstreams has just reported a slowdown. A
 // request must probe the two others. When three random upstreams were probed at a time, every third
-// request of a rush found no probes left.
+// request of a burst found no probes left.
 #[test]
 fn scarce_probes_go_to_upstreams_that_may_have_room() {
     let records: Vec<_> = (0..3).map(|index| upstream(index, "a", 3)).collect();
--- a/crates/pulley_core/tests/decisions_laws.rs
+++ b/crates/pulley_core/tests/decisions_laws.rs
@@ -300,7 +300,7 @@
     check(property as fn(u16, Vec<(u8, u16, u16)>) -> bool);
 }
 
-// Datagrams are lost, duplicated and reordered while requests come and go. Once the network has
+// Datagrams are lost, duplicated and reordered while requests come and go. After the network has
 // recovered, the published counts must equal the requests that are really outstanding.
 #[test]
 fn counts_converge_to_the_outstanding_requests() {
@@ -465,7 +465,7 @@
 }
 
 // One upstream answers ten times slower than the rest. To limit the effect on callers, it may get
-// only a trickle once that is known.
+// only a trickle as soon as that is known.
 #[test]
 fn slow_upstream_gets_less_work() {
     let zone = "a".parse().expect("name");
@@ -570,7 +570,7 @@
 }
 
 // A host dies. The pools that other hosts coordinate must stay where they are, or every pool would
-// lose its counts at once.
+// lose its counts at the same moment.
 #[test]
 fn lost_host_moves_only_what_it_coordinated() {
     let hosts: Vec<HostId> = (0..25).map(host).collect();
--- a/crates/pulley_core/tests/many_entries/cold_upstreams.rs
+++ b/crates/pulley_core/tests/many_entries/cold_upstreams.rs
@@ -7,7 +7,7 @@
 
 use crate::entry_fleet::{COLD_LIMIT, COLD_SPAN, EntryFleet, record, warm_up};
 
-// A third of a pool's upstreams come back cold at the same moment in a rush, and two hundred
+// A third of a pool's upstreams come back cold at the same moment under peak load, and two hundred
 // entries learn of it within 0.3 s. No upstream may get more in any second than it can handle cold,
 // as it would crash. Callers must still be answered by the other two thirds and by what the cold
 // upstreams can handle.
--- a/crates/pulley_core/tests/many_entries/entry_fleet.rs
+++ b/crates/pulley_core/tests/many_entries/entry_fleet.rs
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Returns the most requests that arrived within one second while it was cold.
+    /// Returns the maximum number of requests that arrived within one second while the upstream was
+    /// cold.
     fn busiest_second(&self) -> usize {
         let second = Duration::from_secs(1);
         let within = |from: &Duration| {
--- a/crates/pulley_core/tests/many_entries/last_slots.rs
+++ b/crates/pulley_core/tests/many_entries/last_slots.rs
@@ -1,12 +1,12 @@
-//! Measures the part of requests answered in time during a rush, with upstreams that slow down when
-//! they are full and with upstreams that don't.
+//! Measures the fraction of requests answered in time during a burst, with upstreams that slow down
+//! when they are full and with upstreams that don't.
 
 use std::time::Duration;
 
 use crate::entry_fleet::EntryFleet;
 
-/// Runs some seconds at the rate `before`, then a rush, and returns the part of the rush's requests
-/// that are answered in time.
+/// Runs some seconds at the rate `before`, then a burst, and returns the fraction of the burst's
+/// requests that are answered in time.
 fn in_time_in_a_rush(full_slowdown: f64, before: f64, per_second: f64) -> f64 {
     let mut fleet = EntryFleet::new(60, 60, None, 9);
     fleet.full_slowdown = full_slowdown;
@@ -17,7 +17,7 @@
 }
 
 // Upstreams of four slots take 1.7 times as long for everything while all four are taken, so their
-// throughput is higher with three. A rush that three slots of each upstream can handle must be
+// throughput is higher with three. A burst that three slots of each upstream can handle must be
 // handled. Filling the fourth must not turn it into one that makes most callers late.
 #[test]
 fn a_rush_is_handled_by_leaving_last_slots_free() {
@@ -26,7 +26,7 @@
 }
 
 // The same upstreams are as fast with all four slots taken. Entries must learn from answers that
-// the fourth slot costs nothing, and use it, because the rush needs it.
+// the fourth slot costs nothing, and use it, because the burst needs it.
 #[test]
 fn a_rush_gets_every_slot_where_last_slots_cost_nothing() {
     let in_time = in_time_in_a_rush(1.0, 1_500.0, 1_850.0);
--- a/crates/pulley_core/tests/many_entries/returning_callers.rs
+++ b/crates/pulley_core/tests/many_entries/returning_callers.rs
@@ -1,11 +1,12 @@
-//! Measures the part of requests answered in time around a rush in which refused callers come back.
+//! Measures the fraction of requests answered in time around a burst in which refused callers come
+//! back.
 
 use std::time::Duration;
 
 use crate::entry_fleet::EntryFleet;
 
-/// Returns the part of a rush's requests, and of those in the seconds after it, that are answered
-/// in time.
+/// Returns the fraction of a burst's requests, and of those in the seconds after it, that are
+/// answered in time.
 fn in_time_around_a_rush(seed: u64, respects_retry_delay: bool) -> f64 {
     let mut fleet = EntryFleet::new(60, 60, None, seed);
     fleet.max_returns = 2;
--- a/crates/pulley_core/tests/many_entries/silent_zone.rs
+++ b/crates/pulley_core/tests/many_entries/silent_zone.rs
@@ -1,5 +1,5 @@
-//! Measures the part of requests answered in time after a zone's upstreams have vanished without
-//! notice.
+//! Measures the fraction of requests answered in time after a zone's upstreams have vanished
+//! without notice.
 
 use std::time::Duration;
 
