--- a/crates/pulley_bench/src/decisions/deployment.rs
+++ b/crates/pulley_bench/src/decisions/deployment.rs
@@ -56,7 +56,7 @@
     /// Virtual time that is measured, after the warm-up.
     pub(crate) measured_time: Duration,
     /// Number of pools on each host. Those that are not simulated still count, because their
-    /// coordinators need a part of the host's byte rate.
+    /// coordinators use some of the host's byte rate.
     pub(crate) total_pools: usize,
 }
 
--- a/crates/pulley_bench/src/decisions/sim_world.rs
+++ b/crates/pulley_bench/src/decisions/sim_world.rs
@@ -75,7 +75,7 @@
     LeaseReturn { upstream: usize },
 }
 
-/// A step of a scenario's incident.
+/// A scheduled change of the simulated system, or of what its hosts know, as the scenario requires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Incident {
     /// The scenario's fault occurs.
--- a/crates/pulley_core/src/process/members/member_ring.rs
+++ b/crates/pulley_core/src/process/members/member_ring.rs
@@ -80,7 +80,7 @@
         self.peers.get(index)
     }
 
-    /// Returns the targets of one cycle of rounds, each once.
+    /// Returns the targets of one cycle of rounds, each exactly once.
     pub fn targets(&self) -> impl Iterator<Item = &(HostId, SocketAddr)> {
         (0..self.rounds()).filter_map(|round| self.target(round))
     }
--- a/crates/pulley_core/src/process/members/member_table.rs
+++ b/crates/pulley_core/src/process/members/member_table.rs
@@ -315,7 +315,8 @@
         None
     }
 
-    /// Asks other hosts to probe the target once its answer to this host is overdue.
+    /// Asks other hosts to probe the target if the target's answer to this host is overdue. Does so
+    /// a single time for each probe.
     fn relay_probe(&mut self, now: Moment, sends: &mut Vec<MemberSend>) {
         let Some(probe) = self.probe.as_mut() else {
             return;
--- a/crates/pulley_core/src/process/registry/shared_clock.rs
+++ b/crates/pulley_core/src/process/registry/shared_clock.rs
@@ -56,7 +56,7 @@
 }
 
 impl SharedClock {
-    /// Makes a clock with leases that last at most `lease`, and at least one epoch less.
+    /// Makes a clock for leases that last at most `lease` and at least `lease` minus one epoch.
     pub(crate) fn with_lease(lease: Duration) -> Self {
         let epoch_ms = (lease / LEASE_EPOCHS).as_millis().max(1);
         let epoch_ms = u64::try_from(epoch_ms).unwrap_or(u64::MAX);
@@ -101,7 +101,7 @@
     /// When the next epoch begins.
     pub(crate) fn next_epoch(&self, now: Moment) -> Moment {
         let remaining = self.epoch_ms - self.read(now).0 % self.epoch_ms;
-        // Readings are whole milliseconds; part of the current one has already passed.
+        // Readings are whole milliseconds; some of the current millisecond has already passed.
         let partial = Duration::from_micros(now.micros() % 1_000);
         now + (Duration::from_millis(remaining) - partial)
     }
--- a/crates/pulley_core/src/process/registry/upstream_registry.rs
+++ b/crates/pulley_core/src/process/registry/upstream_registry.rs
@@ -169,8 +169,9 @@
         }
     }
 
-    /// Makes a registry with leases that last at most `lease` and at least a sixth less. It must be
-    /// the same on every host. Upstreams that announce themselves rarely need longer leases.
+    /// Makes a registry whose leases last between five sixths of `lease` and `lease`. The value
+    /// must be the same on every host. Upstreams that announce themselves rarely need longer
+    /// leases.
     #[must_use]
     pub fn with_lease(lease: Duration) -> Self {
         Self { clock: SharedClock::with_lease(lease), ..Self::new() }
@@ -199,8 +200,9 @@
         self.table.rebuild_pools(self.clock.epoch(now))
     }
 
-    /// Returns the same lists as [`Self::rebuild_pools`], except that expired leases show once
-    /// [`Self::tick`] has processed them. The cost depends only on the changes since the last call.
+    /// Returns the same lists as [`Self::rebuild_pools`], except that an upstream whose lease has
+    /// expired may still be listed as taking work until the next [`Self::tick`]. The cost depends
+    /// only on the changes since the last call.
     pub fn pools(&mut self, now: Moment) -> &FastMap<PoolName, UpstreamList> {
         let epoch = self.clock.epoch(now);
         self.table.pools(epoch)
--- a/crates/pulley_core/tests/members/evacuation_tests.rs
+++ b/crates/pulley_core/tests/members/evacuation_tests.rs
@@ -147,7 +147,7 @@
 }
 
 // A zone is evacuated. Its upstreams must get no work, including those that announce themselves or
-// restart meanwhile, and must get work again once the zone is restored.
+// restart meanwhile, and must get work again when the zone is restored.
 #[test]
 fn upstreams_of_an_evacuated_zone_get_no_work_whenever_they_come() {
     let now = Moment::from_micros(1_000_000);
--- a/crates/pulley_core/tests/members/plan_follower_tests.rs
+++ b/crates/pulley_core/tests/members/plan_follower_tests.rs
@@ -67,8 +67,9 @@
     assert_eq!(at_version(&network, 2), 12);
 }
 
-/// All five replicas are reachable but there is no leader, as after the loss of one and a split
-/// vote. Nothing newer can have been accepted, so refusing every call would be of no use.
+/// No replica is the leader, as when the election after a leader's loss ends in a split vote.
+/// Unlike then, all five replicas are reachable here. At first no log holds a newer version, so
+/// none can have been accepted, and refusing every call would be of no use.
 #[test]
 fn without_a_leader_a_majority_with_nothing_newer_keeps_entries_serving() {
     let mut network = with_leader(12, 23);
@@ -136,9 +137,9 @@
     assert!(network.hosts.iter().all(|host| host.plans.version().0 == 52));
 }
 
-/// Every host restarts at once, as after a power loss, and refuses callers until it knows the
-/// configuration. Hosts used to ask two others picked at random every 250 ms, most of which did not
-/// know it either. Hosts with a replica announce that when they join, and are asked first.
+/// All hosts restart at the same time, as after a power loss, and refuse callers until they know
+/// the configuration. Every 250 ms a host used to ask two others picked at random, most of which
+/// did not know it either. Hosts with a replica announce that when they join, and are asked first.
 #[test]
 fn a_host_that_starts_asks_hosts_that_announce_a_replica() {
     let ring = with_leader(30, 25).hosts[29].members.ring().clone();
--- a/crates/pulley_core/tests/members/plan_source_tests.rs
+++ b/crates/pulley_core/tests/members/plan_source_tests.rs
@@ -276,8 +276,8 @@
     assert_eq!(entry.version(), ConfigVersion(1));
 }
 
-// Guards against a holder that charges its send budget for what is requested: most changes take
-// only one small chunk.
+// Guards against a holder that charges its send budget for the bytes requested instead of those
+// sent: most changes take only one small chunk.
 #[test]
 fn a_holder_charges_its_send_budget_by_bytes_sent() {
     let mut rows = RouteRows::new(67);
--- a/crates/pulley_core/tests/members/upstream_directory_tests.rs
+++ b/crates/pulley_core/tests/members/upstream_directory_tests.rs
@@ -27,7 +27,7 @@
 }
 
 /// All hosts lose power and are back within a second, while upstreams keep announcing themselves
-/// once a second and a half. Until the last of them has, callers would be refused although
+/// every second and a half. Until the last upstream has done so, callers would be refused although
 /// upstreams are idle. The upstreams that one replica of a zone has stored must be known to its
 /// entries within 50 ms.
 #[test]
