--- a/crates/pulley_core/src/version/audit_trail.rs
+++ b/crates/pulley_core/src/version/audit_trail.rs
@@ -44,7 +44,8 @@
 }
 
 impl AuditTrail {
-    /// Adds a record. Once too many are in memory, the oldest are sealed into a chunk.
+    /// Adds a record. If the records in memory then exceed [`AUDIT_KEPT`] by a whole chunk, the
+    /// oldest ones are sealed into a chunk.
     pub fn push(&mut self, record: AuditRecord) {
         self.recent.push_back(record);
         if self.recent.len() < AUDIT_KEPT + AUDIT_CHUNK {
--- a/crates/pulley_core/src/version/departure_machine.rs
+++ b/crates/pulley_core/src/version/departure_machine.rs
@@ -29,7 +29,7 @@
 }
 
 impl DepartureMachine {
-    /// Whether this start of an upstream has departed.
+    /// Whether this incarnation of the upstream has departed.
     #[must_use]
     pub fn has_left(&self, start: &UpstreamStart) -> bool {
         self.starts.contains(start)
--- a/crates/pulley_core/src/version/evacuation_machine.rs
+++ b/crates/pulley_core/src/version/evacuation_machine.rs
@@ -8,7 +8,7 @@
 use super::{EvacuatedZones, LogIndex, ZoneAnswer, ZoneOrder, ZoneUse};
 use crate::process::ZoneName;
 
-/// Maximum number of zones evacuated at once. Their names are sent with every lease.
+/// Maximum number of zones evacuated at the same time. Their names are sent with every lease.
 pub const EVACUATED_LIMIT: usize = 12;
 
 /// Number of zones remembered with their latest order, including zones that are back in use.
--- a/crates/pulley_core/src/version/follower/plan_delta.rs
+++ b/crates/pulley_core/src/version/follower/plan_delta.rs
@@ -19,7 +19,8 @@
 /// The maximum number of steps sent to lead a host from one version to another. If more would be
 /// needed, the whole plan is sent.
 const PATH_STEP_LIMIT: usize = 32;
-/// How many encoded series of steps are cached, for hosts that have received only a part of one.
+/// How many encoded series of steps are cached, for hosts that have received only some chunks of
+/// one.
 const PATH_CACHE_LIMIT: usize = 8;
 /// How many encoded whole plans are cached. That of an earlier version could not be encoded again,
 /// because a host holds only its latest plan.
--- a/crates/pulley_core/src/version/follower/plan_follower.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower.rs
@@ -210,7 +210,7 @@
         &self.holders
     }
 
-    /// Returns the counts of this host's part in spreading configurations.
+    /// Returns the counts of what this host has done to spread configurations.
     #[must_use]
     pub const fn spread_counts(&self) -> SpreadCounts {
         self.counts
--- a/crates/pulley_core/src/version/follower/plan_follower_asking.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_asking.rs
@@ -41,8 +41,8 @@
     ///
     /// It limits the load when hundreds of entries restart together and all of them ask every
     /// replica until one leads. If each of them asked ten times a second, replicas would be busy
-    /// with little else and elect a leader later. A host that has answered once sends its lease as
-    /// soon as it can, so asking again soon is useful only until the first answer.
+    /// with little else and elect a leader later. A host that has answered a question sends its
+    /// lease as soon as it can, so asking again soon is useful only until the first answer.
     pub(super) fn ask_interval(&self) -> Duration {
         if self.knows_time || self.is_answered { ASK_INTERVAL } else { START_ASK_INTERVAL }
     }
--- a/crates/pulley_core/src/version/follower/plan_follower_message.rs
+++ b/crates/pulley_core/src/version/follower/plan_follower_message.rs
@@ -69,8 +69,9 @@
 }
 
 impl PlanLease {
-    /// Returns the key that orders leases. The version is compared before the time, so that no
-    /// version is ever taken back.
+    /// Returns the key that orders leases. The leader's term comes first, so a later leader's lease
+    /// ranks above all earlier ones. Within a term, the version is compared before the time, so
+    /// that a lease never replaces one with a higher version.
     pub(crate) fn rank(&self) -> (u64, ConfigVersion, SharedTime) {
         (self.term, self.version, self.confirmed)
     }
--- a/crates/pulley_core/src/version/follower/plan_spread_counts.rs
+++ b/crates/pulley_core/src/version/follower/plan_spread_counts.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// Counts of a host's part in spreading configurations since its process started.
+/// Counts of what a host has done to spread configurations since its process started.
 ///
 /// A requested chunk that is no longer of use counts as unwanted. A host whose chunks are lost on a
 /// full link shows overdue windows (late answers to its requests), and the host that overloads the
--- a/crates/pulley_core/src/version/question_router.rs
+++ b/crates/pulley_core/src/version/question_router.rs
@@ -131,8 +131,9 @@
 impl QuestionRouter {
     /// Creates a router that knows no replica yet.
     ///
-    /// `first` is the first question number. It must differ between starts of a host, so that a
-    /// late answer to an earlier start is not mistaken for an answer to a question of this one.
+    /// `first` is the first question number. It must differ between starts of a host. Otherwise a
+    /// late answer to a question from before a restart could be mistaken for an answer to a new
+    /// question.
     #[must_use]
     pub fn new(host: HostId, first: u64) -> Self {
         Self {
--- a/crates/pulley_core/src/version/replica/cluster_founding.rs
+++ b/crates/pulley_core/src/version/replica/cluster_founding.rs
@@ -25,7 +25,7 @@
     heard: Moment,
 }
 
-/// How a replica starts once its founding write is on disk.
+/// How a replica starts as soon as its founding write is on disk.
 #[derive(Debug)]
 struct PendingStart {
     ticket: PersistTicket,
@@ -38,8 +38,8 @@
 pub(crate) struct FoundingEffects {
     pub(crate) sends: Vec<(HostId, FoundingMessage)>,
     pub(crate) batches: Vec<PersistBatch>,
-    /// The member id and state with which the replica is to start, once it has founded or joined a
-    /// cluster.
+    /// The member id and state with which the replica is to start; set in the step in which its
+    /// founding write completes.
     pub(crate) start: Option<(MemberId, RecoveredState)>,
 }
 
@@ -62,7 +62,8 @@
     pending_start: Option<PendingStart>,
     /// Hosts that may know of a cluster, besides the founders.
     replicas: Vec<HostId>,
-    /// The host to ask for a new id, once it is known that the cluster exists without this disk.
+    /// The host to ask for a new id, namely the leader, if it is known that the cluster exists
+    /// without this disk and who leads it.
     join_host: Option<HostId>,
     next_hello: Moment,
     last_ticket: PersistTicket,
--- a/crates/pulley_core/src/version/replica/driver_founding.rs
+++ b/crates/pulley_core/src/version/replica/driver_founding.rs
@@ -202,9 +202,9 @@
         if last_voter || !self.node.is_silent(known.member) {
             return None;
         }
-        // A cluster that grows replaces one lost disk at a time. Replacing two at once would leave
-        // three voters of five, of which two could decide. If they are replaced one after the
-        // other, a majority stays three.
+        // A cluster that grows replaces one lost disk at a time. Replacing two of five voters at
+        // the same time would leave three voters, of which two could decide. If the two are
+        // replaced one after the other, a majority stays three.
         if self.settings.grows && self.has_pending_learner() {
             return None;
         }
--- a/crates/pulley_core/src/version/replica/driver_message.rs
+++ b/crates/pulley_core/src/version/replica/driver_message.rs
@@ -110,6 +110,6 @@
     pub log_bytes: u64,
     /// Number of messages from peers that could not be read.
     pub unreadable_messages: u64,
-    /// Why it no longer takes part, if it has failed.
+    /// Why this replica no longer takes part, if it has failed.
     pub failure: Option<SmolStr>,
 }
--- a/crates/pulley_core/src/version/replica/log_entry.rs
+++ b/crates/pulley_core/src/version/replica/log_entry.rs
@@ -5,7 +5,8 @@
 use super::{LedgerCommand, LogIndex, LogTime, ReplicaMembership, StoredChange, Term, ZoneOrder};
 use crate::process::{ActorName, UpstreamStart};
 
-/// Fixed part of an entry's size estimate, in bytes.
+/// Overhead in size estimates of log entries, in bytes: added for every entry, and again for each
+/// member of a membership and for a zone order.
 const ENTRY_OVERHEAD: usize = 48;
 
 /// A command that all replicas apply in the same order.
--- a/crates/pulley_core/src/version/replica/persist_gate.rs
+++ b/crates/pulley_core/src/version/replica/persist_gate.rs
@@ -67,8 +67,8 @@
         self.next_batch.snapshot = Some(snapshot);
     }
 
-    /// Holds a message until everything queued so far is written. Returns it at once if nothing is
-    /// pending.
+    /// Holds a message until everything queued so far is written. Returns the message immediately
+    /// if no write is pending.
     pub(crate) fn hold(&mut self, message: HeldMessage) -> Option<HeldMessage> {
         if !self.next_batch.is_empty() {
             self.next_held.push(message);
--- a/crates/pulley_core/src/version/replica/replica_driver.rs
+++ b/crates/pulley_core/src/version/replica/replica_driver.rs
@@ -1,4 +1,5 @@
-//! One replica as the control thread uses it: log, state machines and waiting questions.
+//! One replica as the control thread uses it: its log, its state machines and the questions that
+//! wait for an answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -51,8 +52,8 @@
     applied_bytes: usize,
     snapshot_size: usize,
     unreadable_messages: u64,
-    /// The last entry held at the start. A version before it may be older than the one that was in
-    /// force here before the restart.
+    /// The last log entry held when the process started. A version from an earlier entry may be
+    /// older than the one that was in force here before the restart.
     recovered_last: LogIndex,
     publish_due: bool,
     pub(crate) outputs: Vec<DriverOutput>,
@@ -300,8 +301,8 @@
         }
     }
 
-    /// Publishes the version in force and the evacuated zones, once all entries that this replica
-    /// held at its start are decided.
+    /// Publishes the version in force and the evacuated zones, but only after all entries that this
+    /// replica held at its start are decided.
     ///
     /// Just after a restart the replica replays its log and passes versions older than the one it
     /// had in force before. Publishing them would let the host's version go down.
@@ -388,8 +389,9 @@
         self.outputs.push(DriverOutput::Answer { token: waiting.token, answer });
     }
 
-    /// Makes a snapshot once the entries applied since the last one are as large as that snapshot.
-    /// Writing snapshots then costs no more than writing the log, however large the state is.
+    /// Makes a snapshot if the entries applied since the last one are at least as large as that
+    /// snapshot and as `snapshot_bytes`. Writing snapshots then costs no more than writing the log,
+    /// however large the state is.
     fn compact_if_due(&mut self) {
         let due = self.settings.snapshot_bytes.max(self.snapshot_size);
         if self.applied_bytes < due {
@@ -435,8 +437,8 @@
         }
     }
 
-    /// Removes a silent voter once there is one voter more than the tolerated losses require, that
-    /// is, once its successor votes.
+    /// Removes a silent voter, but only if there is one voter more than the tolerated losses
+    /// require, that is, if its successor already votes.
     ///
     /// Otherwise a host that is gone for good would stay a voter forever, and the next two losses
     /// would leave no majority. One successor replaces one voter. If several voters are silent, the
--- a/crates/pulley_core/src/version/replica/replica_election.rs
+++ b/crates/pulley_core/src/version/replica/replica_election.rs
@@ -117,7 +117,7 @@
         for member in self.other_voters() {
             self.send_durable(member, ReplicaMessage::VoteRequest(request));
         }
-        // Its own vote counts only once it is on disk, like any other.
+        // Its own vote counts only after it is on disk, like any other.
         let own = VoteReply { term: self.vote.term, granted: true };
         self.send_durable(self.me, ReplicaMessage::VoteReply(own));
     }
--- a/crates/pulley_core/src/version/replica/replica_following.rs
+++ b/crates/pulley_core/src/version/replica/replica_following.rs
@@ -44,8 +44,8 @@
             self.accept_entry(entry);
         }
         self.commit = self.commit.max(request.commit.min(agreed));
-        // A heartbeat is answered at once with what is on disk. Entries are acknowledged once they
-        // are on disk.
+        // A heartbeat is answered immediately, with the index up to which entries are on disk. New
+        // entries are acknowledged only after they are on disk.
         if is_heartbeat {
             let upto = agreed.min(self.durable);
             let reply = self.append_reply(request.round, AppendOutcome::Stored { upto });
--- a/crates/pulley_core/src/version/replica/replica_leading.rs
+++ b/crates/pulley_core/src/version/replica/replica_leading.rs
@@ -242,9 +242,9 @@
     /// Steps down when the local disk has not finished a write for an election timeout.
     ///
     /// Otherwise the heartbeats would continue while the leader's disk hangs. Nobody else would
-    /// start an election, and the leader could apply and answer nothing. The age of its oldest
-    /// write shows the fault. It cannot be elected again before the disk responds, because its own
-    /// vote has to be written.
+    /// start an election, and the leader could apply and answer nothing. The age of the oldest
+    /// unfinished write shows the fault. The host cannot be elected again before its disk responds,
+    /// because its own vote has to be written.
     fn step_down_if_stalled(&mut self) -> bool {
         let limit = self.settings.election_timeout;
         let stalled =
@@ -440,8 +440,8 @@
 
     /// Commits what a majority has on disk, if it is of this term.
     ///
-    /// An entry of an earlier term could still be replaced although a majority holds it. It counts
-    /// as committed only together with an entry of the leader's own term.
+    /// A log entry of an earlier term could still be replaced although a majority holds it. Such an
+    /// entry counts as committed only together with a log entry of the leader's own term.
     pub(crate) fn advance_commit(&mut self) {
         let ReplicaRole::Leader(leader) = &self.role else { return };
         let members = self.log.members();
--- a/crates/pulley_core/src/version/replica/replica_message.rs
+++ b/crates/pulley_core/src/version/replica/replica_message.rs
@@ -89,7 +89,8 @@
     /// The last entry that the leader knows to be committed.
     pub commit: LogIndex,
     /// The leader's round, which increases with each read that a quorum is to confirm. The reply
-    /// repeats it, which proves that the sender still followed the leader when that read began.
+    /// repeats the round. This proves that the replier still followed the leader when that read
+    /// began.
     pub round: u64,
     /// The entries.
     pub entries: Vec<Arc<LogEntry>>,
--- a/crates/pulley_core/src/version/replica/replica_node.rs
+++ b/crates/pulley_core/src/version/replica/replica_node.rs
@@ -164,7 +164,7 @@
     ///
     /// After a failed write the replica stops taking part for good. What the disk holds is unknown,
     /// and a later successful sync says nothing about the pages lost before, because the kernel
-    /// drops the error once it has been reported. Only a restart, which reads the folder again, can
+    /// drops the error after reporting it. Only a restart, which reads the folder again, can
     /// tell.
     pub fn persisted(&mut self, now: Moment, ticket: PersistTicket, ok: bool) {
         self.now = self.now.max(now);
@@ -420,7 +420,7 @@
         self.effects.sends.push(ReplicaEnvelope { from: self.me, to, message });
     }
 
-    /// Sends a message once everything queued so far is on disk.
+    /// Sends a message as soon as everything queued so far is on disk.
     pub(crate) fn send_durable(&mut self, to: MemberId, message: ReplicaMessage) {
         let Some((to, message)) = self.gate.hold((to, message)) else { return };
         if to == self.me {
@@ -447,8 +447,8 @@
     /// Sets the short election timer that is used after a start while nobody leads.
     ///
     /// When all replicas restart at once nobody leads, and every host waits for a first leader. A
-    /// wait of several heartbeats would be most of the time without service. If there is a leader,
-    /// pre-vote keeps a replica that asks too early from disturbing it.
+    /// wait of several heartbeats would make up most of the time without service. If there is a
+    /// leader, pre-vote keeps a replica that asks too early from disturbing it.
     fn set_start_timer(&mut self) {
         let pause = self.settings.heartbeat / START_DELAY_DIVISOR;
         self.election_at = self.now + pause + self.random_below(pause);
--- a/crates/pulley_core/src/version/replica/replica_question.rs
+++ b/crates/pulley_core/src/version/replica/replica_question.rs
@@ -36,7 +36,7 @@
 /// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claimant may send the request, once.
+    /// The claimant may send the request, but only one time.
     Granted(FencingToken),
     /// The request already ran, with this answer.
     AlreadyRan(RecordedAnswer),
@@ -95,10 +95,10 @@
     Audit(AuditFilter),
     /// A change of the membership.
     Change(ReplicaChange),
-    /// An upstream leaves. The answer comes once the departure is on a quorum's disks; meanwhile
-    /// the leader informs every host.
+    /// An upstream leaves. The answer comes as soon as the departure is on a quorum's disks;
+    /// meanwhile the leader informs every host.
     Departure {
-        /// The start of the upstream that leaves.
+        /// The upstream's id and the incarnation that leaves.
         start: UpstreamStart,
         /// The record to send to the hosts; see `UpstreamRegistry::departure`.
         record: Bytes,
--- a/crates/pulley_core/src/version/replica/replica_settings.rs
+++ b/crates/pulley_core/src/version/replica/replica_settings.rs
@@ -20,7 +20,7 @@
     pub ledger: LedgerLimits,
     /// Minimum number of bytes of entries that are kept before a snapshot replaces them.
     pub snapshot_bytes: usize,
-    /// Maximum number of questions that wait for a quorum at once.
+    /// Maximum number of questions that may wait for a quorum at the same time.
     pub waiting_limit: usize,
     /// Unix time in milliseconds at [`crate::Moment::ZERO`]; for the audit trail only.
     pub unix_origin_ms: u64,
