--- a/crates/pulleyd/src/connection/upstream_connections.rs
+++ b/crates/pulleyd/src/connection/upstream_connections.rs
@@ -64,8 +64,8 @@
         self.upstreams.load().values().map(|links| links.open_connections()).sum()
     }
 
-    /// Closes expired idle connections, applies the view's limits and opens spare connections, once
-    /// per period. The caller listener runs it.
+    /// In every maintenance period, closes expired idle connections, applies the view's limits and
+    /// opens spare connections. The caller listener runs this task.
     pub async fn run(self: Arc<Self>) {
         loop {
             let _ = self.timer.after(MAINTENANCE_PERIOD).await;
--- a/crates/pulleyd/src/connection/upstream_link.rs
+++ b/crates/pulleyd/src/connection/upstream_link.rs
@@ -147,9 +147,9 @@
 ///
 /// The HTTP library passes a request to the connection's task through a channel. If that task ends
 /// just as the request is queued, the request stays in the channel until the sender is dropped. The
-/// sender is held here during the wait, so the answer would never resolve, and the caller of a
-/// refund would wait for its whole deadline. The task resolves every request it has received before
-/// it ends, so polling the answer once after the end is enough.
+/// sender is held here during the wait, so the answer alone would never resolve, and the caller of
+/// a refund would wait for its whole deadline. The task resolves every request it has received
+/// before it ends, so polling the answer once after the end is enough.
 async fn answer_until_ended<T>(answer: impl Future<Output = T>, ended: &Notify) -> Option<T> {
     let mut answer = pin!(answer);
     match select(answer.as_mut(), pin!(ended.notified())).await {
--- a/crates/pulleyd/src/process/announce_api.rs
+++ b/crates/pulleyd/src/process/announce_api.rs
@@ -19,11 +19,11 @@
 /// lease, through another host.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The most slots that an upstream may announce. An absurd number would attract all of its pool's
-/// requests.
+/// The maximum number of slots that an upstream may announce. An absurd number would attract all
+/// of its pool's requests.
 const SLOTS_LIMIT: u32 = 4_096;
 
-/// The most connections that an upstream may announce.
+/// The maximum number of connections that an upstream may announce.
 const CONNECTIONS_LIMIT: u32 = 100_000;
 
 /// The HTTP API for announcements and health checks.
--- a/crates/pulleyd/src/process/api_server.rs
+++ b/crates/pulleyd/src/process/api_server.rs
@@ -45,7 +45,8 @@
 /// The limits of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ApiLimits {
-    /// The most concurrent connections. Further ones wait in the operating system's accept queue.
+    /// The maximum number of concurrent connections. Further ones wait in the operating system's
+    /// accept queue.
     pub connections: usize,
     /// The largest body, in bytes.
     pub body_bytes: usize,
--- a/crates/pulleyd/src/process/control_answer.rs
+++ b/crates/pulleyd/src/process/control_answer.rs
@@ -12,7 +12,8 @@
 use super::control_core::ControlCore;
 use super::control_handle::{ControlFault, ControlRequest, Result};
 
-/// The most confirmed departures that are remembered. A day has a few thousand at the planned size.
+/// The maximum number of confirmed departures remembered. A day has a few thousand at the planned
+/// size.
 const MAX_CONFIRMED_DEPARTURES: usize = 4_096;
 
 /// The receiver of the answer to a question that was put to the leader.
--- a/crates/pulleyd/src/process/control_core.rs
+++ b/crates/pulleyd/src/process/control_core.rs
@@ -78,7 +78,8 @@
     pub(crate) seed: u64,
 }
 
-/// The control state of one host.
+/// The state of a host that its control thread owns: the cluster's members, the registered
+/// upstreams, the plan in force and, on a replica, the replicated log.
 pub(crate) struct ControlCore {
     pub(super) members: MemberTable,
     pub(super) registry: UpstreamRegistry,
@@ -131,9 +132,10 @@
 }
 
 impl ViewInputs {
-    /// Whether a view with the inputs `other` may be deferred. This is so if only hosts, upstreams
-    /// or the number of the awaited version differ. When a version begins to be awaited, this must
-    /// be published at once: from then on, callers get no refusal that is final.
+    /// Whether a change between these inputs and `other` may be published later, with further
+    /// changes. It may if they differ only in hosts, upstreams or the number of the awaited
+    /// version. That a version is now awaited must be published without delay: from then on, a
+    /// request that this version may allow gets no final refusal.
     fn can_defer(&self, other: &Self) -> bool {
         let without = |inputs: &Self| {
             let awaited_version = inputs.awaited_version.map(|_| ConfigVersion::default());
--- a/crates/pulleyd/src/process/control_thread.rs
+++ b/crates/pulleyd/src/process/control_thread.rs
@@ -32,8 +32,8 @@
 use crate::request::SchedulerSet;
 use crate::version::StorageFault;
 
-/// The most messages of each kind that may wait for the control thread. Further datagrams are
-/// dropped and replaced by later ones. Links are held back.
+/// The maximum number of messages of each kind that wait for the control thread. Further datagrams
+/// are dropped, and later ones replace them. Links have to wait instead.
 const QUEUE_DEPTH: usize = 4_096;
 
 /// The longest sleep of the control thread.
@@ -53,7 +53,8 @@
 /// The delay before a full disk is tried again.
 const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
-/// The most events handled between two ticks, so that a flood of messages cannot delay heartbeats.
+/// The maximum number of events between two ticks, so that a flood of messages cannot delay
+/// heartbeats.
 const EVENT_BURST: usize = 64;
 
 /// Why the control thread could not start.
@@ -447,9 +448,9 @@
     /// Opens the data folder again after its disk was full.
     ///
     /// A replica whose write failed stays silent until it is opened again. A full disk refuses
-    /// writes but loses none: once it has room, the folder holds what the replica had acknowledged,
-    /// as after a restart. If such replicas stayed silent, one full disk after the other would cost
-    /// the cluster its majority.
+    /// writes but loses none: as soon as it has room, the folder holds what the replica had
+    /// acknowledged, as after a restart. If such replicas stayed silent, one full disk after the
+    /// other would cost the cluster its majority.
     fn reopen_full_disk(&mut self, inbox: &mut ControlInbox) {
         let now = self.clock.now();
         if self.reopen_at.is_none() && self.disk.as_ref().is_some_and(ReplicaDisk::is_disk_full) {
--- a/crates/pulleyd/src/process/daemon.rs
+++ b/crates/pulleyd/src/process/daemon.rs
@@ -28,7 +28,7 @@
 };
 use crate::request::{HeaderDialect, SchedulerSet, TrafficContext, TrafficLimits, TrustedCallers};
 
-/// The most requests that may wait for the control thread.
+/// The maximum number of requests that may wait for the control thread.
 const CONTROL_QUEUE_DEPTH: usize = 8_192;
 
 /// The interval at which the metrics of the view are updated.
--- a/crates/pulleyd/src/process/daemon_settings.rs
+++ b/crates/pulleyd/src/process/daemon_settings.rs
@@ -21,7 +21,7 @@
 /// The longest duration that a setting may have: a day.
 const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
-/// The most keys that a ledger may hold. At 138 bytes each they take 69 MB of a host's 128 MB of
+/// The maximum number of keys in a ledger. At 138 bytes each they take 69 MB of a host's 128 MB of
 /// memory.
 const LEDGER_CAPACITY_LIMIT: usize = 500_000;
 
@@ -32,11 +32,12 @@
 /// more.
 const MIN_UPSTREAM_LEASE: Duration = Duration::from_secs(3);
 
-/// The most upstreams that may be probed for one request. Probing more than a few costs more than
+/// The maximum number of upstreams probed for one request. Probing more than a few costs more than
 /// it gains.
 const ARRIVAL_PROBES_LIMIT: usize = 8;
 
-/// The most copies that an acknowledgement may wait for. A cluster has at most nine members.
+/// The maximum number of copies that an acknowledgement may wait for. A cluster has at most nine
+/// members.
 const COPIES_LIMIT: usize = 9;
 
 /// The checked settings of one daemon.
@@ -74,9 +75,9 @@
     pub traffic_threads: usize,
     /// The callers whose attempt and priority headers are trusted.
     pub trusted_callers: Vec<IpAddr>,
-    /// The most connections that callers may hold.
+    /// The maximum number of open connections from callers.
     pub callers_limit: usize,
-    /// The most idempotency keys that the ledger holds while this host leads the log.
+    /// The maximum number of idempotency keys in the ledger while this host leads the log.
     pub ledger_capacity: usize,
     /// The shortest time for which the ledger remembers a key.
     pub ledger_retention: Duration,
--- a/crates/pulleyd/src/process/event_log.rs
+++ b/crates/pulleyd/src/process/event_log.rs
@@ -9,12 +9,12 @@
 use slog::{Drain, KV, Key, Level, Logger, OwnedKVList, Record, Serializer, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 
-/// The most lines that wait for the writer. Further lines are dropped and counted, so that a
-/// blocked terminal or pipe never blocks a request.
+/// The maximum number of lines that wait for the writer. Further lines are dropped and counted, so
+/// that a blocked terminal or pipe never blocks a request.
 const QUEUE_DEPTH: usize = 4_096;
 
-/// The most lines that one log statement may write in one window. Otherwise a failing upstream
-/// would fill the disk with one repeated line and hide the others.
+/// The maximum number of lines that one log statement writes in one window. Otherwise a failing
+/// upstream would fill the disk with one repeated line and hide the others.
 const LINES_PER_WINDOW: u32 = 20;
 
 /// The length of a rate limit window.
--- a/crates/pulleyd/src/process/operator_api.rs
+++ b/crates/pulleyd/src/process/operator_api.rs
@@ -37,7 +37,7 @@
 /// The number of audit records returned if the operator gives no limit.
 const DEFAULT_AUDIT_RECORDS: u32 = 100;
 
-/// The most audit records returned at once.
+/// The maximum number of audit records in one answer.
 const MAX_AUDIT_RECORDS: u32 = 1_000;
 
 /// Checks in constant time whether a presented key is one of the operators' keys.
--- a/crates/pulleyd/src/process/upstream_recovery.rs
+++ b/crates/pulleyd/src/process/upstream_recovery.rs
@@ -60,8 +60,8 @@
         replica.is_some_and(|replica| replica.machines().departures.has_left(start))
     }
 
-    /// Adds the upstreams on the disk to the registry, once this host knows all departures that
-    /// were acknowledged before it started.
+    /// Adds the upstreams on the disk to the registry if this host knows all departures that were
+    /// acknowledged before it started. Otherwise asks the leader how far the log is applied.
     ///
     /// Only a leader confirmed by a quorum knows them all. This replica may have been cut off when
     /// an upstream left, and its log may end before that departure.
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Returns the outcome of restoring the upstreams, once.
+    /// Returns the outcome of restoring the upstreams. It is `None` before the outcome is known and
+    /// after a call has returned it.
     pub(crate) fn take_recall_outcome(&mut self) -> Option<RecallOutcome> {
         self.recovery.outcome.take()
     }
--- a/crates/pulleyd/src/request/request_forwarder.rs
+++ b/crates/pulleyd/src/request/request_forwarder.rs
@@ -118,7 +118,8 @@
         self.first_request.clone()
     }
 
-    /// Forwards one request and answers it; on a host that has just started, once it is ready.
+    /// Forwards one request and answers it. A host that has just started first waits, for a
+    /// limited time, until it can decide about the request.
     pub fn forward(&self, request: Request<Incoming>) -> ForwardFuture {
         let arrived = self.context.clock.now();
         let Some(wait) = self.start_wait(&request) else {
--- a/crates/pulleyd/src/request/request_run.rs
+++ b/crates/pulleyd/src/request/request_run.rs
@@ -57,7 +57,8 @@
     }
 }
 
-/// An attempt that was sent.
+/// When an attempt was sent, and the record by which idle connections to its upstream may be
+/// closed.
 #[derive(Clone, Debug)]
 pub(super) struct SentAttempt {
     pub(super) at: Moment,
@@ -70,7 +71,7 @@
     tried: Vec<UpstreamId>,
     /// The attempt sent last.
     sent: Option<SentAttempt>,
-    /// The load that the upstream of that attempt had reported before.
+    /// The load that the upstream of the attempt placed last had reported before, if known.
     reading: Option<ProbeReading>,
     claim: Option<LedgerClaim>,
 }
@@ -251,7 +252,7 @@
     ///
     /// A short idempotent request gives half of its time to its first attempt. The connection may
     /// have gone silent or the upstream's machine may have slowed down, and another upstream can
-    /// still answer in time. Long work, and work that may be sent only once, waits until its
+    /// still answer in time. Long work, and work that must not be sent twice, waits until its
     /// deadline.
     fn second_attempt_at(&self) -> Option<Moment> {
         let row = self.row();
--- a/crates/pulleyd/src/request/scheduler_set.rs
+++ b/crates/pulleyd/src/request/scheduler_set.rs
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Returns this entry's part of a pool's probe rate. It is four fifths of an equal part,
+    /// Returns this entry's share of a pool's probe rate. It is four fifths of an equal share,
     /// because other entries may not know yet how many entries there are.
     #[expect(clippy::cast_precision_loss, reason = "hosts and upstreams are few")]
     fn probe_share(&self, upstreams: usize, entries: u32) -> f32 {
@@ -300,7 +300,8 @@
         self.cell(pool).unwrap_or(cell)
     }
 
-    /// Drops pools that the plan no longer names once their queues are empty.
+    /// Drops the pools that the plan no longer names. A pool in which requests still wait is kept
+    /// until a later view finds its queue empty.
     fn retire_pools(&self, plan: &IndexedPlan) {
         let is_kept = |pool: &PoolName, cell: &Arc<PoolCell>| {
             plan.contains_pool(pool) || !cell.state.lock().waiting.is_empty()
--- a/crates/pulleyd/src/request/scheduler_set_probes.rs
+++ b/crates/pulleyd/src/request/scheduler_set_probes.rs
@@ -46,8 +46,8 @@
         });
     }
 
-    /// Returns until when a request may wait to be placed. If it were placed later, it would be
-    /// expected to miss its target.
+    /// Returns the latest time at which a request can be placed and still be expected to meet its
+    /// target. Without a target, or for an unknown pool, this is the current time.
     #[must_use]
     pub fn placement_deadline(&self, pool: &PoolName, ticket: &RequestTicket) -> Moment {
         self.with_scheduler(pool, |scheduler, now| scheduler.placement_deadline(now, ticket))
--- a/crates/pulleyd/tests/request_failures.rs
+++ b/crates/pulleyd/tests/request_failures.rs
@@ -95,7 +95,7 @@
     }
 }
 
-// An upstream dies in the middle of a loss file. A caller that mistook this part for the whole
+// An upstream dies in the middle of a loss file. A caller that took half of it for the whole
 // would settle a claim on half a file, so its connection must end in an error.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_body_cut_short_is_never_passed_on_as_whole() {
@@ -110,7 +110,8 @@
         if let Some(answer) = entry.try_post("/balance", "x", &[]).await {
             assert_eq!((answer.status, answer.body), (200, None), "{head:?}");
         }
-        // On a raw connection neither the length nor the last chunk may be made up.
+        // A raw connection shows the bytes that the entry wrote. The entry must not complete the
+        // cut-off body itself, neither by changing the length nor by adding a last chunk.
         let request = "POST /balance HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
         let raw = entry.raw_answer(request).await;
         assert!(!raw.contains("\r\n0\r\n"), "{raw}");
@@ -169,7 +170,8 @@
 }
 
 // An upstream is delayed and answers after the request was retried elsewhere. The caller gets the
-// other upstream's response once. The late one is discarded, because its connection is closed.
+// other upstream's response, and only that one. The late one is discarded, because its
+// connection is closed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_late_answer_is_discarded() {
     let late = FakeUpstream::scripted(|mut stream, _, log| async move {
